--- a/src/app/api_internal.h
+++ b/src/app/api_internal.h
@@ -10,7 +10,7 @@
 #include "app/node.h"
 
 /* An answer to be sent; body may be NULL. */
-typedef struct {
+typedef struct reply {
     unsigned status;
     json_t *body;
     unsigned retry_after_s; /* 0: none */
@@ -22,7 +22,7 @@
 /* A request: its body while it arrives, then, if it has to wait, what serves it. One that gets no
  * connection or no answer by its deadline is given up, and its user told so at that moment: nobody
  * is kept waiting for an answer that is known already. */
-typedef struct {
+typedef struct request {
     node_t *node;
     GString *body; /* of a body that is too long, how it begins */
     bool too_long;
--- a/src/app/cloud_internal.h
+++ b/src/app/cloud_internal.h
@@ -7,7 +7,7 @@
 #include "app/node.h"
 
 /* A rental whose answer is still owed: repeated under its name until it is answered. */
-typedef struct {
+typedef struct charter {
     bool open;
     char charter[LABEL_BYTES];
     rental_wish_t wish;
@@ -15,7 +15,7 @@
 } charter_t;
 
 /* What the loop keeps. */
-typedef struct {
+typedef struct cloud {
     node_t *node;
     http_client_t *client;
     msec_t machine_types_at; /* 0: never */
--- a/src/app/heartbeat.c
+++ b/src/app/heartbeat.c
@@ -8,7 +8,7 @@
 #include "log.h"
 
 /* A sibling to which a thread of ours sends heartbeats. */
-typedef struct {
+typedef struct heartbeat {
     node_t *node;
     guint index; /* among the settings' siblings */
 } heartbeat_t;
--- a/src/app/main.c
+++ b/src/app/main.c
@@ -10,7 +10,7 @@
 #include "app/node.h"
 #include "log.h"
 
-typedef struct {
+typedef struct arguments {
     char *config;
     char *policy;
     gboolean version;
--- a/src/app/member.c
+++ b/src/app/member.c
@@ -7,7 +7,7 @@
 #include "io/records.h"
 #include "log.h"
 
-typedef struct {
+typedef struct member_loop {
     node_t *node;
     http_client_t *client;
     uint64_t lease;
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -38,13 +38,13 @@
 #include "io/rate_limiter.h"
 #include "io/state.h"
 
-typedef struct {
+typedef struct known_job {
     job_spec_t spec;
     uint64_t revision;
 } known_job_t;
 
 /* Status reads of live jobs that are asked together. Owned by those who wait for it. */
-typedef struct {
+typedef struct inquiry {
     GHashTable *asked; /* id -> revision of jobs/<id> (pointer-sized) */
     GHashTable *live;  /* ids found unchanged, so live; set when done */
     bool done;         /* what is still in `asked` got no answer */
@@ -54,7 +54,7 @@
 /* A final state. */
 typedef enum { ENDED_UNKNOWN, ENDED_DONE, ENDED_CANCELLED } ended_t;
 
-typedef struct {
+typedef struct node {
     const settings_t *settings;
     const policy_t *policy;
     metrics_t *metrics;
--- a/src/app/peer_client.c
+++ b/src/app/peer_client.c
@@ -30,7 +30,7 @@
 }
 
 /* The partition's side of the exchange. */
-typedef struct {
+typedef struct peer_client {
     node_t *node;
     http_client_t *client;
     int fd;                        /* to the leader; -1: none */
--- a/src/app/peer_server.c
+++ b/src/app/peer_server.c
@@ -10,7 +10,7 @@
 #include "io/clock.h"
 #include "log.h"
 
-typedef struct {
+typedef struct peer_connection {
     node_t *node;
     int fd;
 } peer_connection_t;
--- a/src/app/placer.c
+++ b/src/app/placer.c
@@ -14,13 +14,13 @@
 #include "io/wire.h"
 #include "log.h"
 
-typedef struct {
+typedef struct placer {
     node_t *node;
     http_client_t *client;
     msec_t renumbered;
 } placer_t;
 
-typedef struct {
+typedef struct listing {
     GArray *machines;
     GArray *done;
     GArray *jobs;
@@ -238,7 +238,7 @@
     g_array_unref(requests);
 }
 
-typedef struct {
+typedef struct batch {
     GArray *progress;
     partition_batch_t *machines;
     txn_usage_t usage;
--- a/src/app/sender.c
+++ b/src/app/sender.c
@@ -15,7 +15,7 @@
 #include "log.h"
 
 /* One exchange, copied out under the lock. */
-typedef struct {
+typedef struct exchange {
     char machine[ID_BYTES];
     char url[URL_BYTES];
     uint64_t token;
@@ -69,7 +69,7 @@
 
 /* A sender. It keeps connections to the machines of its slot, and serves others only while their
  * sender is busy. */
-typedef struct {
+typedef struct sender {
     node_t *node;
     guint slot;
 } sender_t;
--- a/src/app/settings.c
+++ b/src/app/settings.c
@@ -8,7 +8,7 @@
 #include "core/owner.h"
 
 /* Where parsing stands: the first fault wins. */
-typedef struct {
+typedef struct reader {
     const char *path;
     char *error;
 } reader_t;
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -4,13 +4,13 @@
 
 #include "core/types.h"
 
-typedef struct {
+typedef struct sibling {
     char name[ID_BYTES];
     char zone[LABEL_BYTES];
     char endpoint[ADDRESS_BYTES];
 } sibling_t;
 
-typedef struct {
+typedef struct settings {
     char name[ID_BYTES];
     char zone[LABEL_BYTES];
     char client_listen[ADDRESS_BYTES];
--- a/src/app/threads.c
+++ b/src/app/threads.c
@@ -9,14 +9,14 @@
 #include "log.h"
 
 /* One thread; `clock` is valid while it runs. */
-typedef struct {
+typedef struct thread {
     const char *role;
     void *(*run)(void *);
     void *data;
     clockid_t clock;
 } thread_t;
 
-typedef struct {
+typedef struct role {
     guint alive;
     gint64 time_us; /* of threads that have ended */
 } role_t;
--- a/src/core/cancellation_log.h
+++ b/src/core/cancellation_log.h
@@ -21,7 +21,7 @@
 #include "core/owner.h"
 
 /* What one node tells another: what it told users of after one number, up to another. */
-typedef struct {
+typedef struct cancellation_update {
     uint64_t incarnation; /* of the node that keeps the log */
     uint64_t after_index;
     uint64_t last_index;
@@ -30,14 +30,14 @@
     GPtrArray *jobs; /* ids, owned */
 } cancellation_update_t;
 
-typedef struct {
+typedef struct cancellation_replica {
     uint64_t incarnation; /* of which the rest holds; 0: never heard */
     uint64_t last_index;  /* all it told from `base` on, up to this number, is here */
     msec_t base;
     msec_t until; /* all that it told from `base` to then is here */
 } cancellation_replica_t;
 
-typedef struct {
+typedef struct cancellation_log {
     uint64_t incarnation;
     GQueue *entries;    /* job ids, owned; oldest first */
     GHashTable *listed; /* those, borrowed */
--- a/src/core/channel.h
+++ b/src/core/channel.h
@@ -19,7 +19,7 @@
     CHANNEL_ATTEMPT_RESULT /* partition to leader */
 } channel_item_kind_t;
 
-typedef struct {
+typedef struct channel_item {
     channel_item_kind_t kind;
     placement_request_t request; /* types owned */
     task_ref_t ref;
@@ -27,7 +27,7 @@
     char machine[ID_BYTES];
 } channel_item_t;
 
-typedef struct {
+typedef struct channel {
     GArray *queue;     /* channel_item_t */
     GArray *in_flight; /* of batch `sent`; empty: acknowledged */
     uint64_t sent;
--- a/src/core/connectivity.h
+++ b/src/core/connectivity.h
@@ -8,7 +8,7 @@
 
 #include "core/types.h"
 
-typedef struct {
+typedef struct connectivity {
     msec_t state;       /* when the state service last answered us */
     msec_t received_at; /* when a sibling's last message came, by socket or relay */
     msec_t siblings;    /* when the state service last answered one of them, as it said */
--- a/src/core/election.h
+++ b/src/core/election.h
@@ -9,7 +9,7 @@
 #include "core/types.h"
 
 /* The view as a node last read it. */
-typedef struct {
+typedef struct view {
     uint64_t number;   /* 0: none known */
     uint64_t revision; /* of view/number */
     char leader[ID_BYTES];
@@ -18,7 +18,7 @@
     guint count;
 } view_t;
 
-typedef struct {
+typedef struct election {
     member_t self;
     GHashTable *present;     /* name -> member_t, owned: who has a live lease */
     GHashTable *excluded;    /* leader: name -> msec_t *, owned: owns no machines until then */
--- a/src/core/job_counts.h
+++ b/src/core/job_counts.h
@@ -10,14 +10,14 @@
 
 #include "core/types.h"
 
-typedef struct {
+typedef struct job_counts {
     char job[ID_BYTES];
     uint32_t done;
     uint32_t outstanding;
 } job_counts_t;
 
 /* What the leader answers to one that has all up to some version. */
-typedef struct {
+typedef struct job_counts_update {
     uint64_t epoch; /* 0: the sender does not lead */
     uint64_t version;
     GArray *jobs; /* job_counts_t, owned; NULL: none */
@@ -25,7 +25,7 @@
 
 void job_counts_update_clear(job_counts_update_t *update);
 
-typedef struct {
+typedef struct job_counts_replica {
     uint64_t epoch;
     uint64_t version;
     GHashTable *jobs; /* id -> job_counts_t, owned */
--- a/src/core/leader.h
+++ b/src/core/leader.h
@@ -15,7 +15,7 @@
 #include "core/types.h"
 
 /* One machine as its partition describes it to the leader. */
-typedef struct {
+typedef struct machine_summary {
     char machine[ID_BYTES];
     char type[LABEL_BYTES];
     char zone[LABEL_BYTES];
@@ -33,12 +33,12 @@
 } machine_summary_t;
 
 /* An attempt and the partition that has it. */
-typedef struct {
+typedef struct partition_attempt {
     task_ref_t ref;
     guint partition;
 } partition_attempt_t;
 
-typedef struct {
+typedef struct job {
     job_spec_t spec;
     uint64_t revision; /* of jobs/<id> */
     uint8_t *done;     /* a bit a task */
@@ -59,14 +59,14 @@
     uint64_t counts_version;      /* of their last change; 0: none so far */
 } job_t;
 
-typedef struct {
+typedef struct team_state {
     team_t team;
     double cpus; /* out */
     double gpus;
     double yielding; /* cpus of its work that is being stopped for others */
 } team_state_t;
 
-typedef struct {
+typedef struct outstanding {
     task_ref_t ref;
     guint team;
     resources_t need;
@@ -76,34 +76,34 @@
 
 /* A placement request for a partition. types is owned by the job: deliver before the lock is given
  * up. */
-typedef struct {
+typedef struct leader_request {
     guint partition;
     placement_request_t request;
 } leader_request_t;
 
 /* A machine on which attempts failed since the last success there. */
-typedef struct {
+typedef struct failure_record {
     guint errors;
     char job[ID_BYTES];       /* of the first */
     bool is_machine_at_fault; /* some failed job runs elsewhere, or more than one job failed */
 } failure_record_t;
 
 /* A machine claimed for large work, round after round. */
-typedef struct {
+typedef struct machine_claim {
     msec_t since;
     msec_t last;
 } machine_claim_t;
 
 /* What a placement round knows of all machines, so that it looks at each of them only for work that
  * may fit. */
-typedef struct {
+typedef struct leader_round {
     guint machines;
     guint claimed;
     resources_t most_free; /* of open machines, each resource by itself: no machine has more */
     uint64_t examined;     /* summaries looked at since the leader began */
 } leader_round_t;
 
-typedef struct {
+typedef struct leader {
     uint64_t view;
     uint64_t count;              /* attempts numbered in this view */
     GHashTable *jobs;            /* id -> job_t, owned */
@@ -156,7 +156,7 @@
 GArray *leader_outstanding(const leader_t *leader, const char *job);
 
 /* Resources asked for by tasks that have no machine yet, with the jobs' limits applied. */
-typedef struct {
+typedef struct demand {
     job_t *job;
     guint team;
     uint32_t tasks;
@@ -164,7 +164,7 @@
 GArray *leader_demand(const leader_t *leader, msec_t now);
 
 /* Progress to make durable. */
-typedef struct {
+typedef struct progress {
     char job[ID_BYTES];
     bool end; /* every task is done: jobs/<id> and the chunks go, ended/<id> comes */
     uint32_t done;
@@ -177,7 +177,7 @@
 } progress_t;
 GArray *leader_progress_new(void);
 /* What a transaction has taken so far, and may take. */
-typedef struct {
+typedef struct txn_usage {
     guint ops;
     guint max_ops;
     guint full_ops; /* the most that max_ops grows to while nothing is written */
--- a/src/core/leader_internal.h
+++ b/src/core/leader_internal.h
@@ -29,7 +29,7 @@
 /* Team queues and quota (leader_queues.c). */
 
 /* A job in its team's queue. */
-typedef struct {
+typedef struct queued {
     job_t *job;
     uint32_t owed; /* outstanding tasks that it must get for its long wait, whatever goes first; 0:
                       a job's ordinary place */
--- a/src/core/owner.h
+++ b/src/core/owner.h
@@ -15,7 +15,7 @@
 };
 
 /* One live controller of a view. */
-typedef struct {
+typedef struct member {
     char name[ID_BYTES];
     char zone[LABEL_BYTES];
     uint64_t incarnation;
--- a/src/core/partition.h
+++ b/src/core/partition.h
@@ -19,7 +19,7 @@
 #include "core/types.h"
 
 /* What the leader asks a partition to place. */
-typedef struct {
+typedef struct placement_request {
     char job[ID_BYTES];
     char team[LABEL_BYTES];
     char image[LABEL_BYTES];
@@ -41,7 +41,7 @@
 } placement_request_t;
 
 /* What stands in a machine's record for one attempt. */
-typedef struct {
+typedef struct record_entry {
     char job[ID_BYTES];
     char team[LABEL_BYTES];
     char image[LABEL_BYTES];
@@ -54,7 +54,7 @@
 } record_entry_t;
 
 /* A machine in its shard's record. entries: array of record_entry_t, owned. */
-typedef struct {
+typedef struct machine_record {
     char machine[ID_BYTES];
     char address[ADDRESS_BYTES];
     char type[LABEL_BYTES];
@@ -66,7 +66,7 @@
 
 /* machines/<page> in the state service: one key for several machines of a shard, since every change
  * of a key is paid for, whatever its size. machines: array of machine_record_t, owned. */
-typedef struct {
+typedef struct page_record {
     char shard[SHARD_NAME_BYTES];
     guint page;
     uint64_t revision;
@@ -101,12 +101,12 @@
 } page_t;
 
 /* Pages of a shard: one, until its record nears the value limit. Owns them. */
-typedef struct {
+typedef struct shard {
     char name[SHARD_NAME_BYTES];
     GPtrArray *pages;
 } shard_t;
 
-typedef struct {
+typedef struct attempt {
     task_ref_t ref; /* its key */
     record_entry_t entry;
     uint64_t reservation_id; /* names its reservation */
@@ -171,13 +171,13 @@
 
 /* Told to the leader: an attempt that is over. Anything but done is told after its record is gone.
  */
-typedef struct {
+typedef struct attempt_result {
     task_ref_t ref;
     cause_t cause;
     char machine[ID_BYTES];
 } attempt_result_t;
 
-typedef struct {
+typedef struct partition {
     uint64_t view;
     GHashTable *machines; /* id -> machine_t, owned */
     GHashTable *shards;   /* name -> shard_t, owned */
@@ -260,7 +260,7 @@
 
 /* Commits. A batch holds the records to write (array of page_record_t; one without machines is a
  * deletion) and the jobs that must still exist. */
-typedef struct {
+typedef struct partition_batch {
     GArray *records;
     GHashTable
         *jobs;   /* id -> revision (pointer-sized): conditions, so that no start follows an end */
@@ -268,7 +268,7 @@
 } partition_batch_t;
 
 /* What a batch may take. */
-typedef struct {
+typedef struct partition_limits {
     guint ops;       /* keys */
     guint jobs;      /* conditions on jobs */
     gsize value_max; /* bytes of a record */
--- a/src/core/partition_preemption.c
+++ b/src/core/partition_preemption.c
@@ -30,7 +30,7 @@
 }
 
 /* Cheapest first; lost work is compared as it was when the list was made. */
-typedef struct {
+typedef struct victim {
     attempt_t *attempt;
     double lost;
 } victim_t;
--- a/src/core/partition_records.c
+++ b/src/core/partition_records.c
@@ -50,7 +50,7 @@
 }
 
 /* A record while it is put together. */
-typedef struct {
+typedef struct writer {
     partition_batch_t *batch;
     GHashTable *headers; /* jobs that it has a header for */
     gsize size;
--- a/src/core/redirection.c
+++ b/src/core/redirection.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-typedef struct {
+typedef struct redirected_worker {
     msec_t redirected_at;
     msec_t retained_until; /* 0: not retained */
     bool waits_for_probe;  /* retained for what others met, not for a try of its own */
@@ -13,7 +13,7 @@
 } redirected_worker_t;
 
 /* A controller that workers of this view were sent to. */
-typedef struct {
+typedef struct owner {
     char probe[ID_BYTES]; /* the machine that tries it */
     msec_t tried;
     msec_t missed; /* when one came back last */
--- a/src/core/redirection.h
+++ b/src/core/redirection.h
@@ -22,7 +22,7 @@
 } redirection_verdict_t;
 
 /* What another controller said of itself in answer to heartbeats. */
-typedef struct {
+typedef struct owner_health {
     msec_t answered_at;      /* when the heartbeat was sent that it last answered */
     msec_t worker_report_at; /* when a worker that it owns last reported to it */
 } owner_health_t;
--- a/src/core/rental.c
+++ b/src/core/rental.c
@@ -69,7 +69,7 @@
 }
 
 /* What the machine summaries say of a zone. */
-typedef struct {
+typedef struct zone_sum {
     guint open;
     guint silent;
 } zone_sum_t;
--- a/src/core/rental.h
+++ b/src/core/rental.h
@@ -6,7 +6,7 @@
 #include "core/types.h"
 
 /* A machine that was rented or listed and has not reported yet. */
-typedef struct {
+typedef struct boot {
     char machine[ID_BYTES];
     char type[LABEL_BYTES];
     char zone[LABEL_BYTES];
@@ -18,7 +18,7 @@
  * guarantees), for work that may not use spot, and to a limited share where spot machines can't be
  * had and the work that waits would take those that stand too long. */
 
-typedef struct {
+typedef struct rental {
     GHashTable *boots;             /* id -> boot_t, owned */
     msec_t surplus_since;          /* more stands than is wanted; 0: it does not */
     GHashTable *refused;           /* "type zone kind" -> msec_t *: not asked again before it */
@@ -26,7 +26,7 @@
     GHashTable *recovered_zones;   /* zone -> msec_t *: when it was heard again */
 } rental_t;
 
-typedef struct {
+typedef struct rental_wish {
     char type[LABEL_BYTES];
     char zone[LABEL_BYTES];
     bool spot;
@@ -56,7 +56,7 @@
 void rental_refused(rental_t *rental, const rental_wish_t *wish, msec_t until);
 
 /* Resources asked for, in cpus and memory, against what stands and boots. */
-typedef struct {
+typedef struct rental_balance {
     resources_t wanted;
     resources_t standing;
     resources_t booting;
--- a/src/core/rental_choice.c
+++ b/src/core/rental_choice.c
@@ -56,7 +56,7 @@
 }
 
 /* What a rental is chosen by, and the best one so far. */
-typedef struct {
+typedef struct rental_choice {
     const rental_t *rental;
     const leader_t *leader;
     const rental_balance_t *balance;
--- a/src/core/request_queue.c
+++ b/src/core/request_queue.c
@@ -1,6 +1,6 @@
 #include "core/request_queue.h"
 
-typedef struct {
+typedef struct waiting {
     void *request;
     msec_t until;
 } waiting_t;
--- a/src/core/request_queue.h
+++ b/src/core/request_queue.h
@@ -6,7 +6,7 @@
 
 #include "core/types.h"
 
-typedef struct {
+typedef struct request_queue {
     GQueue waiting; /* waiting_t, owned */
     guint most;
 } request_queue_t;
--- a/src/core/reservation.h
+++ b/src/core/reservation.h
@@ -7,7 +7,7 @@
 
 #include "core/types.h"
 
-typedef struct {
+typedef struct reservation {
     uint64_t reservation_id; /* the partition's own number for the attempt */
     uint64_t receipt;        /* the newest report of the machine when the reservation was made */
     msec_t made;
--- a/src/core/summary_update.h
+++ b/src/core/summary_update.h
@@ -10,7 +10,7 @@
 #include "core/leader.h"
 
 /* What a message carries. Owns its arrays. */
-typedef struct {
+typedef struct summary_update {
     uint64_t base;       /* the version that it changes; 0: it is all there is */
     uint64_t version;    /* with it applied */
     GArray *summaries;   /* machine_summary_t: changed and new ones */
@@ -20,14 +20,14 @@
 void summary_update_clear(summary_update_t *update);
 
 /* All summaries of a partition at one moment. Owns them. */
-typedef struct {
+typedef struct summary_version {
     uint64_t version; /* 0: none */
     GArray *summaries;
     msec_t at;
 } summary_version_t;
 
 /* The partition's side. */
-typedef struct {
+typedef struct summary_sender {
     summary_version_t acknowledged; /* the leader has it */
     summary_version_t sent;         /* the last one that left */
     uint64_t last_version;
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -12,7 +12,7 @@
 typedef int64_t msec_t; /* steady clock, milliseconds */
 
 /* An amount of a machine: what a task takes, what a machine has. */
-typedef struct {
+typedef struct resources {
     double cpus;
     double gpus;
     double memory;
@@ -26,7 +26,7 @@
 
 /* A job as its user described it. Owned by whoever holds the struct; job_spec_clear frees inside.
  */
-typedef struct {
+typedef struct job_spec {
     char id[ID_BYTES];
     char class_name[LABEL_BYTES];
     char team[LABEL_BYTES];
@@ -62,7 +62,7 @@
 } cause_t;
 
 /* One task attempt as a worker lists it. */
-typedef struct {
+typedef struct reported_attempt {
     char job[ID_BYTES];
     uint32_t task;
     uint64_t attempt;
@@ -71,7 +71,7 @@
 } reported_attempt_t;
 
 /* A worker's report. attempts: array of reported_attempt_t, owned by the report. */
-typedef struct {
+typedef struct report {
     char machine[ID_BYTES];
     char address[ADDRESS_BYTES];
     char type[LABEL_BYTES];
@@ -87,7 +87,7 @@
 typedef enum { COMMAND_RUN, COMMAND_STOP, COMMAND_FORGET } worker_command_op_t;
 
 /* One command to a worker. */
-typedef struct {
+typedef struct worker_command {
     worker_command_op_t op;
     char job[ID_BYTES];
     uint32_t task;
@@ -96,7 +96,7 @@
 } worker_command_t;
 
 /* A machine type as the cloud describes it. */
-typedef struct {
+typedef struct machine_type {
     char name[LABEL_BYTES];
     resources_t capacity;
     double price;
@@ -107,13 +107,13 @@
 
 /* When the jobs of a class should be finished, each list ascending: in multiples of the deadline
  * and in seconds. Arrays of double, owned. */
-typedef struct {
+typedef struct targets {
     GArray *times;
     GArray *within;
 } targets_t;
 
 /* A team as the settings describe it. */
-typedef struct {
+typedef struct team {
     char name[LABEL_BYTES];
     double cpus;
     double cpus_max;
@@ -123,7 +123,7 @@
 
 /* One attempt at one task. A task has one attempt at a time, so maps go by job and task alone; the
  * attempts of a gang's tasks share one number, by which workers know that they belong together. */
-typedef struct {
+typedef struct task_ref {
     char job[ID_BYTES];
     uint32_t task;
     uint64_t attempt;
--- a/src/io/json_input.c
+++ b/src/io/json_input.c
@@ -6,7 +6,7 @@
 
 /* The value while it is read: the containers that are open, outermost first. Each is in its
  * container from its beginning, so that the outermost one holds all that was read. */
-typedef struct {
+typedef struct reader {
     json_t *root;                       /* owned; NULL: nothing read so far */
     json_t *open[JSON_DEPTH_MAX_COUNT]; /* borrowed */
     guint depth;
--- a/src/io/peer_protocol.h
+++ b/src/io/peer_protocol.h
@@ -8,7 +8,7 @@
 #include "core/summary_update.h"
 
 /* One message, decoded. Owns its arrays. */
-typedef struct {
+typedef struct decoded_message {
     char sender[ID_BYTES];
     uint64_t incarnation;
     uint64_t view;
--- a/src/io/rate_limiter.h
+++ b/src/io/rate_limiter.h
@@ -6,7 +6,7 @@
 
 #include "core/types.h"
 
-typedef struct {
+typedef struct rate_limiter {
     pthread_mutex_t lock;
     double rate; /* per second; bursts of one second's worth */
     double left;
--- a/src/io/relay.h
+++ b/src/io/relay.h
@@ -12,7 +12,7 @@
                   gsize value_max);
 
 /* A message as it was found. */
-typedef struct {
+typedef struct relay_message {
     char name[ID_BYTES]; /* whose inbox it lay in */
     uint64_t revision;
     GByteArray *frame;
--- a/src/io/state.h
+++ b/src/io/state.h
@@ -20,13 +20,13 @@
 #define STATE_NEVER_ANSWERED (INT64_MIN / 4)
 
 /* Shared by all threads; each brings its own client. */
-typedef struct {
+typedef struct state {
     char base[BASE_URL_BYTES];
     _Atomic(msec_t) answered_at; /* when the newest request that was answered had been sent; a start
                                     is no answer */
 } state_t;
 
-typedef struct {
+typedef struct state_entry {
     char *key;
     json_t *value;
     uint64_t revision;
@@ -44,7 +44,7 @@
                           GArray *entries, uint64_t *revision);
 
 /* A transaction under construction. */
-typedef struct {
+typedef struct txn {
     json_t *conditions;
     json_t *changes;
     bool faulty; /* a value could not be built: never sent */
--- a/src/io/wire.h
+++ b/src/io/wire.h
@@ -11,7 +11,7 @@
 #include "core/partition.h"
 #include "core/types.h"
 
-typedef struct {
+typedef struct reason {
     char text[REASON_BYTES];
 } reason_t;
 
@@ -31,7 +31,7 @@
 
 /* One machine of the cloud's list. */
 typedef enum { HOST_BOOTING, HOST_RUNNING, HOST_FAILED } host_state_t;
-typedef struct {
+typedef struct host {
     char machine[ID_BYTES];
     char type[LABEL_BYTES];
     char zone[LABEL_BYTES];
--- a/src/io/wire_report.c
+++ b/src/io/wire_report.c
@@ -51,14 +51,14 @@
 typedef enum { VALUE_NULL, VALUE_BOOLEAN, VALUE_NUMBER, VALUE_STRING, VALUE_CONTAINER } kind_t;
 
 /* A value while it is read; text is borrowed and has no final zero. */
-typedef struct {
+typedef struct value {
     kind_t kind;
     const char *text;
     gsize length;
     bool is_true;
 } value_t;
 
-typedef struct {
+typedef struct report_reader {
     report_t *report;
     reason_t *why;
     guint depth;
--- a/src/policy/ast.h
+++ b/src/policy/ast.h
@@ -40,7 +40,7 @@
 };
 
 /* Where parsing stands. Owned by policy_compile. */
-typedef struct {
+typedef struct parse {
     const char *file;
     GPtrArray *faults;
     ast_t **values; /* TUNABLE_COUNT, NULL: default */
@@ -50,7 +50,7 @@
 } parse_t;
 
 /* A token's value and place. */
-typedef struct {
+typedef struct token {
     double number;
     char *text; /* owned by whoever takes the token */
     int line;
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -59,7 +59,7 @@
 
 /* The attributes that a rule sees; text is borrowed. Those out of a tunable's scope are not read.
  */
-typedef struct {
+typedef struct policy_env {
     double number[ATTR_COUNT];
     const char *text[ATTR_COUNT];
 } policy_env_t;
--- a/tests/fakes/services.c
+++ b/tests/fakes/services.c
@@ -8,19 +8,19 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-typedef struct {
+typedef struct change {
     char *key;
     json_t *value; /* NULL: deleted */
     uint64_t revision;
 } change_t;
 
 /* A daemon's own: the service, and which port. */
-typedef struct {
+typedef struct door {
     services_t *services;
     guint port;
 } door_t;
 
-typedef struct {
+typedef struct answer {
     unsigned status; /* 0: no answer */
     json_t *body;
 } answer_t;
--- a/tests/fakes/services.h
+++ b/tests/fakes/services.h
@@ -12,7 +12,7 @@
 
 enum { SERVICES_PORTS = 3 };
 
-typedef struct {
+typedef struct services {
     pthread_mutex_t lock; /* guards all below */
     pthread_cond_t changed;
     fake_store_t *store;
@@ -48,7 +48,7 @@
 
 /* A worker: takes direct commands on a port of its own, and reports when the test says so. Owns
  * its worker and thread; never ends. */
-typedef struct {
+typedef struct fake_machine {
     pthread_mutex_t lock; /* guards the worker */
     fake_worker_t *worker;
     uint16_t port;
--- a/tests/fakes/store.h
+++ b/tests/fakes/store.h
@@ -4,7 +4,7 @@
 
 #include "io/state.h"
 
-typedef struct {
+typedef struct fake_store {
     GHashTable *keys; /* key -> state_entry_t, owned */
     uint64_t revision;
 } fake_store_t;
--- a/tests/fakes/worker.h
+++ b/tests/fakes/worker.h
@@ -5,7 +5,7 @@
 
 #include "core/types.h"
 
-typedef struct {
+typedef struct fake_worker {
     char id[ID_BYTES];
     uint64_t session;
     uint64_t seq;
--- a/tests/load.c
+++ b/tests/load.c
@@ -25,7 +25,7 @@
     CPU_MS_PER_S = 1000
 };
 
-typedef struct {
+typedef struct options {
     int controllers;
     int machines;
     int seconds;
@@ -39,7 +39,7 @@
     char *command;
 } options_t;
 
-typedef struct {
+typedef struct load {
     options_t options;
     uint16_t ports[CONTROLLERS_MAX];
     uint16_t peer_ports[CONTROLLERS_MAX];
--- a/tests/test_cancellation_log.c
+++ b/tests/test_cancellation_log.c
@@ -4,7 +4,7 @@
 
 enum { FOLLOWED = 1000 };
 
-typedef struct {
+typedef struct fixture {
     cancellation_log_t ours;
     cancellation_log_t siblings[2];
     GHashTable *stopped; /* ids that the siblings named */
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -16,7 +16,7 @@
 
 enum { POLL_MS = 20 };
 
-typedef struct {
+typedef struct fixture {
     services_t *services;
     node_t *nodes[2];
     uint16_t ports[2]; /* of users and workers */
@@ -432,7 +432,7 @@
 }
 
 /* An answer as a user sees it. */
-typedef struct {
+typedef struct seen {
     int status; /* 0: none came */
     curl_off_t retry_after_s;
 } seen_t;
--- a/tests/test_partition.c
+++ b/tests/test_partition.c
@@ -4,7 +4,7 @@
 #include "unit_test.h"
 #include "worker.h"
 
-typedef struct {
+typedef struct fixture {
     GArray *machine_types;
     GArray *teams;
     partition_t *partition;
--- a/tests/test_summary_update.c
+++ b/tests/test_summary_update.c
@@ -5,7 +5,7 @@
 
 enum { MACHINES_MAX = 40, ROUNDS = 2000 };
 
-typedef struct {
+typedef struct fixture {
     summary_sender_t sender;
     summary_replica_t replica;
     GArray *current; /* the partition's */
