--- a/src/app/api.c
+++ b/src/app/api.c
@@ -1,14 +1,14 @@
 /* Users and workers over HTTP.
  *
  * A few threads of the HTTP server hold all connections and answer what needs no other service:
- * reports and /ready. What may have to wait for the state service is put into a queue, served by
+ * reports and /ready. What may have to wait for the key-value store is put into a queue, served by
  * threads of its own; its connection rests meanwhile. So no user's request ever stands before a
  * worker's report, and the number of threads does not grow with the fleet. (A thread a connection
  * was the form before: at 600 machines one controller's accepting thread stopped for good now and
  * then, in waiting for a thread that had ended.)
  *
- * Users' requests go straight against the state service; only a rate limiter stands between. What a
- * node has told a user, no node may take back: live answers are read afresh each time, and only
+ * Users' requests go straight against the key-value store; only a rate limiter stands between. What
+ * a node has told a user, no node may take back: live answers are read afresh each time, and only
  * final states are kept. */
 #include "app/api_internal.h"
 
--- a/src/app/api_internal.h
+++ b/src/app/api_internal.h
@@ -27,24 +27,24 @@
     GString *body; /* of a body that is too long, how it begins */
     bool too_long;
     struct MHD_Connection *connection;
-    http_client_t *client; /* its connection to the state service; NULL: not yet */
+    http_client_t *client; /* its connection to the key-value store; NULL: not yet */
     msec_t wait_deadline;  /* given up without such a connection by then */
-    msec_t deadline;       /* given up without an answer of the state service by then */
+    msec_t deadline;       /* given up without an answer of the key-value store by then */
     char method[METHOD_BYTES];
     char path[REQUEST_PATH_BYTES];
     bool answered; /* reply stands; it was not sent yet */
     reply_t reply;
 } request_t;
 
-/* What is known of a job. JOB_UNKNOWN: the state service gave no answer; JOB_NEVER: it has no such
- * job. */
+/* What is known of a job. JOB_UNKNOWN: the key-value store gave no answer; JOB_NEVER: it has no
+ * such job. */
 typedef enum { JOB_UNKNOWN, JOB_LIVE, JOB_DONE, JOB_CANCELLED, JOB_NEVER } job_state_t;
 
 /* The HTTP server and the request queue (api.c). */
 
 /* An answer with a reason in its body. retry_after_s: 0: none. */
 reply_t api_refuse(unsigned status, const char *why, unsigned retry_after_s);
-/* The answer where the state service is needed and can't be asked. */
+/* The answer where the key-value store is needed and can't be asked. */
 reply_t api_come_back(void);
 
 /* Routes (api_route.c). */
@@ -52,22 +52,22 @@
 /* The answer to a whole request. */
 reply_t api_route(request_t *request, const char *method, const char *path);
 
-/* The state of jobs in the state service (api_state.c). */
+/* The state of jobs in the key-value store (api_state.c). */
 
-/* Whether the request has a connection to the state service: it waits for one until its wait
+/* Whether the request has a connection to the key-value store: it waits for one until its wait
  * deadline. */
 bool api_acquire_client(request_t *request);
 void api_release_client(request_t *request);
-/* STATE_REFUSED also where the deadline has passed. failed: as for state_commit. */
-state_result_t api_commit(request_t *request, const txn_t *txn, GPtrArray *failed);
+/* KV_NOT_EXECUTED also where the deadline has passed. failed: as for kv_commit. */
+kv_result_t api_commit(request_t *request, const kv_txn_t *txn, GPtrArray *failed);
 /* Every road on which a user can be told a final state begins here: it is known to the other
  * threads, and noted for the siblings, before it can be told. */
 job_state_t api_remember_ended(node_t *node, const char *id, bool done);
-/* Reads <prefix>/<id>. entry: api_entry_clear it. STATE_REFUSED also where the deadline has passed.
+/* Reads <prefix>/<id>. entry: api_entry_clear it. KV_NOT_EXECUTED also where the deadline has
+ * passed.
  */
-state_result_t api_read_key(request_t *request, const char *prefix, const char *id,
-                            state_entry_t *entry);
-void api_entry_clear(state_entry_t *entry);
+kv_result_t api_read_key(request_t *request, const char *prefix, const char *id, kv_entry_t *entry);
+void api_entry_clear(kv_entry_t *entry);
 /* A job goes from jobs/ to ended/ and never back: one that is found in neither, asked in that
  * order, had not been accepted when the first was asked. */
 job_state_t api_look_up(request_t *request, const char *id, bool likely_live);
@@ -79,8 +79,8 @@
 /* The answer that tells a job's state. live_status: the HTTP status where it is live. */
 reply_t api_status_reply(node_t *node, const char *id, job_state_t state, unsigned live_status);
 reply_t api_get_status(request_t *request, const char *id);
-/* Whether a question about a job, or its abort, has its answer without the state service: the id is
- * none, the job's final state is known here, or the state service can't be asked. */
+/* Whether a question about a job, or its abort, has its answer without the key-value store: the id
+ * is none, the job's final state is known here, or the key-value store can't be asked. */
 bool api_answer_at_once(const request_t *request, const char *id, bool *likely_live,
                         reply_t *reply);
 
@@ -97,7 +97,7 @@
 
 /* With the lock held: others are served, or may be: whoever asks here should ask there, at once. */
 bool api_is_shut_out(const node_t *node);
-/* Requests that can't be answered without the state service don't wait for it in vain. */
+/* Requests that can't be answered without the key-value store don't wait for it in vain. */
 bool api_must_turn_away(node_t *node);
 reply_t api_ready(node_t *node);
 
--- a/src/app/api_jobs.c
+++ b/src/app/api_jobs.c
@@ -58,17 +58,17 @@
 
 static reply_t commit_job(request_t *request, const job_spec_t *spec)
 {
-    txn_t txn = records_submit(spec);
-    state_result_t result = api_commit(request, &txn, NULL);
-    txn_free(&txn);
-    if (result == STATE_OK)
+    kv_txn_t txn = records_submit(spec);
+    kv_result_t result = api_commit(request, &txn, NULL);
+    kv_txn_free(&txn);
+    if (result == KV_OK)
         log_info("event=accept job=%s class=%s tasks=%u", spec->id, spec->class_name, spec->tasks);
-    if (result == STATE_OK)
+    if (result == KV_OK)
         return (reply_t){.status = HTTP_CREATED,
                          .body = wire_build_status(spec->id, "queued", 0, 0)};
-    if (result == STATE_REFUSED)
+    if (result == KV_NOT_EXECUTED)
         return api_come_back();
-    if (result == STATE_INVALID)
+    if (result == KV_INVALID)
         return reject(request, spec->id,
                       api_refuse(HTTP_BAD_REQUEST, "too large to be recorded", 0));
     job_state_t state = api_look_up(request, spec->id, true);
@@ -136,33 +136,33 @@
     return reply;
 }
 
-static state_result_t commit_abort(request_t *request, const char *id, uint64_t revision,
-                                   uint32_t tasks)
+static kv_result_t commit_abort(request_t *request, const char *id, uint64_t revision,
+                                uint32_t tasks)
 {
-    txn_t txn = records_abort(id, revision, tasks);
+    kv_txn_t txn = records_abort(id, revision, tasks);
     rate_limiter_charge(&request->node->api_write, (double)json_array_size(txn.changes),
                         clock_steady());
-    state_result_t result = api_commit(request, &txn, NULL);
-    txn_free(&txn);
+    kv_result_t result = api_commit(request, &txn, NULL);
+    kv_txn_free(&txn);
     return result;
 }
 
 static reply_t abort_with(request_t *request, const char *id)
 {
     node_t *node = request->node;
-    state_entry_t entry = {0};
-    state_result_t result = api_read_key(request, "jobs", id, &entry);
-    if (result != STATE_OK && result != STATE_ABSENT)
+    kv_entry_t entry = {0};
+    kv_result_t result = api_read_key(request, "jobs", id, &entry);
+    if (result != KV_OK && result != KV_NOT_FOUND)
         return api_come_back();
-    if (result == STATE_OK) {
+    if (result == KV_OK) {
         uint32_t tasks = (uint32_t)json_integer_value(json_object_get(entry.value, "Pieces"));
         result = commit_abort(request, id, entry.revision, tasks);
         api_entry_clear(&entry);
-        if (result == STATE_OK) {
+        if (result == KV_OK) {
             log_info("event=abort job=%s", id);
             return api_status_reply(node, id, api_remember_ended(node, id, false), HTTP_OK);
         }
-        if (result != STATE_FAILED && result != STATE_UNKNOWN)
+        if (result != KV_CONFLICT && result != KV_INDETERMINATE)
             return api_come_back();
     }
     /* It ended meanwhile, or the answer was lost: only a final state may be told. */
--- a/src/app/api_reports.c
+++ b/src/app/api_reports.c
@@ -26,7 +26,7 @@
 static reply_t redirect_worker(node_t *node, const report_t *report, const member_t *owner,
                                msec_t now)
 {
-    char key[STATE_KEY_BYTES];
+    char key[KV_KEY_BYTES];
     g_snprintf(key, sizeof key, "%s#%" G_GUINT64_FORMAT, owner->name, owner->incarnation);
     bool is_reachable = owner_is_reachable(node, owner, report->zone, now);
     redirection_verdict_t verdict =
@@ -45,8 +45,8 @@
 }
 
 /* An answer renews the lease of all that runs there, so it always stops what users were told is
- * cancelled: also where the partition is not loaded, for as long as the state service is away, and
- * where nothing is taken of the report. */
+ * cancelled: also where the partition is not loaded, for as long as the key-value store is away,
+ * and where nothing is taken of the report. */
 static reply_t answer_own(node_t *node, const report_t *report, msec_t now)
 {
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
--- a/src/app/api_state.c
+++ b/src/app/api_state.c
@@ -1,4 +1,4 @@
-/* What the state service says of a job, read for users. */
+/* What the key-value store says of a job, read for users. */
 #include "app/api_internal.h"
 
 #include "io/clock.h"
@@ -31,20 +31,20 @@
     pthread_mutex_unlock(&node->lock);
 }
 
-/* How long the next call to the state service may take; 0: it is not worth asking. */
+/* How long the next call to the key-value store may take; 0: it is not worth asking. */
 static long call_ms(const request_t *request)
 {
     return (long)CLAMP(request->deadline - clock_steady(), 0, API_TIMEOUT_MS);
 }
 
-state_result_t api_commit(request_t *request, const txn_t *txn, GPtrArray *failed)
+kv_result_t api_commit(request_t *request, const kv_txn_t *txn, GPtrArray *failed)
 {
     node_t *node = request->node;
     long timeout_ms = call_ms(request);
     if (timeout_ms == 0)
-        return STATE_REFUSED;
+        return KV_NOT_EXECUTED;
     rate_limiter_charge(&node->api_rps, 1, clock_steady());
-    return state_commit(&node->state, request->client, txn, timeout_ms, NULL, failed);
+    return kv_commit(&node->kv_store, request->client, txn, timeout_ms, NULL, failed);
 }
 
 job_state_t api_remember_ended(node_t *node, const char *id, bool done)
@@ -55,32 +55,31 @@
     return done ? JOB_DONE : JOB_CANCELLED;
 }
 
-state_result_t api_read_key(request_t *request, const char *prefix, const char *id,
-                            state_entry_t *entry)
+kv_result_t api_read_key(request_t *request, const char *prefix, const char *id, kv_entry_t *entry)
 {
-    char key[STATE_KEY_BYTES];
+    char key[KV_KEY_BYTES];
     long timeout_ms = call_ms(request);
     if (timeout_ms == 0)
-        return STATE_REFUSED;
+        return KV_NOT_EXECUTED;
     g_snprintf(key, sizeof key, "%s/%s", prefix, id);
     rate_limiter_charge(&request->node->api_rps, 1, clock_steady());
-    return state_get(&request->node->state, request->client, key, timeout_ms, entry);
+    return kv_get(&request->node->kv_store, request->client, key, timeout_ms, entry);
 }
 
-void api_entry_clear(state_entry_t *entry)
+void api_entry_clear(kv_entry_t *entry)
 {
     g_free(entry->key);
     json_decref(entry->value);
-    *entry = (state_entry_t){0};
+    *entry = (kv_entry_t){0};
 }
 
 static job_state_t read_ended(request_t *request, const char *id)
 {
-    state_entry_t entry = {0};
-    state_result_t result = api_read_key(request, "ended", id, &entry);
-    if (result == STATE_ABSENT)
+    kv_entry_t entry = {0};
+    kv_result_t result = api_read_key(request, "ended", id, &entry);
+    if (result == KV_NOT_FOUND)
         return JOB_NEVER;
-    if (result != STATE_OK)
+    if (result != KV_OK)
         return JOB_UNKNOWN;
     const char *state = json_string_value(json_object_get(entry.value, "Trim"));
     bool done = g_strcmp0(state, "done") == 0;
@@ -90,10 +89,10 @@
 
 static job_state_t read_live(request_t *request, const char *id)
 {
-    state_entry_t entry = {0};
-    state_result_t result = api_read_key(request, "jobs", id, &entry);
+    kv_entry_t entry = {0};
+    kv_result_t result = api_read_key(request, "jobs", id, &entry);
     api_entry_clear(&entry);
-    return result == STATE_OK ? JOB_LIVE : result == STATE_ABSENT ? JOB_NEVER : JOB_UNKNOWN;
+    return result == KV_OK ? JOB_LIVE : result == KV_NOT_FOUND ? JOB_NEVER : JOB_UNKNOWN;
 }
 
 job_state_t api_look_up(request_t *request, const char *id, bool likely_live)
--- a/src/app/api_status.c
+++ b/src/app/api_status.c
@@ -46,16 +46,16 @@
         GHashTableIter iter;
         gpointer id;
         gpointer revision;
-        txn_t txn = txn_new();
+        kv_txn_t txn = kv_txn_new();
         g_hash_table_iter_init(&iter, inquiry->asked);
         while (json_array_size(txn.conditions) < most &&
                g_hash_table_iter_next(&iter, &id, &revision)) {
-            char key[STATE_KEY_BYTES];
+            char key[KV_KEY_BYTES];
             g_snprintf(key, sizeof key, "jobs/%s", (char *)id);
-            txn_if(&txn, key, GPOINTER_TO_SIZE(revision));
+            kv_txn_require_revision(&txn, key, GPOINTER_TO_SIZE(revision));
         }
-        state_result_t result = api_commit(request, &txn, failed);
-        for (size_t i = 0; result == STATE_OK && i < json_array_size(txn.conditions); i++) {
+        kv_result_t result = api_commit(request, &txn, failed);
+        for (size_t i = 0; result == KV_OK && i < json_array_size(txn.conditions); i++) {
             const char *key =
                 json_string_value(json_object_get(json_array_get(txn.conditions, i), "K"));
             g_hash_table_add(inquiry->live, g_strdup(key + strlen("jobs/")));
@@ -64,9 +64,9 @@
         for (guint i = 0; i < failed->len; i++)
             g_hash_table_remove(inquiry->asked,
                                 (char *)g_ptr_array_index(failed, i) + strlen("jobs/"));
-        more = (result == STATE_OK || (result == STATE_FAILED && failed->len > 0)) &&
+        more = (result == KV_OK || (result == KV_CONFLICT && failed->len > 0)) &&
                g_hash_table_size(inquiry->asked) > 0;
-        txn_free(&txn);
+        kv_txn_free(&txn);
         g_ptr_array_unref(failed);
     }
 }
@@ -116,7 +116,8 @@
                            */
 } live_check_t;
 
-/* Whether the job is live, asked of the state service after the call began, with others at once. */
+/* Whether the job is live, asked of the key-value store after the call began, with others at once.
+ */
 static live_check_t check_live(request_t *request, const char *id)
 {
     node_t *node = request->node;
--- a/src/app/cloud.c
+++ b/src/app/cloud.c
@@ -11,7 +11,7 @@
                json_t **answer)
 {
     char url[URL_BYTES];
-    g_snprintf(url, sizeof url, "http://%s%s", cloud->node->settings->cloud, path);
+    g_snprintf(url, sizeof url, "http://%s%s", cloud->node->settings->cloud_address, path);
     return http_call(cloud->client, method, url, body, CLOUD_TIMEOUT_MS, answer);
 }
 
--- a/src/app/cloud_internal.h
+++ b/src/app/cloud_internal.h
@@ -67,7 +67,7 @@
 /* Machines that some node keeps alive because they can't reach their owner: a set of ids, the
  * caller's; NULL: it could not be read. */
 GHashTable *cloud_read_retained(cloud_t *cloud);
-/* Publishes to the leader, through the state service, which workers of others this node keeps
+/* Publishes to the leader, through the key-value store, which workers of others this node keeps
  * alive; at most once in a while, sooner when one has joined them. */
 void cloud_publish_retained(cloud_t *cloud, msec_t now);
 /* Silence after which a worker may have lost its owner: a report and a half, and the time it takes.
--- a/src/app/cloud_members.c
+++ b/src/app/cloud_members.c
@@ -8,12 +8,12 @@
 GHashTable *cloud_read_retained(cloud_t *cloud)
 {
     GHashTable *retained = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    GArray *entries = state_entries_new();
+    GArray *entries = kv_entries_new();
     rate_limiter_charge(&cloud->node->core_rps, 1, clock_steady());
-    state_result_t result = state_list(&cloud->node->state, cloud->client, "kept/", entries, NULL);
+    kv_result_t result = kv_list(&cloud->node->kv_store, cloud->client, "kept/", entries, NULL);
     int64_t day = clock_day();
-    for (guint i = 0; result == STATE_OK && i < entries->len; i++) {
-        const json_t *value = g_array_index(entries, state_entry_t, i).value;
+    for (guint i = 0; result == KV_OK && i < entries->len; i++) {
+        const json_t *value = g_array_index(entries, kv_entry_t, i).value;
         if (day - json_integer_value(json_object_get(value, "At")) > RETAINED_FRESH_MS)
             continue;
         size_t k;
@@ -22,7 +22,7 @@
             g_hash_table_add(retained, g_strdup(json_string_value(name)));
     }
     g_array_unref(entries);
-    if (result != STATE_OK) {
+    if (result != KV_OK) {
         g_hash_table_unref(retained);
         return NULL;
     }
@@ -111,12 +111,12 @@
     }
     cloud->retained_count = (guint)json_array_size(names);
     char path[URL_BYTES];
-    txn_t txn = txn_new();
+    kv_txn_t txn = kv_txn_new();
     g_snprintf(path, sizeof path, "kept/%s", node->settings->name);
-    txn_set(&txn, path, json_pack("{s:I,s:o}", "At", (json_int_t)clock_day(), "Machines", names),
-            0);
+    kv_txn_put(&txn, path, json_pack("{s:I,s:o}", "At", (json_int_t)clock_day(), "Machines", names),
+               0);
     rate_limiter_charge(&node->core_rps, 1, now);
-    state_commit(&node->state, cloud->client, &txn, STATE_TIMEOUT_MS, NULL, NULL);
-    txn_free(&txn);
+    kv_commit(&node->kv_store, cloud->client, &txn, KV_TIMEOUT_MS, NULL, NULL);
+    kv_txn_free(&txn);
     cloud->retained_at = now;
 }
--- a/src/app/cloud_release.c
+++ b/src/app/cloud_release.c
@@ -76,7 +76,7 @@
     guint partition = 0;
     /* In an outage nothing can be started, and what runs out looks like too many machines. */
     bool informed =
-        now - atomic_load(&node->state.answered_at) < FOLLOW_BLOCK_MS + STATE_TIMEOUT_MS;
+        now - atomic_load(&node->kv_store.answered_at) < KV_WATCH_BLOCK_MS + KV_TIMEOUT_MS;
     if (!informed)
         node->rental->surplus_since = 0;
     /* Views of the same leader teach it nothing new: when they came every half minute, nothing was
--- a/src/app/heartbeat.c
+++ b/src/app/heartbeat.c
@@ -80,7 +80,7 @@
 {
     peer_exchange_receive_any(node, message);
     node->sibling_health[index] = (owner_health_t){
-        .answered_at = asked, .worker_report_at = asked - message->worker_report_age};
+        .answered_at = asked, .worker_report_at = asked - message->worker_heartbeat_age_ms};
     for (guint i = 0; i < message->update.jobs->len; i++) {
         const char *id = g_ptr_array_index(message->update.jobs, i);
         if (!g_hash_table_contains(node->gone, id))
@@ -117,7 +117,7 @@
 }
 
 /* Every controller asks every other, whatever the view, what cancellations it told its users of:
- * without the state service nothing else says so. It also hears whether the other has the state
+ * without the key-value store nothing else says so. It also hears whether the other has the state
  * service, and of a higher view: one that is refused alone can't see that it was replaced, and
  * would hold its workers, whom the new leader then takes for dead. */
 static void *heartbeat_run(void *data)
--- a/src/app/follow.c
+++ b/src/app/job_watch.c
@@ -6,7 +6,7 @@
 #include "io/wire.h"
 #include "log.h"
 
-static void take_set(node_t *node, const state_entry_t *entry)
+static void take_set(node_t *node, const kv_entry_t *entry)
 {
     job_spec_t spec;
     reason_t why;
@@ -27,7 +27,7 @@
 {
     GHashTable *listed = g_hash_table_new(g_str_hash, g_str_equal);
     for (guint i = 0; i < entries->len; i++) {
-        const state_entry_t *entry = &g_array_index(entries, state_entry_t, i);
+        const kv_entry_t *entry = &g_array_index(entries, kv_entry_t, i);
         g_hash_table_add(listed, (gpointer)id_of(entry->key));
         take_set(node, entry);
     }
@@ -46,10 +46,10 @@
 
 static bool resync(node_t *node, http_client_t *client, uint64_t *revision)
 {
-    GArray *entries = state_entries_new();
+    GArray *entries = kv_entries_new();
     msec_t sent = clock_steady();
     rate_limiter_charge(&node->core_rps, 1, sent);
-    bool listed = state_list(&node->state, client, "jobs/", entries, revision) == STATE_OK;
+    bool listed = kv_list(&node->kv_store, client, "jobs/", entries, revision) == KV_OK;
     if (listed) {
         pthread_mutex_lock(&node->lock);
         take_all(node, entries);
@@ -61,17 +61,17 @@
     return listed;
 }
 
-static state_result_t follow(node_t *node, http_client_t *client, uint64_t *revision)
+static kv_result_t follow(node_t *node, http_client_t *client, uint64_t *revision)
 {
-    GArray *changes = state_entries_new();
+    GArray *changes = kv_entries_new();
     msec_t sent = clock_steady();
     rate_limiter_charge(&node->core_rps, 1, sent);
-    state_result_t result =
-        state_follow(&node->state, client, "jobs/", FOLLOW_BLOCK_MS, revision, changes);
-    if (result == STATE_OK) {
+    kv_result_t result =
+        kv_watch(&node->kv_store, client, "jobs/", KV_WATCH_BLOCK_MS, revision, changes);
+    if (result == KV_OK) {
         pthread_mutex_lock(&node->lock);
         for (guint i = 0; i < changes->len; i++) {
-            const state_entry_t *entry = &g_array_index(changes, state_entry_t, i);
+            const kv_entry_t *entry = &g_array_index(changes, kv_entry_t, i);
             if (entry->value)
                 take_set(node, entry);
             else
--- a/src/app/member.c
+++ b/src/app/member.c
@@ -1,4 +1,4 @@
-/* Our lease in the state service, leadership, and the leader's view of who is live. */
+/* Our lease in the key-value store, leadership, and the leader's view of who is live. */
 #include <string.h>
 
 #include "app/node.h"
@@ -23,40 +23,41 @@
         return;
     rate_limiter_charge(&node->core_rps, 1, now);
     if (loop->lease) {
-        state_result_t result = state_lease_extend(&node->state, loop->client, loop->lease);
-        if (result == STATE_OK)
+        kv_result_t result = kv_lease_extend(&node->kv_store, loop->client, loop->lease);
+        if (result == KV_OK)
             loop->extended = now;
-        else if (result == STATE_ABSENT)
+        else if (result == KV_NOT_FOUND)
             loop->lease = 0;
         return;
     }
     uint64_t lease = 0;
-    if (state_lease_create(&node->state, loop->client, LEASE_LIFE_MS, &lease) != STATE_OK)
+    if (kv_lease_create(&node->kv_store, loop->client, LEASE_LIFE_MS, &lease) != KV_OK)
         return;
-    char key[STATE_KEY_BYTES];
-    state_entry_t listed = {0};
+    char key[KV_KEY_BYTES];
+    kv_entry_t listed = {0};
     g_snprintf(key, sizeof key, "view/members/%s", settings->name);
     rate_limiter_charge(&node->core_rps, 1, now);
-    state_result_t read = state_get(&node->state, loop->client, key, STATE_TIMEOUT_MS, &listed);
+    kv_result_t read = kv_get(&node->kv_store, loop->client, key, KV_TIMEOUT_MS, &listed);
     g_free(listed.key);
     json_decref(listed.value);
-    if (read != STATE_OK && read != STATE_ABSENT)
+    if (read != KV_OK && read != KV_NOT_FOUND)
         return;
     member_t self = {.incarnation = node->incarnation};
     g_strlcpy(self.name, settings->name, sizeof self.name);
     g_strlcpy(self.zone, settings->zone, sizeof self.zone);
-    txn_t txn = records_member(&self, listed.revision, lease);
+    kv_txn_t txn = records_member(&self, listed.revision, lease);
     rate_limiter_charge(&node->core_write, 1, now);
-    if (state_commit(&node->state, loop->client, &txn, STATE_TIMEOUT_MS, NULL, NULL) == STATE_OK) {
+    if (kv_commit(&node->kv_store, loop->client, &txn, KV_TIMEOUT_MS, NULL, NULL) == KV_OK) {
         loop->lease = lease;
         loop->extended = loop->written = now;
     }
-    txn_free(&txn);
+    kv_txn_free(&txn);
 }
 
 /* With the lock held: our key is not what we wrote. A request that our earlier incarnation sent may
  * be carried out after ours, when we were back within a moment: it puts that incarnation in our
- * place, and takes the key along when its lease in the state service ends. Then it is written anew.
+ * place, and takes the key along when its lease in the key-value store ends. Then it is written
+ * anew.
  */
 static bool is_displaced(const member_loop_t *loop, msec_t now)
 {
@@ -106,7 +107,7 @@
     pthread_mutex_unlock(&node->lock);
     if (taken)
         return;
-    if (view_change(node, loop->client, &next, revision, loop->lease, lease_revision) == STATE_OK)
+    if (view_change(node, loop->client, &next, revision, loop->lease, lease_revision) == KV_OK)
         log_info("event=lead view=%" G_GUINT64_FORMAT, next.number);
     else
         node_sleep(ELECT_SPREAD_MS);
--- a/src/app/node.c
+++ b/src/app/node.c
@@ -12,30 +12,30 @@
     g_free(job);
 }
 
-/* The state service's limits are for all of us together: shares follow the number of members. */
+/* The key-value store's limits are for all of us together: shares follow the number of members. */
 static void share_rate_limits(node_t *node, guint members)
 {
     const settings_t *settings = node->settings;
     double partition_share = MIN(PARTITION_WRITE_FRACTION, PARTITIONS_WRITE_FRACTION / members);
-    rate_limiter_set_rate(&node->core_rps, settings->state_rps * MIN(CORE_RPS_FRACTION,
-                                                                     CORES_RPS_FRACTION / members));
+    rate_limiter_set_rate(&node->core_rps,
+                          settings->kv_rps * MIN(CORE_RPS_FRACTION, CORES_RPS_FRACTION / members));
     rate_limiter_set_rate(&node->core_write,
-                          settings->state_write_rps *
+                          settings->kv_write_rps *
                               (node->leading ? LEADER_WRITE_FRACTION : partition_share));
     rate_limiter_set_rate(&node->api_rps,
-                          settings->state_rps * MIN(API_RPS_FRACTION, APIS_RPS_FRACTION / members));
+                          settings->kv_rps * MIN(API_RPS_FRACTION, APIS_RPS_FRACTION / members));
     rate_limiter_set_rate(&node->api_write,
-                          settings->state_write_rps *
+                          settings->kv_write_rps *
                               MIN(API_WRITE_FRACTION, APIS_WRITE_FRACTION / members));
 }
 
 static void init_limiters(node_t *node, msec_t now)
 {
     const settings_t *settings = node->settings;
-    rate_limiter_init(&node->core_rps, settings->state_rps * CORE_RPS_FRACTION, now);
-    rate_limiter_init(&node->core_write, settings->state_write_rps * PARTITION_WRITE_FRACTION, now);
-    rate_limiter_init(&node->api_rps, settings->state_rps * API_RPS_FRACTION, now);
-    rate_limiter_init(&node->api_write, settings->state_write_rps * API_WRITE_FRACTION, now);
+    rate_limiter_init(&node->core_rps, settings->kv_rps * CORE_RPS_FRACTION, now);
+    rate_limiter_init(&node->core_write, settings->kv_write_rps * PARTITION_WRITE_FRACTION, now);
+    rate_limiter_init(&node->api_rps, settings->kv_rps * API_RPS_FRACTION, now);
+    rate_limiter_init(&node->api_write, settings->kv_write_rps * API_WRITE_FRACTION, now);
     share_rate_limits(node, settings->siblings->len + 1);
 }
 
@@ -73,7 +73,7 @@
     g_strlcpy(self.zone, settings->zone, sizeof self.zone);
     election_init(&node->election, &self);
     cancellation_log_init(&node->cancellations, node->incarnation, now);
-    state_init(&node->state, settings->state);
+    kv_store_init(&node->kv_store, settings->kv_store_address);
     init_limiters(node, now);
     for (guint i = 0; i < API_CLIENTS_COUNT; i++)
         node->api_clients[i] = http_client_new(1);
@@ -106,7 +106,7 @@
     threads_start("relay", relay_run, node);
     heartbeat_start(node);
     threads_start("pulse", pulse_run, node);
-    threads_start("follow", follow_run, node);
+    threads_start("job_watch", follow_run, node);
     threads_start("placer", placer_run, node);
     threads_start("cloud", cloud_run, node);
     return api_start(node);
@@ -153,7 +153,7 @@
 }
 
 void node_follow(node_t *node, bool (*read)(node_t *, http_client_t *, uint64_t *),
-                 state_result_t (*follow)(node_t *, http_client_t *, uint64_t *))
+                 kv_result_t (*follow)(node_t *, http_client_t *, uint64_t *))
 {
     http_client_t *client = http_client_new(2);
     uint64_t revision = 0;
@@ -165,10 +165,10 @@
                 node_sleep(ELECT_POLL_MS);
             continue;
         }
-        state_result_t result = follow(node, client, &revision);
-        if (result == STATE_EXPIRED)
+        kv_result_t result = follow(node, client, &revision);
+        if (result == KV_COMPACTED)
             synced = false;
-        else if (result != STATE_OK)
+        else if (result != KV_OK)
             node_sleep(ELECT_POLL_MS);
     }
 }
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -3,8 +3,8 @@
  * `lock` guards everything below it in the struct; it is never held across input or output. The
  * loops (one thread each) look at what is wanted and what is, and work out the difference:
  *
- * - view: what view/ in the state service says;
- * - member: our lease in the state service; leadership; the leader's view of who is live;
+ * - view: what view/ in the key-value store says;
+ * - member: our lease in the key-value store; leadership; the leader's view of who is live;
  * - follow: the live jobs, on every node;
  * - placer: our partition: places and commits; the leader also sends placement requests and
  *   acknowledges results;
@@ -35,8 +35,8 @@
 #include "core/request_queue.h"
 #include "core/summary_update.h"
 #include "io/http.h"
+#include "io/kv_store.h"
 #include "io/rate_limiter.h"
-#include "io/state.h"
 
 typedef struct known_job {
     job_spec_t spec;
@@ -59,7 +59,7 @@
     const policy_t *policy;
     metrics_t *metrics;
     uint64_t incarnation;
-    state_t state;
+    kv_store_t kv_store;
     rate_limiter_t core_rps, core_write; /* member, follow, placer, cloud */
     rate_limiter_t api_rps, api_write;
     http_client_t *api_clients[API_CLIENTS_COUNT];
@@ -81,8 +81,9 @@
     guint api_clients_free;      /* clients [0, api_clients_free) are free */
     view_t view;
     bool view_synced;
-    msec_t view_proof;           /* every view made before it is known here */
-    msec_t siblings_answered_at; /* when the state service last answered a sibling, as it said */
+    msec_t view_proof; /* every view made before it is known here */
+    msec_t
+        siblings_kv_answered_at; /* when the key-value store last answered a sibling, as it said */
     msec_t sibling_message_at;   /* when a sibling's last message came */
     uint64_t superseded;         /* the highest view number that another node spoke of */
     election_t election;
@@ -173,7 +174,7 @@
 /* Follows a prefix for ever: reads it whole, then its changes, and whole again when they are gone.
  */
 void node_follow(node_t *node, bool (*read)(node_t *, http_client_t *, uint64_t *revision),
-                 state_result_t (*follow)(node_t *, http_client_t *, uint64_t *revision));
+                 kv_result_t (*follow)(node_t *, http_client_t *, uint64_t *revision));
 
 /* The loops; data is the node. */
 void *view_run(void *data);
--- a/src/app/node_permission.c
+++ b/src/app/node_permission.c
@@ -6,10 +6,10 @@
 
 connectivity_t node_connectivity(const node_t *node)
 {
-    return (connectivity_t){.state = atomic_load(&node->state.answered_at),
+    return (connectivity_t){.kv_answered_at = atomic_load(&node->kv_store.answered_at),
                             .received_at = node->sibling_message_at,
-                            .siblings = node->siblings_answered_at,
-                            .lone = node->settings->siblings->len == 0};
+                            .siblings_kv_answered_at = node->siblings_kv_answered_at,
+                            .has_no_siblings = node->settings->siblings->len == 0};
 }
 
 static msec_t known_until(const node_t *node)
@@ -23,9 +23,10 @@
     connectivity_t connectivity = node_connectivity(node);
     if (!connectivity_may_serve_workers(&connectivity, now))
         return false;
-    /* A job may be cancelled at any moment through a node that reaches the state service. Its tasks
-     * must be gone within cancel_s, and a worker keeps them for lease_s after our last answer: so
-     * answers end this long after the last moment up to which all that users were told is known. */
+    /* A job may be cancelled at any moment through a node that reaches the key-value store. Its
+     * tasks must be gone within cancel_s, and a worker keeps them for lease_s after our last
+     * answer: so answers end this long after the last moment up to which all that users were told
+     * is known. */
     double spare = node->settings->cancel_s - node->settings->lease_s;
     return node->jobs_synced &&
            now - known_until(node) < (msec_t)(spare * MS_PER_S) - CANCEL_MARGIN_MS;
--- a/src/app/peer_exchange.c
+++ b/src/app/peer_exchange.c
@@ -1,6 +1,7 @@
 /* The exchange between the leader and the partitions, by sockets or, where those fail, by relay:
- * the same messages as values in the state service, which a cut between zones leaves in reach. What
- * is late or repeated there is as harmless as on a socket, by the numbers that the messages bear.
+ * the same messages as values in the key-value store, which a cut between zones leaves in reach.
+ * What is late or repeated there is as harmless as on a socket, by the numbers that the messages
+ * bear.
  *
  * Each partition calls the leader, over and over: what it
  * has to tell goes with the call, what the leader wants comes with the answer, which the leader
@@ -12,8 +13,8 @@
 peer_message_t peer_exchange_message(const node_t *node)
 {
     peer_message_t message = {.incarnation = node->incarnation, .view = node->view.number};
-    message.state_answer_age = clock_steady() - atomic_load(&node->state.answered_at);
-    message.worker_report_age = clock_steady() - node->worker_report_at;
+    message.kv_answer_age_ms = clock_steady() - atomic_load(&node->kv_store.answered_at);
+    message.worker_heartbeat_age_ms = clock_steady() - node->worker_report_at;
     g_strlcpy(message.sender, node->settings->name, sizeof message.sender);
     return message;
 }
@@ -40,8 +41,8 @@
 {
     node->superseded = MAX(node->superseded, message->view);
     node->sibling_message_at = clock_steady();
-    node->siblings_answered_at =
-        MAX(node->siblings_answered_at, clock_steady() - message->state_answer_age);
+    node->siblings_kv_answered_at =
+        MAX(node->siblings_kv_answered_at, clock_steady() - message->kv_answer_age_ms);
 }
 
 bool peer_exchange_converse(int fd, const GByteArray *frame, peer_message_t *message)
--- a/src/app/peer_relay.c
+++ b/src/app/peer_relay.c
@@ -1,4 +1,4 @@
-/* The exchange by relay: messages as values in the state service, where sockets fail. */
+/* The exchange by relay: messages as values in the key-value store, where sockets fail. */
 #include "app/peer_exchange.h"
 
 #include <string.h>
@@ -10,25 +10,25 @@
 static bool write_relay(node_t *node, http_client_t *client, const char *inbox, const char *name,
                         const GByteArray *frame)
 {
-    txn_t txn = txn_new();
+    kv_txn_t txn = kv_txn_new();
     guint pages =
         relay_write(&txn, inbox, name, frame, (gsize)(node->settings->value_kb * BYTES_PER_KIB));
     rate_limiter_charge(&node->core_rps, 1, clock_steady());
     rate_limiter_charge(&node->core_write, pages, clock_steady());
-    state_result_t result = state_commit(&node->state, client, &txn, STATE_TIMEOUT_MS, NULL, NULL);
-    txn_free(&txn);
-    if (result == STATE_INVALID)
+    kv_result_t result = kv_commit(&node->kv_store, client, &txn, KV_TIMEOUT_MS, NULL, NULL);
+    kv_txn_free(&txn);
+    if (result == KV_INVALID)
         log_error("event=relay_refused inbox=%s name=%s bytes=%u", inbox, name, frame->len);
-    return result == STATE_OK;
+    return result == KV_OK;
 }
 
 static GArray *read_relay(node_t *node, http_client_t *client, const char *inbox, const char *name)
 {
-    char prefix[STATE_KEY_BYTES];
-    GArray *entries = state_entries_new();
+    char prefix[KV_KEY_BYTES];
+    GArray *entries = kv_entries_new();
     g_snprintf(prefix, sizeof prefix, "mail/%s/%s", inbox, name);
     rate_limiter_charge(&node->core_rps, 1, clock_steady());
-    if (state_list(&node->state, client, prefix, entries, NULL) != STATE_OK)
+    if (kv_list(&node->kv_store, client, prefix, entries, NULL) != KV_OK)
         g_array_set_size(entries, 0);
     GArray *relayed_messages = relay_read(entries, inbox);
     g_array_unref(entries);
--- a/src/app/placer.c
+++ b/src/app/placer.c
@@ -28,19 +28,18 @@
 
 static bool read_listing(placer_t *placer, listing_t *listing, bool leading)
 {
-    state_t *state = &placer->node->state;
+    kv_store_t *state = &placer->node->kv_store;
     rate_limiter_charge(&placer->node->core_rps, leading ? 3 : 2, clock_steady());
     /* Jobs last: a job listed then has its finished bits at hand, and one that is not, is over. */
-    return state_list(state, placer->client, "machines/", listing->machines, NULL) == STATE_OK &&
-           (!leading ||
-            state_list(state, placer->client, "done/", listing->done, NULL) == STATE_OK) &&
-           state_list(state, placer->client, "jobs/", listing->jobs, NULL) == STATE_OK;
+    return kv_list(state, placer->client, "machines/", listing->machines, NULL) == KV_OK &&
+           (!leading || kv_list(state, placer->client, "done/", listing->done, NULL) == KV_OK) &&
+           kv_list(state, placer->client, "jobs/", listing->jobs, NULL) == KV_OK;
 }
 
 static void load_jobs(node_t *node, const GArray *entries)
 {
     for (guint i = 0; i < entries->len; i++) {
-        const state_entry_t *entry = &g_array_index(entries, state_entry_t, i);
+        const kv_entry_t *entry = &g_array_index(entries, kv_entry_t, i);
         job_spec_t spec;
         if (!wire_parse_job(entry->value, true, &spec, NULL))
             continue;
@@ -53,7 +52,7 @@
 static void load_done(node_t *node, const GArray *entries)
 {
     for (guint i = 0; i < entries->len; i++) {
-        const state_entry_t *entry = &g_array_index(entries, state_entry_t, i);
+        const kv_entry_t *entry = &g_array_index(entries, kv_entry_t, i);
         char **key_fields = g_strsplit(entry->key, "/", 3);
         gsize bytes = 0;
         uint8_t *bits = wire_parse_bits(entry->value, &bytes);
@@ -99,14 +98,14 @@
     GHashTable *machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     GHashTable *live_jobs = g_hash_table_new(g_str_hash, g_str_equal);
     for (guint i = 0; i < listing->jobs->len; i++) {
-        char *id = g_array_index(listing->jobs, state_entry_t, i).key + strlen("jobs/");
+        char *id = g_array_index(listing->jobs, kv_entry_t, i).key + strlen("jobs/");
         /* It may have been cancelled since it was listed, and its tasks must stop: that was told to
          * the data of the view before, and nobody tells it again. */
         if (!g_hash_table_contains(node->gone, id))
             g_hash_table_add(live_jobs, id);
     }
     for (guint i = 0; i < listing->machines->len; i++) {
-        const state_entry_t *entry = &g_array_index(listing->machines, state_entry_t, i);
+        const kv_entry_t *entry = &g_array_index(listing->machines, kv_entry_t, i);
         page_record_t record;
         if (!wire_parse_record(entry->key + strlen("machines/"), entry->value, entry->revision,
                                &record)) {
@@ -172,7 +171,7 @@
     uint64_t number = node->view.number;
     bool leading = node->leading;
     pthread_mutex_unlock(&node->lock);
-    listing_t listing = {state_entries_new(), state_entries_new(), state_entries_new()};
+    listing_t listing = {kv_entries_new(), kv_entries_new(), kv_entries_new()};
     bool read = read_listing(placer, &listing, leading);
     pthread_mutex_lock(&node->lock);
     if (read && node->view.number == number) {
@@ -241,7 +240,7 @@
 typedef struct batch {
     GArray *progress;
     partition_batch_t *machines;
-    txn_usage_t usage;
+    kv_txn_usage_t usage;
 } batch_t;
 
 static void committed(node_t *node, batch_t *batch, uint64_t revision)
@@ -294,35 +293,35 @@
     GPtrArray *failed = g_ptr_array_new_with_free_func(g_free);
     uint64_t revision = 0;
     const char *broken = NULL;
-    txn_t txn = records_commit(batch->progress, batch->machines, view_revision);
+    kv_txn_t txn = records_commit(batch->progress, batch->machines, view_revision);
     msec_t now = clock_steady();
     rate_limiter_charge(&node->core_rps, 1, now);
     rate_limiter_charge(&node->core_write, batch->usage.ops, now);
-    state_result_t result =
-        state_commit(&node->state, placer->client, &txn, STATE_TIMEOUT_MS, &revision, failed);
-    txn_free(&txn);
+    kv_result_t result =
+        kv_commit(&node->kv_store, placer->client, &txn, KV_TIMEOUT_MS, &revision, failed);
+    kv_txn_free(&txn);
     metrics_time(node->metrics, TIME_COMMIT, clock_steady() - now);
-    metrics_count(node->metrics, result == STATE_OK ? COUNT_COMMITS : COUNT_COMMITS_FAILED, 1);
+    metrics_count(node->metrics, result == KV_OK ? COUNT_COMMITS : COUNT_COMMITS_FAILED, 1);
     pthread_mutex_lock(&node->lock);
     switch (result) {
-    case STATE_OK:
+    case KV_OK:
         committed(node, batch, revision);
         break;
-    case STATE_FAILED:
+    case KV_CONFLICT:
         undo(node, batch);
         broken = judge(node, failed);
         break;
-    case STATE_REFUSED:
+    case KV_NOT_EXECUTED:
         undo(node, batch);
         break;
     default:
-        broken = result == STATE_UNKNOWN ? "no_answer" : "invalid";
+        broken = result == KV_INDETERMINATE ? "no_answer" : "invalid";
     }
     pthread_mutex_unlock(&node->lock);
     g_ptr_array_unref(failed);
-    if (result == STATE_REFUSED)
+    if (result == KV_NOT_EXECUTED)
         node_sleep(TICK_MS);
-    if (result == STATE_INVALID)
+    if (result == KV_INVALID)
         log_error("event=invalid_transaction ops=%u", batch->usage.ops);
     if (broken && strcmp(broken, "view_changed") == 0)
         view_refresh(node, placer->client);
@@ -339,7 +338,7 @@
     guint most = left < 1 ? 0 : MIN((guint)left, node->settings->txn_ops);
     guint full = MIN((guint)node->core_write.rate, node->settings->txn_ops);
     batch->usage =
-        (txn_usage_t){.max_ops = most, .full_ops = full, .max_bytes = TXN_VALUES_BYTES / 2};
+        (kv_txn_usage_t){.max_ops = most, .full_ops = full, .max_bytes = KV_TXN_VALUES_BYTES / 2};
     if (node->leading) {
         send_placement_requests(
             node, now, (guint)tunable_value(node->policy, TUNABLE_PLACEMENT_REQUESTS_PER_ROUND));
@@ -355,12 +354,12 @@
         .ops = batch->usage.end_waits ? 0 : most - MIN(most, batch->usage.ops),
         .jobs = conditions - MIN(conditions, spoken_for),
         .value_max =
-            MIN((gsize)(node->settings->value_kb * BYTES_PER_KIB), (gsize)TXN_VALUES_BYTES / 3),
-        .bytes = TXN_VALUES_BYTES - batch->usage.bytes};
+            MIN((gsize)(node->settings->value_kb * BYTES_PER_KIB), (gsize)KV_TXN_VALUES_BYTES / 3),
+        .bytes = KV_TXN_VALUES_BYTES - batch->usage.bytes};
     batch->machines = partition_batch_take(node->partition, &limits, now);
     batch->usage.ops += batch->machines->records->len;
     batch->usage.bytes += batch->machines->bytes;
-    batch->usage.max_bytes = TXN_VALUES_BYTES;
+    batch->usage.max_bytes = KV_TXN_VALUES_BYTES;
     if (node->leading)
         leader_progress_take(node->leader, now, PROGRESS_GAP_MS, batch->progress, &batch->usage);
     take_results(node, now);
--- a/src/app/settings.c
+++ b/src/app/settings.c
@@ -221,10 +221,10 @@
     if (!reader->error &&
         settings->cancel_s * MS_PER_S <= settings->lease_s * MS_PER_S + CANCEL_MARGIN_MS)
         fault(reader, "cancel_s", "it must exceed lease_s by more than 3 s");
-    settings->state_rps = read_number(reader, state, "rps", 1);
-    settings->state_write_rps = read_number(reader, state, "write_rps", 1);
+    settings->kv_rps = read_number(reader, state, "rps", 1);
+    settings->kv_write_rps = read_number(reader, state, "write_rps", 1);
     settings->value_kb = read_number(reader, state, "value_kb", 4);
-    settings->txn_ops = (guint)read_number(reader, state, "txn_ops", TXN_OPS_MIN_COUNT);
+    settings->txn_ops = (guint)read_number(reader, state, "txn_ops", KV_TXN_OPS_MIN_COUNT);
     settings->cloud_rps = read_number(reader, cloud, "rps", CLOUD_RPS_MIN);
     settings->list_lag_s = read_number(reader, cloud, "list_lag_s", 0);
     read_connections(reader, limits, settings);
@@ -266,8 +266,8 @@
         read_siblings(&reader, root, settings);
         const json_t *endpoints = read_object(&reader, root, "endpoints");
         if (!reader.error) {
-            read_address(&reader, endpoints, "cloud", settings->cloud);
-            read_address(&reader, endpoints, "state", settings->state);
+            read_address(&reader, endpoints, "cloud", settings->cloud_address);
+            read_address(&reader, endpoints, "state", settings->kv_store_address);
         }
         read_platform(&reader, root, settings);
     }
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -15,16 +15,16 @@
     char zone[LABEL_BYTES];
     char client_listen[ADDRESS_BYTES];
     char peer_listen[ADDRESS_BYTES];
-    char cloud[ADDRESS_BYTES];
-    char state[ADDRESS_BYTES];
+    char cloud_address[ADDRESS_BYTES];
+    char kv_store_address[ADDRESS_BYTES];
     GArray *siblings;    /* sibling_t */
     GArray *teams;       /* team_t */
     GHashTable *targets; /* class -> targets_t *: when its jobs should be finished */
     double report_s;
     double lease_s;
     double cancel_s;
-    double state_rps;
-    double state_write_rps;
+    double kv_rps;
+    double kv_write_rps;
     double value_kb;
     guint txn_ops;
     double cloud_rps;
--- a/src/app/view.c
+++ b/src/app/view.c
@@ -1,4 +1,4 @@
-/* view/ in the state service. view/number holds the number, which is the token, with leader and
+/* view/ in the key-value store. view/number holds the number, which is the token, with leader and
  * members; view/lease hangs on the leader's lease, view/members/<name> on each node's own. */
 #include "app/view.h"
 
@@ -51,10 +51,10 @@
 
 void view_refresh(node_t *node, http_client_t *client)
 {
-    state_entry_t entry = {0};
+    kv_entry_t entry = {0};
     view_t view;
     rate_limiter_charge(&node->core_rps, 1, clock_steady());
-    if (state_get(&node->state, client, "view/number", STATE_TIMEOUT_MS, &entry) == STATE_OK &&
+    if (kv_get(&node->kv_store, client, "view/number", KV_TIMEOUT_MS, &entry) == KV_OK &&
         view_parse(entry.value, entry.revision, &view)) {
         pthread_mutex_lock(&node->lock);
         node_adopt(node, &view);
@@ -64,24 +64,24 @@
     json_decref(entry.value);
 }
 
-state_result_t view_change(node_t *node, http_client_t *client, view_t *next, uint64_t revision,
-                           uint64_t lease, uint64_t lease_revision)
+kv_result_t view_change(node_t *node, http_client_t *client, view_t *next, uint64_t revision,
+                        uint64_t lease, uint64_t lease_revision)
 {
-    txn_t txn = txn_new();
-    txn_if(&txn, "view/number", revision);
-    txn_set(&txn, "view/number", view_build(next), 0);
+    kv_txn_t txn = kv_txn_new();
+    kv_txn_require_revision(&txn, "view/number", revision);
+    kv_txn_put(&txn, "view/number", view_build(next), 0);
     if (lease) {
         member_t holder = {.incarnation = next->incarnation};
         g_strlcpy(holder.name, next->leader, sizeof holder.name);
-        txn_if(&txn, "view/lease", lease_revision);
-        txn_set(&txn, "view/lease", wire_build_member(&holder), lease);
+        kv_txn_require_revision(&txn, "view/lease", lease_revision);
+        kv_txn_put(&txn, "view/lease", wire_build_member(&holder), lease);
     }
     rate_limiter_charge(&node->core_rps, 1, clock_steady());
     rate_limiter_charge(&node->core_write, lease ? 2 : 1, clock_steady());
-    state_result_t result =
-        state_commit(&node->state, client, &txn, STATE_TIMEOUT_MS, &next->revision, NULL);
-    txn_free(&txn);
-    if (result == STATE_OK) {
+    kv_result_t result =
+        kv_commit(&node->kv_store, client, &txn, KV_TIMEOUT_MS, &next->revision, NULL);
+    kv_txn_free(&txn);
+    if (result == KV_OK) {
         pthread_mutex_lock(&node->lock);
         if (lease) {
             /* Known before the follow tells: else the lease would look free, and be taken again. */
@@ -89,7 +89,7 @@
         }
         node_adopt(node, next);
         pthread_mutex_unlock(&node->lock);
-    } else if (result != STATE_REFUSED) {
+    } else if (result != KV_NOT_EXECUTED) {
         view_refresh(node, client); /* another was quicker, or the answer was lost */
     }
     return result;
@@ -108,7 +108,7 @@
     return moved;
 }
 
-static void take_entry(node_t *node, const state_entry_t *entry)
+static void take_entry(node_t *node, const kv_entry_t *entry)
 {
     static const char members[] = "view/members/";
     member_t member = {0};
@@ -130,15 +130,15 @@
 
 static bool read_all(node_t *node, http_client_t *client, uint64_t *revision)
 {
-    GArray *entries = state_entries_new();
+    GArray *entries = kv_entries_new();
     msec_t sent = clock_steady();
     rate_limiter_charge(&node->core_rps, 1, sent);
-    bool read = state_list(&node->state, client, "view/", entries, revision) == STATE_OK;
+    bool read = kv_list(&node->kv_store, client, "view/", entries, revision) == KV_OK;
     if (read) {
         pthread_mutex_lock(&node->lock);
         election_clear(&node->election);
         for (guint i = 0; i < entries->len; i++)
-            take_entry(node, &g_array_index(entries, state_entry_t, i));
+            take_entry(node, &g_array_index(entries, kv_entry_t, i));
         node->view_synced = true;
         node->view_proof = sent;
         pthread_cond_broadcast(&node->members);
@@ -148,19 +148,19 @@
     return read;
 }
 
-static state_result_t follow_on(node_t *node, http_client_t *client, uint64_t *revision)
+static kv_result_t follow_on(node_t *node, http_client_t *client, uint64_t *revision)
 {
-    GArray *changes = state_entries_new();
+    GArray *changes = kv_entries_new();
     msec_t sent = clock_steady();
     rate_limiter_charge(&node->core_rps, 1, sent);
-    state_result_t result =
-        state_follow(&node->state, client, "view/", FOLLOW_BLOCK_MS, revision, changes);
+    kv_result_t result =
+        kv_watch(&node->kv_store, client, "view/", KV_WATCH_BLOCK_MS, revision, changes);
     pthread_mutex_lock(&node->lock);
-    for (guint i = 0; result == STATE_OK && i < changes->len; i++)
-        take_entry(node, &g_array_index(changes, state_entry_t, i));
-    if (result == STATE_OK)
+    for (guint i = 0; result == KV_OK && i < changes->len; i++)
+        take_entry(node, &g_array_index(changes, kv_entry_t, i));
+    if (result == KV_OK)
         node->view_proof = sent;
-    if (result == STATE_EXPIRED)
+    if (result == KV_COMPACTED)
         node->view_synced = false;
     if (changes->len)
         pthread_cond_broadcast(&node->members);
--- a/src/app/view.h
+++ b/src/app/view.h
@@ -1,4 +1,4 @@
-/* view/number in the state service: the number, the leader, the members. */
+/* view/number in the key-value store: the number, the leader, the members. */
 #ifndef PEPPERPULLEY_VIEW_H
 #define PEPPERPULLEY_VIEW_H
 
@@ -8,8 +8,8 @@
 bool view_parse(const json_t *value, uint64_t revision, view_t *view);
 /* Sets view/number to next, if it still is as at `revision`, and adopts it. Lock not held. lease:
  * also takes view/lease, as at lease_revision, attached to this lease (0: leaves it). */
-state_result_t view_change(node_t *node, http_client_t *client, view_t *next, uint64_t revision,
-                           uint64_t lease, uint64_t lease_revision);
+kv_result_t view_change(node_t *node, http_client_t *client, view_t *next, uint64_t revision,
+                        uint64_t lease, uint64_t lease_revision);
 /* Moves the token on, leader and members as they are; false: try again or look again. */
 bool view_renumber(node_t *node, http_client_t *client);
 /* Reads view/number and adopts it if it is newer. */
--- a/src/constants.h
+++ b/src/constants.h
@@ -36,7 +36,7 @@
     ID_BYTES = 40,                      /* job, machine and host; the protocol's have under 20 */
     LABEL_BYTES = 64,                   /* team, class, zone, machine type, image */
     ADDRESS_BYTES = 64,                 /* IPv4 address with port */
-    STATE_KEY_BYTES = 128,              /* key of the state service; ours have under 80 */
+    KV_KEY_BYTES = 128,                 /* key of the key-value store; ours have under 80 */
     URL_BYTES = 512,                    /* address, path and query of a call */
     BASE_URL_BYTES = ADDRESS_BYTES + 8, /* scheme and address */
     METHOD_BYTES = 8,                   /* HTTP method */
@@ -68,7 +68,7 @@
 enum {
     FD_LIMIT_MIN_COUNT = 150, /* sockets: CONNECTIONS_SPARE_COUNT and some workers */
     RAM_MIN_MIB = 16,
-    TXN_OPS_MIN_COUNT = 10
+    KV_TXN_OPS_MIN_COUNT = 10
 };
 
 static const double REPORT_MIN_S = 0.01;
@@ -78,37 +78,37 @@
 /* Stands for numbers that a double does not hold. */
 static const double LARGEST_NUMBER = 1e308;
 
-/* ---- Records in the state service ---- */
+/* ---- Records in the key-value store ---- */
 
 enum {
     KEYS_PAGE_COUNT = 500,   /* keys read at once: half of what the service allows, small memory */
     CHUNK_BITS = 16384,      /* finished tasks in one key: 2 KiB, 2.7 KiB as base64 */
     ATTEMPT_SHIFT_BITS = 24, /* attempts of one view: 16 million; an attempt number, which is view
                                 and count, stays below 2^53 */
-    SHARDS_PER_ZONE_COUNT = 12,   /* what moves between owners together; a large shard has several
-                                     pages */
-    RECORD_RESERVE_BYTES = 512,   /* kept free below value_kb in the record of a page */
-    RECORD_ATTEMPT_BYTES = 32,    /* one attempt takes at most this much of it */
-    RECORD_MACHINE_BYTES = 110,   /* a machine, names and attempts aside */
-    RECORD_JOB_BYTES = 100,       /* the header of a job, names aside */
-    PROGRESS_BYTES = 64,          /* a job's progress or end, its bits aside */
-    TXN_VALUES_BYTES = 48 * 1024, /* values in a transaction; the rest of 64 KiB is conditions */
-    STATE_TIMEOUT_MS = 2000, /* a slow answer takes a few hundred ms; past this it is unknown */
-    FOLLOW_BLOCK_MS = 2000,  /* a follow: its answer also proves which aborts are known; half a
-                                request a second */
-    COMMIT_GAP_MS = 60,      /* between commits: batches starts, spares the write limit */
-    TICK_MS = 250,           /* longest sleep of the placer when nothing happens */
-    PROGRESS_GAP_MS = 2000,  /* progress of a job waits for more, if the rate limit allows it */
-    PROGRESS_LATE_MS = 8000, /* older progress goes before starts: a machine that ends takes its
-                                results with it that are not durable */
-    RECORD_LAZY_MS = 3000    /* a record from which only acknowledged results are to go waits
-                                for a start that rewrites it anyway */
+    SHARDS_PER_ZONE_COUNT = 12, /* what moves between owners together; a large shard has several
+                                   pages */
+    RECORD_RESERVE_BYTES = 512, /* kept free below value_kb in the record of a page */
+    RECORD_ATTEMPT_BYTES = 32,  /* one attempt takes at most this much of it */
+    RECORD_MACHINE_BYTES = 110, /* a machine, names and attempts aside */
+    RECORD_JOB_BYTES = 100,     /* the header of a job, names aside */
+    PROGRESS_BYTES = 64,        /* a job's progress or end, its bits aside */
+    KV_TXN_VALUES_BYTES = 48 * 1024, /* values in a transaction; the rest of 64 KiB is conditions */
+    KV_TIMEOUT_MS = 2000,     /* a slow answer takes a few hundred ms; past this it is unknown */
+    KV_WATCH_BLOCK_MS = 2000, /* a follow: its answer also proves which aborts are known; half a
+                               request a second */
+    COMMIT_GAP_MS = 60,       /* between commits: batches starts, spares the write limit */
+    TICK_MS = 250,            /* longest sleep of the placer when nothing happens */
+    PROGRESS_GAP_MS = 2000,   /* progress of a job waits for more, if the rate limit allows it */
+    PROGRESS_LATE_MS = 8000,  /* older progress goes before starts: a machine that ends takes its
+                                 results with it that are not durable */
+    RECORD_LAZY_MS = 3000     /* a record from which only acknowledged results are to go waits
+                                 for a start that rewrites it anyway */
 };
 
 /* ---- Views, election and membership ---- */
 
 enum {
-    LEASE_LIFE_MS = 4000, /* the leader's lease in the state service: a leader is replaced well
+    LEASE_LIFE_MS = 4000, /* the leader's lease in the key-value store: a leader is replaced well
                              inside the shortest lease of a worker, 10 s */
     LEASE_EXTEND_GAP_MS = 1000, /* three tries before the lease ends */
     ELECT_POLL_MS = 500,        /* between tries to read the view while it cannot be read */
@@ -129,13 +129,13 @@
 /* ---- Users' requests ---- */
 
 enum {
-    API_TIMEOUT_MS = 1500,  /* a call to the state service */
+    API_TIMEOUT_MS = 1500,  /* a call to the key-value store */
     API_WAIT_MS = 1000,     /* a request waits so long for a thread and a connection to the state
                                service: half of what users wait for a status */
     API_STATUS_MS = 1600,   /* from its arrival a status is worked on so long; users wait 2 s */
     API_SUBMIT_MS = 4500,   /* a submission or an abort; users wait 5 s */
     STATUS_GATHER_MS = 200, /* status reads of so long are asked together; users wait 2 s */
-    API_CLIENTS_COUNT = 10, /* connections to the state service; a call takes some 10 ms */
+    API_CLIENTS_COUNT = 10, /* connections to the key-value store; a call takes some 10 ms */
     API_THREADS_COUNT = 48, /* requests handled at once: half a second each when things are
                                slow, a hundred a second at one controller */
     REQUESTS_WAITING_COUNT = 256, /* requests in the queue; further ones get a 503 */
@@ -144,7 +144,7 @@
     GONE_JOBS_COUNT = 8192,       /* ids of ended jobs, which an older list of jobs must not bring
                                      back; a list is seconds old at most, and a hundred may end in
                                      that time */
-    SHUT_OUT_MS = 3000            /* /ready is 503 after so long without the state service */
+    SHUT_OUT_MS = 3000            /* /ready is 503 after so long without the key-value store */
 };
 
 /* ---- Connections, threads and memory ---- */
@@ -174,7 +174,7 @@
 
 /* ---- Rate limits ----
  *
- * Fractions of the limits of the state service. The controllers' peaks seldom meet, and what is
+ * Fractions of the limits of the key-value store. The controllers' peaks seldom meet, and what is
  * refused above the limit is repeated: together they may exceed 1. */
 
 static const double LEADER_WRITE_FRACTION = 0.45;     /* its partition, every job's progress */
@@ -234,7 +234,7 @@
 enum {
     UNHEARD_MS = 5000, /* without a message of any sibling; heartbeats come each half second */
     SERVE_ALONE_MS =
-        8000, /* without state service and siblings, workers are answered so long: their
+        8000, /* without key-value store and siblings, workers are answered so long: their
                  new owner, there after 5 s, waits 15 s before it gives them up */
     CANCEL_MARGIN_MS = 3000, /* kept below cancel_s - lease_s for a report on its way */
     START_KNOWN_MS = 6000,   /* no start is sent while cancellations are unknown for longer:
@@ -271,7 +271,7 @@
     HEARTBEAT_NEWS_GAP_MS = 250,    /* after one that brought news: more of a burst come together */
     RELAY_AFTER_MS = 2500,      /* without an exchange by socket for longer, the relay is used */
     RELAY_SOCKET_GAP_MS = 6000, /* between tries by socket meanwhile */
-    RELAY_GAP_MS = 400,        /* between looks at the relay: few of the state service's requests */
+    RELAY_GAP_MS = 400, /* between looks at the relay: few of the key-value store's requests */
     RELAY_RESERVE_BYTES = 512, /* kept free below value_kb in a page of a relayed message */
     RELAY_PAGES_COUNT = 10     /* of a message; a transaction takes about four of 16 KiB */
 };
--- a/src/core/election.h
+++ b/src/core/election.h
@@ -1,4 +1,4 @@
-/* Who leads, and who is in the next view: what a node decides from view/ in the state service.
+/* Who leads, and who is in the next view: what a node decides from view/ in the key-value store.
  *
  * Owns: what it has followed there. A process that is back within a moment has the name of the one
  * before and nothing else of it: everything goes by incarnation. */
@@ -45,7 +45,7 @@
 /* Fills in the members of the next view; we ourselves always are. */
 void election_members(const election_t *election, view_t *view, msec_t now);
 bool election_same_members(const view_t *left, const view_t *right);
-/* Whether the leader of the view may act for all outside the state service, where nothing checks
+/* Whether the leader of the view may act for all outside the key-value store, where nothing checks
  * its number: `proof`: all views made before it are known; `superseded`: the highest number heard
  * of. */
 bool election_may_act(const view_t *view, uint64_t superseded, msec_t proof, msec_t now);
--- a/src/core/leader.h
+++ b/src/core/leader.h
@@ -177,18 +177,18 @@
 } progress_t;
 GArray *leader_progress_new(void);
 /* What a transaction has taken so far, and may take. */
-typedef struct txn_usage {
+typedef struct kv_txn_usage {
     guint ops;
     guint max_ops;
     guint full_ops; /* the most that max_ops grows to while nothing is written */
     gsize bytes;    /* of values */
     gsize max_bytes;
     bool end_waits; /* an end needs more ops than there are yet: leave them to it */
-} txn_usage_t;
+} kv_txn_usage_t;
 /* Appends the ends of jobs, then, unless an end waits, progress that has waited for min_age, within
  * the room. */
 void leader_progress_take(leader_t *leader, msec_t now, msec_t min_age, GArray *batch,
-                          txn_usage_t *usage);
+                          kv_txn_usage_t *usage);
 /* acknowledged: array of partition_attempt_t to append the attempts to that may now be forgotten.
  */
 void leader_progress_commit(leader_t *leader, const GArray *batch, uint64_t revision,
--- a/src/core/leader_progress.c
+++ b/src/core/leader_progress.c
@@ -49,7 +49,7 @@
         g_array_unref(progress->old_revisions);
 }
 
-static void progress_end(job_t *job, GArray *batch, txn_usage_t *usage)
+static void progress_end(job_t *job, GArray *batch, kv_txn_usage_t *usage)
 {
     progress_t progress = {.end = true, .done = job->done_count, .job_revision = job->revision};
     g_strlcpy(progress.job, job->spec.id, sizeof progress.job);
@@ -91,7 +91,7 @@
     job->unacknowledged = g_array_new(FALSE, FALSE, sizeof(partition_attempt_t));
 }
 
-static void take_ends(leader_t *leader, GArray *batch, txn_usage_t *usage)
+static void take_ends(leader_t *leader, GArray *batch, kv_txn_usage_t *usage)
 {
     bool left_out = false;
     GHashTableIter iter;
@@ -119,7 +119,7 @@
 }
 
 /* Oldest first: with a low rate limit, those at the end of the table would never be. */
-static void take_chunks(leader_t *leader, msec_t before, GArray *batch, txn_usage_t *usage)
+static void take_chunks(leader_t *leader, msec_t before, GArray *batch, kv_txn_usage_t *usage)
 {
     GPtrArray *due = g_ptr_array_new();
     GHashTableIter iter;
@@ -154,7 +154,7 @@
 /* Progress on the way is kept by the workers and their records until it is durable: it can wait and
  * go in one write. An end can't, since users wait for it. */
 void leader_progress_take(leader_t *leader, msec_t now, msec_t min_age, GArray *batch,
-                          txn_usage_t *usage)
+                          kv_txn_usage_t *usage)
 {
     take_ends(leader, batch, usage);
     if (!usage->end_waits)
--- a/src/core/owner.h
+++ b/src/core/owner.h
@@ -1,7 +1,7 @@
 /* Which member owns a machine: rendezvous hashing over the members of the view.
  *
  * Machines of a zone are spread over a fixed number of shards, and members own shards: what one key
- * of the state service records together must have one owner. A shard too large for one key has
+ * of the key-value store records together must have one owner. A shard too large for one key has
  * several pages. */
 #ifndef PEPPERPULLEY_OWNER_H
 #define PEPPERPULLEY_OWNER_H
--- a/src/core/partition.h
+++ b/src/core/partition.h
@@ -64,8 +64,8 @@
     GArray *entries;
 } machine_record_t;
 
-/* machines/<page> in the state service: one key for several machines of a shard, since every change
- * of a key is paid for, whatever its size. machines: array of machine_record_t, owned. */
+/* machines/<page> in the key-value store: one key for several machines of a shard, since every
+ * change of a key is paid for, whatever its size. machines: array of machine_record_t, owned. */
 typedef struct page_record {
     char shard[SHARD_NAME_BYTES];
     guint page;
--- a/src/io/state.c
+++ b/src/io/kv_store.c
@@ -1,63 +1,63 @@
-#include "io/state.h"
+#include "io/kv_store.h"
 
 #include <string.h>
 
 #include "io/clock.h"
 
-void state_init(state_t *state, const char *address)
+void kv_store_init(kv_store_t *state, const char *address)
 {
-    g_snprintf(state->base, sizeof state->base, "http://%s", address);
-    atomic_init(&state->answered_at, STATE_NEVER_ANSWERED);
+    g_snprintf(state->base_url, sizeof state->base_url, "http://%s", address);
+    atomic_init(&state->answered_at, KV_NEVER_ANSWERED);
 }
 
 static void entry_clear(gpointer data)
 {
-    state_entry_t *entry = data;
+    kv_entry_t *entry = data;
     g_free(entry->key);
     json_decref(entry->value);
 }
 
-GArray *state_entries_new(void)
+GArray *kv_entries_new(void)
 {
-    GArray *entries = g_array_new(FALSE, TRUE, sizeof(state_entry_t));
+    GArray *entries = g_array_new(FALSE, TRUE, sizeof(kv_entry_t));
     g_array_set_clear_func(entries, entry_clear);
     return entries;
 }
 
-static state_result_t send_request(state_t *state, http_client_t *client, const char *method,
-                                   const char *path, const json_t *body, long timeout_ms,
-                                   json_t **answer)
+static kv_result_t send_request(kv_store_t *state, http_client_t *client, const char *method,
+                                const char *path, const json_t *body, long timeout_ms,
+                                json_t **answer)
 {
     char url[URL_BYTES];
-    g_snprintf(url, sizeof url, "%s%s", state->base, path);
+    g_snprintf(url, sizeof url, "%s%s", state->base_url, path);
     msec_t sent = clock_steady();
     int status = http_call(client, method, url, body, timeout_ms, answer);
     switch (status) {
     case HTTP_OK:
         break;
     case HTTP_NO_ANSWER:
-        return STATE_UNKNOWN;
+        return KV_INDETERMINATE;
     case HTTP_NOT_FOUND:
     case HTTP_CONFLICT:
     case HTTP_GONE:
         break;
     case HTTP_BAD_REQUEST:
-        return STATE_INVALID;
+        return KV_INVALID;
     case HTTP_NOT_SENT:
     case HTTP_TOO_MANY_REQUESTS:
     case HTTP_UNAVAILABLE:
-        return STATE_REFUSED;
+        return KV_NOT_EXECUTED;
     default:
-        return STATE_UNKNOWN;
+        return KV_INDETERMINATE;
     }
     msec_t before = atomic_load(&state->answered_at);
     while (sent > before && !atomic_compare_exchange_weak(&state->answered_at, &before, sent))
         ;
     if (status == HTTP_OK)
-        return *answer ? STATE_OK : STATE_UNKNOWN;
-    return status == HTTP_NOT_FOUND  ? STATE_ABSENT
-           : status == HTTP_CONFLICT ? STATE_FAILED
-                                     : STATE_EXPIRED;
+        return *answer ? KV_OK : KV_INDETERMINATE;
+    return status == HTTP_NOT_FOUND  ? KV_NOT_FOUND
+           : status == HTTP_CONFLICT ? KV_CONFLICT
+                                     : KV_COMPACTED;
 }
 
 static uint64_t get_number(const json_t *object, const char *name)
@@ -65,14 +65,14 @@
     return (uint64_t)json_integer_value(json_object_get(object, name));
 }
 
-state_result_t state_get(state_t *state, http_client_t *client, const char *key, long timeout_ms,
-                         state_entry_t *entry)
+kv_result_t kv_get(kv_store_t *state, http_client_t *client, const char *key, long timeout_ms,
+                   kv_entry_t *entry)
 {
     char path[URL_BYTES];
     json_t *answer = NULL;
     g_snprintf(path, sizeof path, "/keys/%s", key);
-    state_result_t result = send_request(state, client, "GET", path, NULL, timeout_ms, &answer);
-    if (result == STATE_OK) {
+    kv_result_t result = send_request(state, client, "GET", path, NULL, timeout_ms, &answer);
+    if (result == KV_OK) {
         entry->key = g_strdup(key);
         entry->value = json_incref(json_object_get(answer, "Value"));
         entry->revision = get_number(answer, "Stamp");
@@ -81,20 +81,18 @@
     return result;
 }
 
-state_result_t state_list(state_t *state, http_client_t *client, const char *prefix,
-                          GArray *entries, uint64_t *revision)
+kv_result_t kv_list(kv_store_t *state, http_client_t *client, const char *prefix, GArray *entries,
+                    uint64_t *revision)
 {
     char path[URL_BYTES];
     bool more = true, first = true;
     while (more) {
         json_t *answer = NULL;
-        const char *since =
-            first ? NULL : g_array_index(entries, state_entry_t, entries->len - 1).key;
+        const char *since = first ? NULL : g_array_index(entries, kv_entry_t, entries->len - 1).key;
         g_snprintf(path, sizeof path, "/keys?Under=%s%s%s&Limit=%d", prefix, since ? "&Since=" : "",
                    since ? since : "", KEYS_PAGE_COUNT);
-        state_result_t result =
-            send_request(state, client, "GET", path, NULL, STATE_TIMEOUT_MS, &answer);
-        if (result != STATE_OK) {
+        kv_result_t result = send_request(state, client, "GET", path, NULL, KV_TIMEOUT_MS, &answer);
+        if (result != KV_OK) {
             json_decref(answer);
             return result;
         }
@@ -104,106 +102,106 @@
         json_t *item;
         json_array_foreach(json_object_get(answer, "Entries"), i, item)
         {
-            state_entry_t entry = {.key = g_strdup(json_string_value(json_object_get(item, "K"))),
-                                   .value = json_incref(json_object_get(item, "Value")),
-                                   .revision = get_number(item, "Stamp")};
+            kv_entry_t entry = {.key = g_strdup(json_string_value(json_object_get(item, "K"))),
+                                .value = json_incref(json_object_get(item, "Value")),
+                                .revision = get_number(item, "Stamp")};
             g_array_append_val(entries, entry);
             first = false;
         }
         more = json_is_true(json_object_get(answer, "More")) && !first;
         json_decref(answer);
     }
-    return STATE_OK;
+    return KV_OK;
 }
 
-txn_t txn_new(void)
+kv_txn_t kv_txn_new(void)
 {
-    return (txn_t){.conditions = json_array(), .changes = json_array()};
+    return (kv_txn_t){.conditions = json_array(), .changes = json_array()};
 }
 
-void txn_free(txn_t *txn)
+void kv_txn_free(kv_txn_t *txn)
 {
     json_decref(txn->conditions);
     json_decref(txn->changes);
 }
 
-void txn_if(txn_t *txn, const char *key, uint64_t revision)
+void kv_txn_require_revision(kv_txn_t *txn, const char *key, uint64_t revision)
 {
     json_array_append_new(txn->conditions,
                           json_pack("{s:s,s:I}", "K", key, "Stamp", (json_int_t)revision));
 }
 
-void txn_set(txn_t *txn, const char *key, json_t *value, uint64_t lease)
+void kv_txn_put(kv_txn_t *txn, const char *key, json_t *value, uint64_t lease)
 {
     json_t *change = json_pack("{s:s,s:o}", "Set", key, "Value", value);
     /* A record that could not be built must not be committed as something else: its attempts would
      * be forgotten, and run twice. */
-    txn->faulty = txn->faulty || !change;
+    txn->is_invalid = txn->is_invalid || !change;
     if (lease)
         json_object_set_new(change, "Tether", json_integer((json_int_t)lease));
     json_array_append_new(txn->changes, change);
 }
 
-void txn_delete(txn_t *txn, const char *key)
+void kv_txn_delete(kv_txn_t *txn, const char *key)
 {
     json_array_append_new(txn->changes, json_pack("{s:s}", "Delete", key));
 }
 
-state_result_t state_commit(state_t *state, http_client_t *client, const txn_t *txn,
-                            long timeout_ms, uint64_t *revision, GPtrArray *failed)
+kv_result_t kv_commit(kv_store_t *state, http_client_t *client, const kv_txn_t *txn,
+                      long timeout_ms, uint64_t *revision, GPtrArray *failed)
 {
     json_t *answer = NULL;
-    if (txn->faulty)
-        return STATE_INVALID;
+    if (txn->is_invalid)
+        return KV_INVALID;
     json_t *body = json_pack("{s:O,s:O}", "If", txn->conditions, "Then", txn->changes);
-    state_result_t result = send_request(state, client, "POST", "/txn", body, timeout_ms, &answer);
+    kv_result_t result = send_request(state, client, "POST", "/txn", body, timeout_ms, &answer);
     json_decref(body);
-    if (result == STATE_OK && revision)
+    if (result == KV_OK && revision)
         *revision = get_number(answer, "Logline");
     size_t i;
     json_t *key;
-    if (result == STATE_FAILED && failed)
+    if (result == KV_CONFLICT && failed)
         json_array_foreach(json_object_get(answer, "failed"), i, key)
             g_ptr_array_add(failed, g_strdup(json_string_value(key)));
     json_decref(answer);
     return result;
 }
 
-state_result_t state_lease_create(state_t *state, http_client_t *client, guint life_ms,
-                                  uint64_t *lease)
+kv_result_t kv_lease_create(kv_store_t *state, http_client_t *client, guint life_ms,
+                            uint64_t *lease)
 {
     json_t *answer = NULL;
     json_t *body = json_pack("{s:i}", "LifeMs", (int)life_ms);
-    state_result_t result =
-        send_request(state, client, "POST", "/grants", body, STATE_TIMEOUT_MS, &answer);
+    kv_result_t result =
+        send_request(state, client, "POST", "/grants", body, KV_TIMEOUT_MS, &answer);
     json_decref(body);
-    if (result == STATE_OK)
+    if (result == KV_OK)
         *lease = get_number(answer, "Tether");
     json_decref(answer);
     return result;
 }
 
-state_result_t state_lease_extend(state_t *state, http_client_t *client, uint64_t lease)
+kv_result_t kv_lease_extend(kv_store_t *state, http_client_t *client, uint64_t lease)
 {
     char path[URL_BYTES];
     json_t *answer = NULL;
     g_snprintf(path, sizeof path, "/grants/%" G_GUINT64_FORMAT "/extend", lease);
-    state_result_t result =
+    kv_result_t result =
         send_request(state, client, "POST", path, NULL, LEASE_EXTEND_GAP_MS, &answer);
     json_decref(answer);
     return result;
 }
 
-state_result_t state_follow(state_t *state, http_client_t *client, const char *prefix,
-                            guint block_ms, uint64_t *revision, GArray *changes)
+kv_result_t kv_watch(kv_store_t *state, http_client_t *client, const char *prefix, guint block_ms,
+                     uint64_t *revision, GArray *changes)
 {
     char path[URL_BYTES];
     json_t *answer = NULL;
     g_snprintf(path, sizeof path, "/follow?Under=%s&Since=%" G_GUINT64_FORMAT "&BlockMs=%u", prefix,
                *revision, block_ms);
-    state_result_t result =
-        send_request(state, client, "GET", path, NULL, (long)block_ms + STATE_TIMEOUT_MS, &answer);
-    if (result != STATE_OK) {
+    kv_result_t result =
+        send_request(state, client, "GET", path, NULL, (long)block_ms + KV_TIMEOUT_MS, &answer);
+    if (result != KV_OK) {
         json_decref(answer);
         return result;
     }
@@ -213,12 +211,12 @@
     {
         json_t *set = json_object_get(item, "Set");
         json_t *key = set ? set : json_object_get(item, "Delete");
-        state_entry_t entry = {.key = g_strdup(json_string_value(key)),
-                               .value = set ? json_incref(json_object_get(item, "Value")) : NULL,
-                               .revision = get_number(item, "Stamp")};
+        kv_entry_t entry = {.key = g_strdup(json_string_value(key)),
+                            .value = set ? json_incref(json_object_get(item, "Value")) : NULL,
+                            .revision = get_number(item, "Stamp")};
         g_array_append_val(changes, entry);
     }
     *revision = get_number(answer, "Logline");
     json_decref(answer);
-    return STATE_OK;
+    return KV_OK;
 }
--- a/src/io/peer_protocol.c
+++ b/src/io/peer_protocol.c
@@ -169,9 +169,9 @@
                           .view = message->view,
                           .number = message->number,
                           .ack = message->ack,
-                          .state_answer_age = message->state_answer_age,
+                          .kv_answer_age_ms = message->kv_answer_age_ms,
                           .hold_ms = message->hold_ms,
-                          .worker_report_age = message->worker_report_age,
+                          .worker_heartbeat_age_ms = message->worker_heartbeat_age_ms,
                           .heartbeat = message->heartbeat,
                           .acknowledged_incarnation = message->acknowledged_incarnation,
                           .acknowledged_index = message->acknowledged_index,
@@ -287,9 +287,9 @@
     message->view = wire->view;
     message->number = wire->number;
     message->ack = wire->ack;
-    message->state_answer_age = wire->state_answer_age;
+    message->kv_answer_age_ms = wire->kv_answer_age_ms;
     message->hold_ms = wire->hold_ms;
-    message->worker_report_age = wire->worker_report_age;
+    message->worker_heartbeat_age_ms = wire->worker_heartbeat_age_ms;
     message->summaries.base = wire->summaries_base;
     message->summaries.version = wire->summaries_version;
     message->heartbeat = wire->heartbeat;
--- a/src/io/peer_protocol.x
+++ b/src/io/peer_protocol.x
@@ -103,9 +103,9 @@
     unsigned hyper view;
     unsigned hyper number;
     unsigned hyper ack;
-    hyper state_answer_age; /* ms since the state service last answered the sender */
+    hyper kv_answer_age_ms; /* ms since the key-value store last answered the sender */
     hyper hold_ms;            /* an answer to a heartbeat: how long it was delayed for news */
-    hyper worker_report_age;  /* ms since a worker that the sender owns last reported to it */
+    hyper worker_heartbeat_age_ms;  /* ms since a worker that the sender owns last reported to it */
     bool heartbeat;     /* a call, or the answer to one, from any controller to any other */
     unsigned hyper acknowledged_incarnation; /* a call: of whose cancellation log the caller has ... */
     unsigned hyper acknowledged_index;     /* ... all up to this number */
--- a/src/io/relay.c
+++ b/src/io/relay.c
@@ -32,10 +32,10 @@
     return frame;
 }
 
-guint relay_write(txn_t *txn, const char *inbox, const char *name, const GByteArray *frame,
+guint relay_write(kv_txn_t *txn, const char *inbox, const char *name, const GByteArray *frame,
                   gsize value_max)
 {
-    char key[STATE_KEY_BYTES];
+    char key[KV_KEY_BYTES];
     char *text = pack(frame);
     gsize length = strlen(text);
     gsize page_max = value_max - RELAY_RESERVE_BYTES;
@@ -43,10 +43,10 @@
     for (guint page = 0; page < pages; page++) {
         gsize from = page * page_max;
         g_snprintf(key, sizeof key, "mail/%s/%s.%u", inbox, name, page);
-        txn_set(txn, key,
-                json_pack("{s:i,s:i,s:s%}", "Pages", (int)pages, "Bytes", (int)frame->len,
-                          "Message", text + from, MIN(page_max, length - from)),
-                0);
+        kv_txn_put(txn, key,
+                   json_pack("{s:i,s:i,s:s%}", "Pages", (int)pages, "Bytes", (int)frame->len,
+                             "Message", text + from, MIN(page_max, length - from)),
+                   0);
     }
     g_free(text);
     return pages;
@@ -60,7 +60,7 @@
 /* The page's inbox and number; false: not a page of this inbox. */
 static bool parse_key(const char *key, const char *inbox, char *name, gsize size, guint64 *page)
 {
-    char prefix[STATE_KEY_BYTES];
+    char prefix[KV_KEY_BYTES];
     const char *dot = strrchr(key, '.');
     g_snprintf(prefix, sizeof prefix, "mail/%s/", inbox);
     gsize skip = strlen(prefix);
@@ -76,14 +76,14 @@
  * of their keys, so pages up to the tenth follow each other. */
 static GString *gather(const GArray *entries, guint first)
 {
-    const state_entry_t *entry = &g_array_index(entries, state_entry_t, first);
+    const kv_entry_t *entry = &g_array_index(entries, kv_entry_t, first);
     json_int_t pages = json_integer_value(json_object_get(entry->value, "Pages"));
     if (pages < 1 || pages > RELAY_PAGES_COUNT || first + (guint)pages > entries->len)
         return NULL;
     GString *text = g_string_new(NULL);
     gsize stem = strlen(entry->key) - 1;
     for (guint page = 0; page < (guint)pages; page++) {
-        const state_entry_t *next = &g_array_index(entries, state_entry_t, first + page);
+        const kv_entry_t *next = &g_array_index(entries, kv_entry_t, first + page);
         const char *page_text = json_string_value(json_object_get(next->value, "Message"));
         if (next->revision != entry->revision || strncmp(next->key, entry->key, stem) != 0 ||
             next->key[stem] != (char)('0' + page) || !page_text) {
@@ -100,7 +100,7 @@
     GArray *relayed_messages = g_array_new(FALSE, TRUE, sizeof(relay_message_t));
     g_array_set_clear_func(relayed_messages, relay_message_clear);
     for (guint i = 0; i < entries->len; i++) {
-        const state_entry_t *entry = &g_array_index(entries, state_entry_t, i);
+        const kv_entry_t *entry = &g_array_index(entries, kv_entry_t, i);
         relay_message_t relayed = {.revision = entry->revision};
         guint64 page = 0;
         if (!parse_key(entry->key, inbox, relayed.name, sizeof relayed.name, &page) || page != 0)
--- a/src/io/wire.h
+++ b/src/io/wire.h
@@ -17,7 +17,7 @@
 
 bool wire_id_valid(const char *id);
 
-/* A job as its user sends it, or as the state service keeps it (stored: with its time). */
+/* A job as its user sends it, or as the key-value store keeps it (stored: with its time). */
 bool wire_parse_job(const json_t *body, bool stored, job_spec_t *spec, reason_t *why);
 json_t *wire_build_job(const job_spec_t *spec);
 
--- a/src/io/wire_state.c
+++ b/src/io/wire_state.c
@@ -1,4 +1,4 @@
-/* Values in the state service: records of machines, progress and ends of jobs, members. */
+/* Values in the key-value store: records of machines, progress and ends of jobs, members. */
 #include "io/wire_internal.h"
 
 #include <string.h>
--- a/tests/fakes/store.c
+++ b/tests/fakes/fake_kv_store.c
@@ -1,38 +1,38 @@
-#include "store.h"
+#include "fake_kv_store.h"
 
 static void entry_free(gpointer data)
 {
-    state_entry_t *entry = data;
+    kv_entry_t *entry = data;
     g_free(entry->key);
     json_decref(entry->value);
     g_free(entry);
 }
 
-fake_store_t *fake_store_new(void)
+fake_kv_store_t *fake_kv_store_new(void)
 {
-    fake_store_t *store = g_new0(fake_store_t, 1);
+    fake_kv_store_t *store = g_new0(fake_kv_store_t, 1);
     store->keys = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, entry_free);
     return store;
 }
 
-void fake_store_free(fake_store_t *store)
+void fake_kv_store_free(fake_kv_store_t *store)
 {
     g_hash_table_unref(store->keys);
     g_free(store);
 }
 
-const state_entry_t *fake_store_get(const fake_store_t *store, const char *key)
+const kv_entry_t *fake_kv_store_get(const fake_kv_store_t *store, const char *key)
 {
     return g_hash_table_lookup(store->keys, key);
 }
 
-uint64_t fake_store_revision(const fake_store_t *store, const char *key)
+uint64_t fake_kv_store_revision(const fake_kv_store_t *store, const char *key)
 {
-    const state_entry_t *entry = fake_store_get(store, key);
+    const kv_entry_t *entry = fake_kv_store_get(store, key);
     return entry ? entry->revision : 0;
 }
 
-static bool holds(const fake_store_t *store, const json_t *conditions)
+static bool holds(const fake_kv_store_t *store, const json_t *conditions)
 {
     size_t i;
     json_t *condition;
@@ -40,13 +40,13 @@
     {
         const char *key = json_string_value(json_object_get(condition, "K"));
         uint64_t revision = (uint64_t)json_integer_value(json_object_get(condition, "Stamp"));
-        if (fake_store_revision(store, key) != revision)
+        if (fake_kv_store_revision(store, key) != revision)
             return false;
     }
     return true;
 }
 
-state_result_t fake_store_apply(fake_store_t *store, txn_t txn)
+kv_result_t fake_kv_store_apply(fake_kv_store_t *store, kv_txn_t txn)
 {
     bool applies = holds(store, txn.conditions);
     size_t i;
@@ -61,13 +61,13 @@
                                     json_string_value(json_object_get(change, "Delete")));
                 continue;
             }
-            state_entry_t *entry = g_new0(state_entry_t, 1);
+            kv_entry_t *entry = g_new0(kv_entry_t, 1);
             entry->key = g_strdup(set);
             entry->value = json_incref(json_object_get(change, "Value"));
             entry->revision = store->revision;
             g_hash_table_replace(store->keys, entry->key, entry);
         }
     }
-    txn_free(&txn);
-    return applies ? STATE_OK : STATE_FAILED;
+    kv_txn_free(&txn);
+    return applies ? KV_OK : KV_CONFLICT;
 }
--- a/tests/fakes/services.c
+++ b/tests/fakes/services.c
@@ -54,7 +54,7 @@
     return (answer_t){status, body};
 }
 
-static json_t *build_entry(const state_entry_t *entry)
+static json_t *build_entry(const kv_entry_t *entry)
 {
     return json_pack("{s:s,s:O,s:I}", "K", entry->key, "Value", entry->value, "Stamp",
                      (json_int_t)entry->revision);
@@ -62,14 +62,14 @@
 
 static answer_t get_key(services_t *services, const char *key)
 {
-    const state_entry_t *entry = fake_store_get(services->store, key);
+    const kv_entry_t *entry = fake_kv_store_get(services->store, key);
     return entry ? plain(200, build_entry(entry))
                  : plain(404, json_pack("{s:I}", "Logline", (json_int_t)services->store->revision));
 }
 
 static gint compare_keys(gconstpointer left, gconstpointer right)
 {
-    return strcmp((*(state_entry_t *const *)left)->key, (*(state_entry_t *const *)right)->key);
+    return strcmp((*(kv_entry_t *const *)left)->key, (*(kv_entry_t *const *)right)->key);
 }
 
 static answer_t list_keys(services_t *services, const char *prefix)
@@ -132,7 +132,7 @@
     json_array_foreach(conditions, i, condition)
     {
         const char *key = json_string_value(json_object_get(condition, "K"));
-        if (fake_store_revision(services->store, key) !=
+        if (fake_kv_store_revision(services->store, key) !=
             (uint64_t)json_integer_value(json_object_get(condition, "Stamp")))
             json_array_append_new(failed, json_string(key));
     }
@@ -149,14 +149,14 @@
 }
 
 /* With the lock held; consumes the transaction. */
-static answer_t transact(services_t *services, txn_t txn)
+static answer_t transact(services_t *services, kv_txn_t txn)
 {
     json_t *failed = failed_keys(services, txn.conditions);
     json_t *changes = json_incref(txn.changes);
     bool swallowed = false;
     size_t i;
     json_t *item;
-    if (fake_store_apply(services->store, txn) == STATE_OK) {
+    if (fake_kv_store_apply(services->store, txn) == KV_OK) {
         json_decref(failed);
         json_array_foreach(changes, i, item)
         {
@@ -216,8 +216,8 @@
     if (services->refused[door->port])
         return plain(503, json_object());
     if (strcmp(path, "/txn") == 0) {
-        txn_t txn = {.conditions = json_incref(json_object_get(body, "If")),
-                     .changes = json_incref(json_object_get(body, "Then"))};
+        kv_txn_t txn = {.conditions = json_incref(json_object_get(body, "If")),
+                        .changes = json_incref(json_object_get(body, "Then"))};
         return transact(services, txn);
     }
     if (strcmp(path, "/keys") == 0)
@@ -337,7 +337,7 @@
     services_t *services = g_new0(services_t, 1);
     pthread_mutex_init(&services->lock, NULL);
     pthread_cond_init(&services->changed, NULL);
-    services->store = fake_store_new();
+    services->store = fake_kv_store_new();
     services->news = g_array_new(FALSE, FALSE, sizeof(change_t));
     for (guint i = 0; i < SERVICES_PORTS; i++)
         services->state_ports[i] = open_door(services, i);
@@ -345,19 +345,19 @@
     return services;
 }
 
-state_result_t services_apply(services_t *services, txn_t txn)
+kv_result_t services_apply(services_t *services, kv_txn_t txn)
 {
     pthread_mutex_lock(&services->lock);
     answer_t answer = transact(services, txn);
     pthread_mutex_unlock(&services->lock);
     json_decref(answer.body);
-    return answer.status == 409 ? STATE_FAILED : STATE_OK;
+    return answer.status == 409 ? KV_CONFLICT : KV_OK;
 }
 
 uint64_t services_revision(services_t *services, const char *key)
 {
     pthread_mutex_lock(&services->lock);
-    uint64_t revision = fake_store_revision(services->store, key);
+    uint64_t revision = fake_kv_store_revision(services->store, key);
     pthread_mutex_unlock(&services->lock);
     return revision;
 }
--- a/tests/fakes/services.h
+++ b/tests/fakes/services.h
@@ -1,5 +1,5 @@
-/* Stand-ins for state service, cloud and workers over real loopback sockets, for tests that run
- * whole controllers. The state service listens on a port for each controller, so that one can be
+/* Stand-ins for key-value store, cloud and workers over real loopback sockets, for tests that run
+ * whole controllers. The key-value store listens on a port for each controller, so that one can be
  * refused while the others are served. Owns its store and threads; a process has one for
  * each test, and never ends it. */
 #ifndef PEPPERPULLEY_FAKE_SERVICES_H
@@ -7,7 +7,7 @@
 
 #include <pthread.h>
 
-#include "store.h"
+#include "fake_kv_store.h"
 #include "worker.h"
 
 enum { SERVICES_PORTS = 3 };
@@ -15,7 +15,7 @@
 typedef struct services {
     pthread_mutex_t lock; /* guards all below */
     pthread_cond_t changed;
-    fake_store_t *store;
+    fake_kv_store_t *store;
     GArray *news; /* change_t, in order */
     uint16_t state_ports[SERVICES_PORTS];
     bool refused[SERVICES_PORTS]; /* every request there gets 503 */
@@ -34,7 +34,7 @@
 
 services_t *services_new(void);
 /* Carries out a transaction, as another controller would; frees it. */
-state_result_t services_apply(services_t *services, txn_t txn);
+kv_result_t services_apply(services_t *services, kv_txn_t txn);
 uint64_t services_revision(services_t *services, const char *key);
 void services_refuse(services_t *services, guint port, bool refused);
 void services_swallow(services_t *services, const char *key);
--- a/tests/load.c
+++ b/tests/load.c
@@ -18,7 +18,7 @@
 
 enum {
     TICK_MS_LOAD = 250,  /* between looks of a worker at what changed */
-    CONTROLLERS_MAX = 3, /* a port of the state service each */
+    CONTROLLERS_MAX = 3, /* a port of the key-value store each */
     CHANGE_GAP_MS = 500, /* a worker reports a change no sooner after its last report */
     USER_POLL_MS = 5000, /* users ask for a job so often */
     HTTP_TIMEOUT_MS = 4000,
--- a/tests/test_cancellation_log.c
+++ b/tests/test_cancellation_log.c
@@ -61,8 +61,8 @@
     return cancellation_log_known_until(&fixture->ours, 2, FOLLOWED);
 }
 
-/* The gap: the leader alone is refused, a sibling confirms cancellations, then the state service is
- * out for all. What the sibling told is known, and so can be stopped, when the leader's moment
+/* The gap: the leader alone is refused, a sibling confirms cancellations, then the key-value store
+ * is out for all. What the sibling told is known, and so can be stopped, when the leader's moment
  * moves past it; the workers' other work keeps its leases. */
 static void test_entries_of_a_sibling_are_known_before_the_moment_moves(void **state)
 {
--- a/tests/test_connectivity.c
+++ b/tests/test_connectivity.c
@@ -1,11 +1,12 @@
-/* Tests of a node without the state service: outage, refused alone, or cut off from everybody. */
+/* Tests of a node without the key-value store: outage, refused alone, or cut off from everybody. */
 #include "core/connectivity.h"
 #include "unit_test.h"
 
 static void test_outage_of_all_is_waited_for(void **state)
 {
     (void)state;
-    connectivity_t connectivity = {.state = 10000, .siblings = 10100, .received_at = 19000};
+    connectivity_t connectivity = {
+        .kv_answered_at = 10000, .siblings_kv_answered_at = 10100, .received_at = 19000};
     assert_int_equal(connectivity_judge(&connectivity, 12000), CONNECTIVITY_GOOD);
     assert_int_equal(connectivity_judge(&connectivity, 20000), CONNECTIVITY_OUTAGE);
     connectivity.received_at = 99000;
@@ -15,28 +16,30 @@
 static void test_refused_alone_is_recognized_by_a_sibling(void **state)
 {
     (void)state;
-    connectivity_t connectivity = {.state = 10000, .siblings = 19500, .received_at = 19500};
+    connectivity_t connectivity = {
+        .kv_answered_at = 10000, .siblings_kv_answered_at = 19500, .received_at = 19500};
     assert_int_equal(connectivity_judge(&connectivity, 20000), CONNECTIVITY_REFUSED);
 }
 
-/* Neither state service nor siblings, but workers: it may have been replaced, and its workers are
+/* Neither key-value store nor siblings, but workers: it may have been replaced, and its workers are
  * given up by the others soon after. It lets them go before that, and takes no users. */
 static void test_cut_off_node_lets_its_workers_go(void **state)
 {
     (void)state;
-    connectivity_t connectivity = {.state = 10000, .siblings = 10000, .received_at = 10000};
+    connectivity_t connectivity = {
+        .kv_answered_at = 10000, .siblings_kv_answered_at = 10000, .received_at = 10000};
     assert_int_equal(connectivity_judge(&connectivity, 14000), CONNECTIVITY_OUTAGE);
     assert_int_equal(connectivity_judge(&connectivity, 16000), CONNECTIVITY_NONE);
     assert_true(connectivity_may_serve_workers(&connectivity, 16000));
     assert_false(connectivity_may_serve_workers(&connectivity, 10000 + SERVE_ALONE_MS));
-    connectivity.state = 30000; /* back */
+    connectivity.kv_answered_at = 30000; /* back */
     assert_true(connectivity_may_serve_workers(&connectivity, 30100));
 }
 
 static void test_node_without_siblings_is_not_cut_off_by_their_silence(void **state)
 {
     (void)state;
-    connectivity_t connectivity = {.state = 10000, .lone = true};
+    connectivity_t connectivity = {.kv_answered_at = 10000, .has_no_siblings = true};
     assert_int_equal(connectivity_judge(&connectivity, 60000), CONNECTIVITY_OUTAGE);
     assert_true(connectivity_may_serve_workers(&connectivity, 60000));
 }
--- a/tests/test_encoding_samples.c
+++ b/tests/test_encoding_samples.c
@@ -8,9 +8,9 @@
 #include "sample_files.h"
 
 /* Consumes the transaction. */
-static void assert_txn_is_sample(const char *name, txn_t txn)
+static void assert_txn_is_sample(const char *name, kv_txn_t txn)
 {
-    assert_false(txn.faulty);
+    assert_false(txn.is_invalid);
     assert_json_is_sample(name, json_pack("[o,o]", txn.conditions, txn.changes));
 }
 
--- a/tests/test_leader.c
+++ b/tests/test_leader.c
@@ -466,7 +466,7 @@
 
 static gsize take_progress(msec_t min_age, guint ops, gsize bytes, GArray *progress)
 {
-    txn_usage_t usage = {.max_ops = ops, .max_bytes = bytes};
+    kv_txn_usage_t usage = {.max_ops = ops, .max_bytes = bytes};
     leader_progress_take(leader, 1000, min_age, progress, &usage);
     return usage.bytes;
 }
@@ -487,7 +487,7 @@
                              .cause = CAUSE_DONE};
     leader_handle_result(leader, 0, &done, 1000);
     GArray *progress = leader_progress_new();
-    take_progress(0, 20, TXN_VALUES_BYTES, progress);
+    take_progress(0, 20, KV_TXN_VALUES_BYTES, progress);
     assert_int_equal(progress->len, 1);
     assert_true(g_array_index(progress, progress_t, 0).end);
     GArray *acknowledged = g_array_new(FALSE, FALSE, sizeof(partition_attempt_t));
@@ -584,13 +584,13 @@
         begun[job - '0'] = true;
     }
     GArray *progress = leader_progress_new();
-    take_progress(0, 3, TXN_VALUES_BYTES, progress);
+    take_progress(0, 3, KV_TXN_VALUES_BYTES, progress);
     assert_int_equal(progress->len, 2); /* the end, and what the limit leaves */
     assert_true(g_array_index(progress, progress_t, 0).end);
     assert_string_equal(g_array_index(progress, progress_t, 0).job, "j-000002");
     leader_progress_undo(leader, progress);
     g_array_set_size(progress, 0);
-    take_progress(500, 20, TXN_VALUES_BYTES, progress);
+    take_progress(500, 20, KV_TXN_VALUES_BYTES, progress);
     assert_int_equal(progress->len, 1); /* what is young waits for more */
     g_array_unref(progress);
     g_array_unref(requests);
@@ -611,7 +611,7 @@
     for (guint i = 0; i < 2; i++)
         finish(&g_array_index(requests, leader_request_t, i));
     GArray *progress = leader_progress_new();
-    txn_usage_t usage = {.max_ops = 2, .full_ops = 3, .max_bytes = TXN_VALUES_BYTES};
+    kv_txn_usage_t usage = {.max_ops = 2, .full_ops = 3, .max_bytes = KV_TXN_VALUES_BYTES};
     leader_progress_take(leader, 1000, 0, progress, &usage);
     assert_true(usage.end_waits);
     assert_int_equal(progress->len, 0);
@@ -621,7 +621,7 @@
     assert_int_equal(progress->len, 1);
     leader_progress_undo(leader, progress);
     g_array_set_size(progress, 0);
-    usage = (txn_usage_t){.max_ops = 3, .full_ops = 3, .max_bytes = TXN_VALUES_BYTES};
+    usage = (kv_txn_usage_t){.max_ops = 3, .full_ops = 3, .max_bytes = KV_TXN_VALUES_BYTES};
     leader_progress_take(leader, 1000, 0, progress, &usage);
     assert_false(usage.end_waits);
     assert_true(g_array_index(progress, progress_t, 0).end);
@@ -643,7 +643,7 @@
     uint32_t task = g_array_index(requests, leader_request_t, 1).request.task;
     g_array_unref(requests);
     GArray *progress = leader_progress_new();
-    take_progress(0, 20, TXN_VALUES_BYTES, progress);
+    take_progress(0, 20, KV_TXN_VALUES_BYTES, progress);
     assert_int_equal(progress->len, 1);
     const progress_t *first = &g_array_index(progress, progress_t, 0);
     assert_false(first->end);
@@ -665,7 +665,7 @@
     leader_handle_result(leader, 0, &done, 1000);
     leader_handle_result(leader, 0, &done, 1000); /* told twice */
     GArray *ends = leader_progress_new();
-    take_progress(0, 20, TXN_VALUES_BYTES, ends);
+    take_progress(0, 20, KV_TXN_VALUES_BYTES, ends);
     assert_int_equal(ends->len, 1);
     assert_true(g_array_index(ends, progress_t, 0).end);
     assert_int_equal(g_array_index(ends, progress_t, 0).done, 2);
@@ -695,8 +695,8 @@
         }
     }
     GArray *progress = leader_progress_new();
-    assert_in_range(take_progress(0, 1000, TXN_VALUES_BYTES / 2, progress), 1,
-                    TXN_VALUES_BYTES / 2);
+    assert_in_range(take_progress(0, 1000, KV_TXN_VALUES_BYTES / 2, progress), 1,
+                    KV_TXN_VALUES_BYTES / 2);
     assert_int_equal(progress->len, 7); /* one job's chunks; the next has its turn after */
     leader_progress_undo(leader, progress);
     g_array_set_size(progress, 0);
--- a/tests/test_message_samples.c
+++ b/tests/test_message_samples.c
@@ -1,4 +1,4 @@
-/* The exact bytes of messages between controllers, as XDR and as values in the state service, and
+/* The exact bytes of messages between controllers, as XDR and as values in the key-value store, and
  * of their view, compared with the files of tests/samples; and those files read back. Controllers
  * of both builds run side by side during an update. */
 #include "app/view.h"
@@ -27,9 +27,9 @@
         .view = 41,
         .number = 42,
         .ack = 43,
-        .state_answer_age = 44,
+        .kv_answer_age_ms = 44,
         .hold_ms = 45,
-        .worker_report_age = 46,
+        .worker_heartbeat_age_ms = 46,
         .heartbeat = true,
         .acknowledged_incarnation = 47,
         .acknowledged_index = 48,
@@ -185,9 +185,9 @@
     assert_int_equal(message.view, 41);
     assert_int_equal(message.number, 42);
     assert_int_equal(message.ack, 43);
-    assert_int_equal(message.state_answer_age, 44);
+    assert_int_equal(message.kv_answer_age_ms, 44);
     assert_int_equal(message.hold_ms, 45);
-    assert_int_equal(message.worker_report_age, 46);
+    assert_int_equal(message.worker_heartbeat_age_ms, 46);
     assert_int_equal(message.acknowledged_incarnation, 47);
     assert_int_equal(message.acknowledged_index, 48);
     assert_true(message.update.incarnation == message.incarnation);
@@ -294,24 +294,24 @@
 {
     (void)state;
     GByteArray *frame = relayed_frame();
-    txn_t txn = txn_new();
+    kv_txn_t txn = kv_txn_new();
     assert_int_equal(relay_write(&txn, "node-1", "node-2", frame, RELAY_VALUE_BYTES), 4);
     assert_int_equal(json_array_size(txn.conditions), 0);
     assert_json_is_sample("relay.json", json_incref(txn.changes));
-    txn_free(&txn);
+    kv_txn_free(&txn);
     g_byte_array_unref(frame);
 }
 
 static void test_relayed_message_is_read(void **state)
 {
     (void)state;
-    GArray *entries = state_entries_new();
+    GArray *entries = kv_entries_new();
     GByteArray *frame = relayed_frame();
     json_t *changes = read_json_sample("relay.json");
     for (size_t i = 0; i < json_array_size(changes); i++) {
         const json_t *change = json_array_get(changes, i);
-        state_entry_t entry = {g_strdup(json_string_value(json_object_get(change, "Set"))),
-                               json_incref(json_object_get(change, "Value")), 81};
+        kv_entry_t entry = {g_strdup(json_string_value(json_object_get(change, "Set"))),
+                            json_incref(json_object_get(change, "Value")), 81};
         g_array_append_val(entries, entry);
     }
     GArray *messages = relay_read(entries, "node-1");
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -1,5 +1,5 @@
-/* Tests of whole controllers, with stand-ins for state service and cloud over real sockets. A test
- * waits until what it expects has come about, so its verdict hangs on no time. Controllers
+/* Tests of whole controllers, with stand-ins for key-value store and cloud over real sockets. A
+ * test waits until what it expects has come about, so its verdict hangs on no time. Controllers
  * never end: the process leaves without them. */
 #include <curl/curl.h>
 #include <stdio.h>
@@ -32,8 +32,8 @@
                              .report_s = 1,
                              .lease_s = 10,
                              .cancel_s = 3600, /* no test waits for its end */
-                             .state_rps = 1000,
-                             .state_write_rps = 1000,
+                             .kv_rps = 1000,
+                             .kv_write_rps = 1000,
                              .value_kb = 16,
                              .txn_ops = 24,
                              .cloud_rps = 100,
@@ -44,8 +44,9 @@
     g_snprintf(settings->name, sizeof settings->name, "hand-%u", index);
     g_snprintf(settings->client_listen, ADDRESS_BYTES, "127.0.0.1:%u", fixture->ports[index]);
     g_snprintf(settings->peer_listen, ADDRESS_BYTES, "127.0.0.1:%u", peer_work[index]);
-    g_snprintf(settings->cloud, ADDRESS_BYTES, "127.0.0.1:%u", fixture->services->cloud_port);
-    g_snprintf(settings->state, ADDRESS_BYTES, "127.0.0.1:%u",
+    g_snprintf(settings->cloud_address, ADDRESS_BYTES, "127.0.0.1:%u",
+               fixture->services->cloud_port);
+    g_snprintf(settings->kv_store_address, ADDRESS_BYTES, "127.0.0.1:%u",
                fixture->services->state_ports[index]);
     settings->teams = g_array_new(FALSE, FALSE, sizeof(team_t));
     team_t team = {.name = "red", .cpus = 8, .cpus_max = 64};
@@ -159,7 +160,7 @@
     char key[64];
     g_snprintf(key, sizeof key, "jobs/%s", id);
     uint64_t revision = services_revision(fixture->services, key);
-    assert_int_equal(services_apply(fixture->services, records_abort(id, revision, 2)), STATE_OK);
+    assert_int_equal(services_apply(fixture->services, records_abort(id, revision, 2)), KV_OK);
 }
 
 static bool is_noted(guint node, const char *id)
@@ -170,7 +171,7 @@
     return noted;
 }
 
-/* Whether the node stops the job's tasks, whatever it hears of the state service. */
+/* Whether the node stops the job's tasks, whatever it hears of the key-value store. */
 static bool is_stopped(guint node, const char *id)
 {
     pthread_mutex_lock(&fixture->nodes[node]->lock);
@@ -251,7 +252,7 @@
     return commands;
 }
 
-/* The state service refuses one controller alone; a job is cancelled through the other. The first
+/* The key-value store refuses one controller alone; a job is cancelled through the other. The first
  * hears of it, and the answers by which it keeps its workers alive stop the job's tasks. */
 static void test_a_controller_that_is_refused_alone_stops_what_its_sibling_cancelled(void **state)
 {
@@ -379,12 +380,12 @@
     return body;
 }
 
-static txn_t accepted_elsewhere(const char *id)
+static kv_txn_t accepted_elsewhere(const char *id)
 {
     job_spec_t spec;
     json_t *body = job_body(id);
     assert_true(wire_parse_job(body, false, &spec, NULL));
-    txn_t txn = records_submit(&spec);
+    kv_txn_t txn = records_submit(&spec);
     job_spec_clear(&spec);
     json_decref(body);
     return txn;
@@ -424,8 +425,8 @@
     for (guint i = 0; i < G_N_ELEMENTS(fields); i++)
         expect(0, "POST", "/v2/runs", job_with(fields[i], NULL), 400, NULL);
     expect(0, "GET", "/v2/runs/j-000009", NULL, 404, NULL);
-    txn_t txn = txn_new();
-    txn_set(&txn, "ended/j-000008", json_pack("{s:s}", "Trim", "done"), 0);
+    kv_txn_t txn = kv_txn_new();
+    kv_txn_put(&txn, "ended/j-000008", json_pack("{s:s}", "Trim", "done"), 0);
     services_apply(fixture->services, txn);
     abort_job(0, "j-000008", "done");
     assert_int_equal(count_noted(0), 0);
@@ -694,7 +695,7 @@
     }
 }
 
-/* What is given up is answered, though the state service never answers, or refuses. */
+/* What is given up is answered, though the key-value store never answers, or refuses. */
 static void test_no_answer_waits_for_the_state_service(void **state)
 {
     (void)state;
@@ -710,7 +711,7 @@
     expect_all_put_off();
 }
 
-/* Above the node's share of the state service's limits nothing waits for its turn: it is told to
+/* Above the node's share of the key-value store's limits nothing waits for its turn: it is told to
  * come back, and nothing is asked. Questions about live jobs are asked together, whatever else is
  * asked. */
 static void test_no_answer_waits_for_a_share_of_the_limits(void **state)
@@ -795,7 +796,7 @@
     g_strlcpy(request.job, job, sizeof request.job);
     assert_non_null(partition_place(node->partition, &request, now));
     partition_batch_t *batch = partition_batch_take(
-        node->partition, &(partition_limits_t){20, 80, 16384, TXN_VALUES_BYTES}, now);
+        node->partition, &(partition_limits_t){20, 80, 16384, KV_TXN_VALUES_BYTES}, now);
     partition_batch_commit(node->partition, batch, attempt, now);
     partition_batch_free(batch);
 }
@@ -876,14 +877,14 @@
     }
 }
 
-static txn_t end_of(const char *id)
+static kv_txn_t end_of(const char *id)
 {
     char key[64];
-    txn_t txn = txn_new();
+    kv_txn_t txn = kv_txn_new();
     g_snprintf(key, sizeof key, "jobs/%s", id);
-    txn_delete(&txn, key);
+    kv_txn_delete(&txn, key);
     g_snprintf(key, sizeof key, "ended/%s", id);
-    txn_set(&txn, key, json_pack("{s:s}", "Trim", "done"), 0);
+    kv_txn_put(&txn, key, json_pack("{s:s}", "Trim", "done"), 0);
     return txn;
 }
 
@@ -1095,8 +1096,8 @@
     expect_everywhere("j-000002", "cancelled");
 }
 
-/* A controller that begins in an outage has had no answer of the state service. The others took its
- * start for one, each believed to be refused alone, and all turned their users away. */
+/* A controller that begins in an outage has had no answer of the key-value store. The others took
+ * its start for one, each believed to be refused alone, and all turned their users away. */
 static void test_a_controller_that_has_just_begun_vouches_for_no_answer(void **state)
 {
     (void)state;
@@ -1104,9 +1105,10 @@
     prepare();
     msec_t now = clock_steady();
     const node_t *fresh = node_new(settings_of(0, peers, 2), policy_default());
-    msec_t age = clock_steady() - atomic_load(&fresh->state.answered_at);
-    connectivity_t other = {
-        .state = now - 2 * (msec_t)SHUT_OUT_MS, .received_at = now, .siblings = now - age};
+    msec_t age = clock_steady() - atomic_load(&fresh->kv_store.answered_at);
+    connectivity_t other = {.kv_answered_at = now - 2 * (msec_t)SHUT_OUT_MS,
+                            .received_at = now,
+                            .siblings_kv_answered_at = now - age};
     assert_int_equal(connectivity_judge(&other, now), CONNECTIVITY_OUTAGE);
     connectivity_t own = node_connectivity(fresh);
     assert_int_not_equal(connectivity_judge(&own, now), CONNECTIVITY_GOOD);
--- a/tests/test_partition.c
+++ b/tests/test_partition.c
@@ -76,7 +76,8 @@
 static void commit(void)
 {
     partition_batch_t *batch = partition_batch_take(
-        fixture->partition, &(partition_limits_t){20, 80, 16384, TXN_VALUES_BYTES}, fixture->now);
+        fixture->partition, &(partition_limits_t){20, 80, 16384, KV_TXN_VALUES_BYTES},
+        fixture->now);
     partition_batch_commit(fixture->partition, batch, ++fixture->revision, fixture->now);
     partition_batch_free(batch);
 }
@@ -314,12 +315,14 @@
     partition_tick(fixture->partition, fixture->now);
     partition_acknowledge(fixture->partition, &ref);
     partition_batch_t *batch = partition_batch_take(
-        fixture->partition, &(partition_limits_t){20, 80, 16384, TXN_VALUES_BYTES}, fixture->now);
+        fixture->partition, &(partition_limits_t){20, 80, 16384, KV_TXN_VALUES_BYTES},
+        fixture->now);
     assert_int_equal(batch->records->len, 0);
     partition_batch_free(batch);
     place("j-000001", 1, 101);
-    batch = partition_batch_take(
-        fixture->partition, &(partition_limits_t){20, 80, 16384, TXN_VALUES_BYTES}, fixture->now);
+    batch = partition_batch_take(fixture->partition,
+                                 &(partition_limits_t){20, 80, 16384, KV_TXN_VALUES_BYTES},
+                                 fixture->now);
     assert_int_equal(batch->records->len, 1);
     const page_record_t *record = &g_array_index(batch->records, page_record_t, 0);
     const machine_record_t *machine = &g_array_index(record->machines, machine_record_t, 0);
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -1,26 +1,26 @@
-/* Tests of transactions against the state service: late, repeated, racing. */
+/* Tests of transactions against the key-value store: late, repeated, racing. */
+#include "fake_kv_store.h"
 #include "io/records.h"
 #include "io/wire.h"
-#include "store.h"
 #include "unit_test.h"
 
-static fake_store_t *store;
+static fake_kv_store_t *store;
 static partition_t *partition;
 static GArray *machine_types, *teams;
 
 static int set_up(void **state)
 {
     (void)state;
-    store = fake_store_new();
+    store = fake_kv_store_new();
     machine_types = g_array_new(FALSE, FALSE, sizeof(machine_type_t));
     teams = g_array_new(FALSE, FALSE, sizeof(team_t));
     machine_type_t machine_type = {.name = "t16", .capacity = {16, 0, 64}};
     g_array_append_val(machine_types, machine_type);
     partition = partition_new(machine_types, teams, 30000);
     partition_set_view(partition, 1);
-    txn_t txn = txn_new();
-    txn_set(&txn, "view/number", json_integer(1), 0);
-    fake_store_apply(store, txn);
+    kv_txn_t txn = kv_txn_new();
+    kv_txn_put(&txn, "view/number", json_integer(1), 0);
+    fake_kv_store_apply(store, txn);
     return 0;
 }
 
@@ -28,7 +28,7 @@
 {
     (void)state;
     partition_free(partition);
-    fake_store_free(store);
+    fake_kv_store_free(store);
     g_array_unref(machine_types);
     g_array_unref(teams);
     return 0;
@@ -46,9 +46,9 @@
 
 static void move_view(void)
 {
-    txn_t txn = txn_new();
-    txn_set(&txn, "view/number", json_integer(2), 0);
-    assert_int_equal(fake_store_apply(store, txn), STATE_OK);
+    kv_txn_t txn = kv_txn_new();
+    kv_txn_put(&txn, "view/number", json_integer(2), 0);
+    assert_int_equal(fake_kv_store_apply(store, txn), KV_OK);
 }
 
 static void report_of(const char *id, const char *type, uint64_t seq)
@@ -77,11 +77,11 @@
     assert_non_null(partition_place(partition, &request, 1000));
 }
 
-static state_result_t commit_partition(uint64_t view_revision)
+static kv_result_t commit_partition(uint64_t view_revision)
 {
     partition_batch_t *batch = partition_batch_take(
-        partition, &(partition_limits_t){20, 80, 16384, TXN_VALUES_BYTES}, 1000);
-    state_result_t result = fake_store_apply(store, records_commit(NULL, batch, view_revision));
+        partition, &(partition_limits_t){20, 80, 16384, KV_TXN_VALUES_BYTES}, 1000);
+    kv_result_t result = fake_kv_store_apply(store, records_commit(NULL, batch, view_revision));
     partition_batch_free(batch);
     return result;
 }
@@ -92,12 +92,12 @@
 {
     (void)state;
     member_t self = {.name = "node-1", .zone = "north", .incarnation = 5};
-    txn_t late = records_member(&self, 0, 1);
-    assert_int_equal(fake_store_apply(store, records_member(&self, 0, 2)), STATE_OK);
-    uint64_t revision = fake_store_revision(store, "view/members/node-1");
-    assert_int_equal(fake_store_apply(store, late), STATE_FAILED);
-    assert_int_equal(fake_store_revision(store, "view/members/node-1"), revision);
-    assert_int_equal(fake_store_apply(store, records_member(&self, revision, 3)), STATE_OK);
+    kv_txn_t late = records_member(&self, 0, 1);
+    assert_int_equal(fake_kv_store_apply(store, records_member(&self, 0, 2)), KV_OK);
+    uint64_t revision = fake_kv_store_revision(store, "view/members/node-1");
+    assert_int_equal(fake_kv_store_apply(store, late), KV_CONFLICT);
+    assert_int_equal(fake_kv_store_revision(store, "view/members/node-1"), revision);
+    assert_int_equal(fake_kv_store_apply(store, records_member(&self, revision, 3)), KV_OK);
 }
 
 /* The key of the shard of the one machine. */
@@ -114,23 +114,23 @@
 {
     (void)state;
     job_spec_t spec = job("j-000001", 1);
-    uint64_t view = fake_store_revision(store, "view/number");
-    fake_store_apply(store, records_submit(&spec));
-    place("j-000001", fake_store_revision(store, "jobs/j-000001"));
+    uint64_t view = fake_kv_store_revision(store, "view/number");
+    fake_kv_store_apply(store, records_submit(&spec));
+    place("j-000001", fake_kv_store_revision(store, "jobs/j-000001"));
     move_view();
-    assert_int_equal(commit_partition(view), STATE_FAILED);
-    assert_null(fake_store_get(store, record_key()));
+    assert_int_equal(commit_partition(view), KV_CONFLICT);
+    assert_null(fake_kv_store_get(store, record_key()));
 }
 
 static void test_start_record_after_the_abort_fails(void **state)
 {
     (void)state;
     job_spec_t spec = job("j-000001", 1);
-    fake_store_apply(store, records_submit(&spec));
-    uint64_t revision = fake_store_revision(store, "jobs/j-000001");
+    fake_kv_store_apply(store, records_submit(&spec));
+    uint64_t revision = fake_kv_store_revision(store, "jobs/j-000001");
     place("j-000001", revision);
-    assert_int_equal(fake_store_apply(store, records_abort("j-000001", revision, 1)), STATE_OK);
-    assert_int_equal(commit_partition(fake_store_revision(store, "view/number")), STATE_FAILED);
+    assert_int_equal(fake_kv_store_apply(store, records_abort("j-000001", revision, 1)), KV_OK);
+    assert_int_equal(commit_partition(fake_kv_store_revision(store, "view/number")), KV_CONFLICT);
 }
 
 static void test_start_record_contains_the_attempt(void **state)
@@ -138,10 +138,10 @@
     (void)state;
     page_record_t record;
     job_spec_t spec = job("j-000001", 1);
-    fake_store_apply(store, records_submit(&spec));
-    place("j-000001", fake_store_revision(store, "jobs/j-000001"));
-    assert_int_equal(commit_partition(fake_store_revision(store, "view/number")), STATE_OK);
-    const state_entry_t *entry = fake_store_get(store, record_key());
+    fake_kv_store_apply(store, records_submit(&spec));
+    place("j-000001", fake_kv_store_revision(store, "jobs/j-000001"));
+    assert_int_equal(commit_partition(fake_kv_store_revision(store, "view/number")), KV_OK);
+    const kv_entry_t *entry = fake_kv_store_get(store, record_key());
     assert_non_null(entry);
     assert_true(wire_parse_record(entry->key + strlen("machines/"), entry->value, entry->revision,
                                   &record));
@@ -162,31 +162,32 @@
 {
     (void)state;
     job_spec_t spec = job("j-000001", 1);
-    txn_t late = records_submit(&spec);
-    fake_store_apply(store, records_submit(&spec));
-    fake_store_apply(store,
-                     records_abort("j-000001", fake_store_revision(store, "jobs/j-000001"), 1));
-    assert_int_equal(fake_store_apply(store, late), STATE_FAILED);
-    assert_null(fake_store_get(store, "jobs/j-000001"));
-    assert_non_null(fake_store_get(store, "ended/j-000001"));
+    kv_txn_t late = records_submit(&spec);
+    fake_kv_store_apply(store, records_submit(&spec));
+    fake_kv_store_apply(
+        store, records_abort("j-000001", fake_kv_store_revision(store, "jobs/j-000001"), 1));
+    assert_int_equal(fake_kv_store_apply(store, late), KV_CONFLICT);
+    assert_null(fake_kv_store_get(store, "jobs/j-000001"));
+    assert_non_null(fake_kv_store_get(store, "ended/j-000001"));
 }
 
 static void test_abort_and_done_exclude_each_other(void **state)
 {
     (void)state;
     job_spec_t spec = job("j-000001", 1);
-    fake_store_apply(store, records_submit(&spec));
-    uint64_t revision = fake_store_revision(store, "jobs/j-000001");
+    fake_kv_store_apply(store, records_submit(&spec));
+    uint64_t revision = fake_kv_store_revision(store, "jobs/j-000001");
     progress_t end = {.job = "j-000001", .end = true, .done = 1, .job_revision = revision};
     end.old_revisions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     GArray *progress = g_array_new(FALSE, FALSE, sizeof(progress_t));
     g_array_append_val(progress, end);
     partition_batch_t *nothing = partition_batch_take(
-        partition, &(partition_limits_t){20, 80, 16384, TXN_VALUES_BYTES}, 1000);
-    uint64_t view = fake_store_revision(store, "view/number");
-    assert_int_equal(fake_store_apply(store, records_commit(progress, nothing, view)), STATE_OK);
-    assert_int_equal(fake_store_apply(store, records_abort("j-000001", revision, 1)), STATE_FAILED);
-    const state_entry_t *ended = fake_store_get(store, "ended/j-000001");
+        partition, &(partition_limits_t){20, 80, 16384, KV_TXN_VALUES_BYTES}, 1000);
+    uint64_t view = fake_kv_store_revision(store, "view/number");
+    assert_int_equal(fake_kv_store_apply(store, records_commit(progress, nothing, view)), KV_OK);
+    assert_int_equal(fake_kv_store_apply(store, records_abort("j-000001", revision, 1)),
+                     KV_CONFLICT);
+    const kv_entry_t *ended = fake_kv_store_get(store, "ended/j-000001");
     assert_string_equal(json_string_value(json_object_get(ended->value, "Trim")), "done");
     g_array_unref(end.old_revisions);
     g_array_unref(progress);
@@ -197,25 +198,25 @@
 {
     (void)state;
     job_spec_t spec = job("j-000001", 20000);
-    fake_store_apply(store, records_submit(&spec));
-    txn_t txn = txn_new();
-    txn_set(&txn, "done/j-000001/0", json_integer(1), 0);
-    txn_set(&txn, "done/j-000001/1", json_integer(1), 0);
-    fake_store_apply(store, txn);
-    fake_store_apply(store,
-                     records_abort("j-000001", fake_store_revision(store, "jobs/j-000001"), 20000));
-    assert_null(fake_store_get(store, "done/j-000001/0"));
-    assert_null(fake_store_get(store, "done/j-000001/1"));
+    fake_kv_store_apply(store, records_submit(&spec));
+    kv_txn_t txn = kv_txn_new();
+    kv_txn_put(&txn, "done/j-000001/0", json_integer(1), 0);
+    kv_txn_put(&txn, "done/j-000001/1", json_integer(1), 0);
+    fake_kv_store_apply(store, txn);
+    fake_kv_store_apply(
+        store, records_abort("j-000001", fake_kv_store_revision(store, "jobs/j-000001"), 20000));
+    assert_null(fake_kv_store_get(store, "done/j-000001/0"));
+    assert_null(fake_kv_store_get(store, "done/j-000001/1"));
 }
 
 static void test_a_value_that_can_not_be_built_is_never_sent(void **state)
 {
     (void)state;
-    state_t service = {0};
-    txn_t txn = txn_new();
-    txn_set(&txn, "machines/m-000001", NULL, 0);
-    assert_int_equal(state_commit(&service, NULL, &txn, 1, NULL, NULL), STATE_INVALID);
-    txn_free(&txn);
+    kv_store_t service = {0};
+    kv_txn_t txn = kv_txn_new();
+    kv_txn_put(&txn, "machines/m-000001", NULL, 0);
+    assert_int_equal(kv_commit(&service, NULL, &txn, 1, NULL, NULL), KV_INVALID);
+    kv_txn_free(&txn);
 }
 
 enum { FLEET = 90, EACH = 8, VALUE = 16384, TXN = 64 * 1024 };
@@ -255,10 +256,10 @@
 /* One commit; what it writes is checked against the limits. refused: it meets an older view. */
 static guint commit_within_limits(bool refused)
 {
-    uint64_t view = fake_store_revision(store, "view/number") - refused;
+    uint64_t view = fake_kv_store_revision(store, "view/number") - refused;
     partition_batch_t *batch = partition_batch_take(
-        partition, &(partition_limits_t){24, 96, VALUE, TXN_VALUES_BYTES}, 1000);
-    txn_t txn = records_commit(NULL, batch, view);
+        partition, &(partition_limits_t){24, 96, VALUE, KV_TXN_VALUES_BYTES}, 1000);
+    kv_txn_t txn = records_commit(NULL, batch, view);
     size_t i;
     json_t *change;
     json_array_foreach(txn.changes, i, change)
@@ -275,8 +276,8 @@
     free(text);
     json_decref(whole);
     guint records = batch->records->len;
-    state_result_t result = fake_store_apply(store, txn);
-    assert_int_equal(result, refused ? STATE_FAILED : STATE_OK);
+    kv_result_t result = fake_kv_store_apply(store, txn);
+    assert_int_equal(result, refused ? KV_CONFLICT : KV_OK);
     if (refused)
         partition_batch_undo(partition, batch);
     else
@@ -286,7 +287,7 @@
 }
 
 /* False: not a machines' record. */
-static bool read_record(const char *key, const state_entry_t *entry, page_record_t *record)
+static bool read_record(const char *key, const kv_entry_t *entry, page_record_t *record)
 {
     if (!g_str_has_prefix(key, "machines/"))
         return false;
@@ -419,14 +420,15 @@
     assert_false(page_parse("east", shard, sizeof shard, &page));
 }
 
-static guint count_changes(txn_t txn)
+static guint count_changes(kv_txn_t txn)
 {
     guint count = (guint)json_array_size(txn.changes);
-    txn_free(&txn);
+    kv_txn_free(&txn);
     return count;
 }
 
-/* Four a second, a quarter of them cancelled: each change counts in the state service's budget. */
+/* Four a second, a quarter of them cancelled: each change counts in the key-value store's budget.
+ */
 static void test_jobs_of_one_task_cost_few_changes(void **state)
 {
     (void)state;
@@ -437,7 +439,7 @@
     report_of("m-000001", "t16", 1);
     fill(8, 2); /* their starts go in one */
     partition_batch_t *batch = partition_batch_take(
-        partition, &(partition_limits_t){20, 80, 16384, TXN_VALUES_BYTES}, 1000);
+        partition, &(partition_limits_t){20, 80, 16384, KV_TXN_VALUES_BYTES}, 1000);
     assert_int_equal(count_changes(records_commit(NULL, batch, 1)), 1);
     partition_batch_free(batch);
 }
@@ -449,23 +451,23 @@
 {
     (void)state;
     job_spec_t spec = job("j-000001", 1);
-    fake_store_apply(store, records_submit(&spec));
-    uint64_t view = fake_store_revision(store, "view/number");
-    place("j-000001", fake_store_revision(store, "jobs/j-000001"));
+    fake_kv_store_apply(store, records_submit(&spec));
+    uint64_t view = fake_kv_store_revision(store, "view/number");
+    place("j-000001", fake_kv_store_revision(store, "jobs/j-000001"));
     partition_batch_t *batch = partition_batch_take(
-        partition, &(partition_limits_t){20, 80, 16384, TXN_VALUES_BYTES}, 1000);
-    txn_t late = records_commit(NULL, batch, view);
-    assert_int_equal(fake_store_apply(store, records_commit(NULL, batch, view)), STATE_OK);
+        partition, &(partition_limits_t){20, 80, 16384, KV_TXN_VALUES_BYTES}, 1000);
+    kv_txn_t late = records_commit(NULL, batch, view);
+    assert_int_equal(fake_kv_store_apply(store, records_commit(NULL, batch, view)), KV_OK);
     partition_batch_free(batch);
     move_view();
     partition_free(partition);
     partition = partition_new(machine_types, teams, 30000);
     partition_set_view(partition, 2);
     page_record_t record = {0};
-    assert_true(read_record(record_key(), fake_store_get(store, record_key()), &record));
+    assert_true(read_record(record_key(), fake_kv_store_get(store, record_key()), &record));
     partition_load(partition, &record, 1000);
     g_array_unref(record.machines);
-    assert_int_equal(fake_store_apply(store, late), STATE_FAILED); /* carried out once more */
+    assert_int_equal(fake_kv_store_apply(store, late), KV_CONFLICT); /* carried out once more */
     assert_int_equal(g_hash_table_size(partition->attempts), 1);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     const machine_t *machine = partition_direct_take(partition, G_MAXUINT32, 1000, commands);
@@ -475,8 +477,8 @@
     assert_int_equal(partition->results->len, 0);
     assert_int_equal(g_hash_table_size(partition->attempts), 1);
     partition_machine_gone(partition, "m-000001");
-    assert_int_equal(commit_partition(fake_store_revision(store, "view/number")), STATE_OK);
-    assert_null(fake_store_get(store, record_key()));
+    assert_int_equal(commit_partition(fake_kv_store_revision(store, "view/number")), KV_OK);
+    assert_null(fake_kv_store_get(store, record_key()));
     g_array_unref(commands);
 }
 
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -1,24 +1,24 @@
-/* Tests of messages that go through the state service. */
+/* Tests of messages that go through the key-value store. */
+#include "fake_kv_store.h"
 #include "io/peer_protocol.h"
 #include "io/relay.h"
-#include "store.h"
 #include "unit_test.h"
 
 enum { VALUE = 2048 };
 
-static fake_store_t *store;
+static fake_kv_store_t *store;
 
 static int set_up(void **state)
 {
     (void)state;
-    store = fake_store_new();
+    store = fake_kv_store_new();
     return 0;
 }
 
 static int tear_down(void **state)
 {
     (void)state;
-    fake_store_free(store);
+    fake_kv_store_free(store);
     return 0;
 }
 
@@ -32,29 +32,29 @@
         frame->data[i] = (guint8)g_rand_int(noise);
     g_rand_free(noise);
     frame->data[0] = frame->data[size - 1] = fill;
-    txn_t txn = txn_new();
+    kv_txn_t txn = kv_txn_new();
     guint pages = relay_write(&txn, "up", name, frame, VALUE);
-    assert_int_equal(fake_store_apply(store, txn), STATE_OK);
+    assert_int_equal(fake_kv_store_apply(store, txn), KV_OK);
     g_byte_array_unref(frame);
     return pages;
 }
 
 static gint by_key(gconstpointer left, gconstpointer right)
 {
-    return strcmp(((const state_entry_t *)left)->key, ((const state_entry_t *)right)->key);
+    return strcmp(((const kv_entry_t *)left)->key, ((const kv_entry_t *)right)->key);
 }
 
 static GArray *open_inbox(void)
 {
-    GArray *entries = state_entries_new();
+    GArray *entries = kv_entries_new();
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, store->keys);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const state_entry_t *copy = value;
-        state_entry_t entry = {.key = g_strdup(copy->key),
-                               .value = json_incref(copy->value),
-                               .revision = copy->revision};
+        const kv_entry_t *copy = value;
+        kv_entry_t entry = {.key = g_strdup(copy->key),
+                            .value = json_incref(copy->value),
+                            .revision = copy->revision};
         g_array_append_val(entries, entry);
     }
     g_array_sort(entries, by_key);
@@ -88,9 +88,9 @@
         g_array_append_val(message.items, item);
     }
     GByteArray *frame = peer_encode(&message);
-    txn_t txn = txn_new();
+    kv_txn_t txn = kv_txn_new();
     guint pages = relay_write(&txn, "up", "hand-1", frame, 16384);
-    txn_free(&txn);
+    kv_txn_free(&txn);
     g_byte_array_unref(frame);
     peer_message_clear(&message);
     return pages;
@@ -143,7 +143,7 @@
 {
     (void)state;
     post("hand-1", 3000, 7);
-    state_entry_t *page = g_hash_table_lookup(store->keys, "mail/up/hand-1.1");
+    kv_entry_t *page = g_hash_table_lookup(store->keys, "mail/up/hand-1.1");
     assert_non_null(page);
     page->revision++;
     GArray *relayed_messages = open_inbox();
