--- a/src/app/api.c
+++ b/src/app/api.c
@@ -3,9 +3,9 @@
  * A few threads of the HTTP server hold all connections and answer what needs no other service:
  * reports and /ready. What may have to wait for the key-value store is put into a queue, served by
  * threads of its own; its connection rests meanwhile. So no user's request ever stands before a
- * worker's report, and the number of threads does not grow with the fleet. (A thread a connection
- * was the form before: at 600 machines one controller's accepting thread stopped for good now and
- * then, in waiting for a thread that had ended.)
+ * worker's heartbeat, and the number of threads does not grow with the fleet. (A thread a
+ * connection was the form before: at 600 machines one controller's accepting thread stopped for
+ * good now and then, in waiting for a thread that had ended.)
  *
  * Users' requests go straight against the key-value store; only a rate limiter stands between. What
  * a node has told a user, no node may take back: live answers are read afresh each time, and only
@@ -43,8 +43,8 @@
         metrics_count(node->metrics, COUNT_REFUSED, 1);
 }
 
-/* The answer to a report that calls for nothing: the same for all workers of a view, so each thread
- * of the HTTP server builds it once. */
+/* The answer to a heartbeat that calls for nothing: the same for all workers of a view, so each
+ * thread of the HTTP server builds it once. */
 static struct MHD_Response *quiet_response(uint64_t token)
 {
     static _Thread_local struct MHD_Response *response;
--- a/src/app/api_internal.h
+++ b/src/app/api_internal.h
@@ -15,8 +15,8 @@
     json_t *body;
     unsigned retry_after_s; /* 0: none */
     char *text;             /* instead of body; owned */
-    uint64_t quiet_token;   /* instead of body: the answer to a report that calls for nothing, with
-                               this token; 0: another answer */
+    uint64_t quiet_token; /* instead of body: the answer to a heartbeat that calls for nothing, with
+                             this token; 0: another answer */
 } reply_t;
 
 /* A request: its body while it arrives, then, if it has to wait, what serves it. One that gets no
@@ -89,9 +89,9 @@
 reply_t api_submit(request_t *request);
 reply_t api_abort(request_t *request, const char *id);
 
-/* Workers' reports (api_reports.c). */
+/* Workers' heartbeats (api_reports.c). */
 
-reply_t api_report(node_t *node, const request_t *request);
+reply_t api_handle_worker_heartbeat(node_t *node, const request_t *request);
 
 /* Health (api_health.c). */
 
--- a/src/app/api_route.c
+++ b/src/app/api_route.c
@@ -28,7 +28,7 @@
     node_t *node = request->node;
     static const char runs[] = "/v2/runs/";
     if (strcmp(path, "/hello") == 0 && strcmp(method, "POST") == 0)
-        return api_report(node, request);
+        return api_handle_worker_heartbeat(node, request);
     if (strcmp(path, "/ready") == 0 && strcmp(method, "GET") == 0)
         return api_ready(node);
     if (strcmp(path, "/v2/runs") == 0 && strcmp(method, "POST") == 0)
--- a/src/app/api_reports.c
+++ b/src/app/api_worker_heartbeats.c
@@ -1,4 +1,4 @@
-/* Workers' reports. */
+/* Workers' heartbeats. */
 #include "app/api_internal.h"
 
 #include "io/clock.h"
@@ -23,22 +23,22 @@
 
 /* A worker that this node does not own: sent to the owner or, if it can't reach that, kept alive
  * here: no starts, but stops for what is cancelled. */
-static reply_t redirect_worker(node_t *node, const report_t *report, const member_t *owner,
-                               msec_t now)
+static reply_t redirect_worker(node_t *node, const worker_heartbeat_t *heartbeat,
+                               const member_t *owner, msec_t now)
 {
     char key[KV_KEY_BYTES];
     g_snprintf(key, sizeof key, "%s#%" G_GUINT64_FORMAT, owner->name, owner->incarnation);
-    bool is_reachable = owner_is_reachable(node, owner, report->zone, now);
+    bool is_reachable = owner_is_reachable(node, owner, heartbeat->zone, now);
     redirection_verdict_t verdict =
-        redirection_report(node->redirection, report, key, is_reachable, now);
-    if (verdict == REDIRECTION_STALE)
-        return api_refuse(HTTP_UNAVAILABLE, "an old report", 0);
+        redirection_handle_heartbeat(node->redirection, heartbeat, key, is_reachable, now);
+    if (verdict == REDIRECTION_DUPLICATE)
+        return api_refuse(HTTP_UNAVAILABLE, "an old heartbeat", 0);
     if (verdict == REDIRECTION_TO_OWNER)
         return (reply_t){.status = HTTP_MISDIRECTED,
                          .body = json_pack("{s:s}", "Bosun", owner->name)};
-    log_debug("event=retained machine=%s", report->machine);
+    log_debug("event=retained machine=%s", heartbeat->machine);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    redirection_stop_ended(report, node->jobs, commands);
+    redirection_stop_ended(heartbeat, node->jobs, commands);
     reply_t reply = {.status = HTTP_OK, .body = wire_build_commands(node->view.number, commands)};
     g_array_unref(commands);
     return reply;
@@ -46,24 +46,24 @@
 
 /* An answer renews the lease of all that runs there, so it always stops what users were told is
  * cancelled: also where the partition is not loaded, for as long as the key-value store is away,
- * and where nothing is taken of the report. */
-static reply_t answer_own(node_t *node, const report_t *report, msec_t now)
+ * and where nothing is taken of the heartbeat. */
+static reply_t answer_own(node_t *node, const worker_heartbeat_t *heartbeat, msec_t now)
 {
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    report_verdict_t verdict = REPORT_UNPROVEN;
+    heartbeat_verdict_t verdict = HEARTBEAT_UNVERIFIED;
     reply_t reply;
     uint64_t changes = node->partition ? node->partition->changes : 0;
     if (node->loaded) {
         partition_pause_starts(node->partition, !node_may_start(node, now));
-        verdict = partition_report(node->partition, report, false, now, commands);
+        verdict = partition_handle_heartbeat(node->partition, heartbeat, false, now, commands);
     }
-    if (verdict == REPORT_TAKEN)
-        node->worker_report_at = now;
-    if (verdict == REPORT_STALE) {
-        reply = api_refuse(HTTP_UNAVAILABLE, "an old report", 0);
+    if (verdict == HEARTBEAT_ACCEPTED)
+        node->worker_heartbeat_at = now;
+    if (verdict == HEARTBEAT_DUPLICATE) {
+        reply = api_refuse(HTTP_UNAVAILABLE, "an old heartbeat", 0);
     } else {
-        if (verdict != REPORT_TAKEN)
-            redirection_stop_ended(report, node->jobs, commands);
+        if (verdict != HEARTBEAT_ACCEPTED)
+            redirection_stop_ended(heartbeat, node->jobs, commands);
         reply = commands->len ? (reply_t){.status = HTTP_OK,
                                           .body = wire_build_commands(node->view.number, commands)}
                               : (reply_t){.status = HTTP_OK, .quiet_token = node->view.number};
@@ -74,38 +74,38 @@
     return reply;
 }
 
-static reply_t take_report(node_t *node, const report_t *report)
+static reply_t handle_heartbeat(node_t *node, const worker_heartbeat_t *heartbeat)
 {
     msec_t now = clock_steady();
-    metrics_count(node->metrics, COUNT_REPORTS, 1);
+    metrics_count(node->metrics, COUNT_WORKER_HEARTBEATS, 1);
     /* A higher token is out: this node's view is old, and a 200 from it would be dropped while it
      * holds the worker here. Silence about aborts ends the answers as well. */
-    if (node->view.count == 0 || MAX(report->token, node->superseded) > node->view.number)
+    if (node->view.count == 0 || MAX(heartbeat->token, node->superseded) > node->view.number)
         return api_refuse(HTTP_UNAVAILABLE, "not entitled now", 0);
     if (!node_may_renew(node, now)) {
         /* It lives, though its lease may not be renewed: after an outage, machines that were only
          * refused must not be taken for dead. */
         if (node->loaded)
-            partition_note_alive(node->partition, report, now);
+            partition_record_unanswered_heartbeat(node->partition, heartbeat, now);
         return api_refuse(HTTP_UNAVAILABLE, "not entitled now", 0);
     }
-    guint owner = node_owner(node, report->machine, report->zone);
-    metrics_count(node->metrics, COUNT_REPORTS_NOT_OWNED, owner != node->own);
+    guint owner = node_owner(node, heartbeat->machine, heartbeat->zone);
+    metrics_count(node->metrics, COUNT_WORKER_HEARTBEATS_NOT_OWNED, owner != node->own);
     if (owner != node->own)
-        return redirect_worker(node, report, &node->view.members[owner], now);
-    return answer_own(node, report, now);
+        return redirect_worker(node, heartbeat, &node->view.members[owner], now);
+    return answer_own(node, heartbeat, now);
 }
 
-reply_t api_report(node_t *node, const request_t *request)
+reply_t api_handle_worker_heartbeat(node_t *node, const request_t *request)
 {
-    report_t report;
+    worker_heartbeat_t heartbeat;
     reason_t why = {"too long"};
     if (request->too_long ||
-        !wire_parse_report(request->body->str, request->body->len, &report, &why))
+        !wire_parse_worker_heartbeat(request->body->str, request->body->len, &heartbeat, &why))
         return api_refuse(HTTP_BAD_REQUEST, why.text, 0);
     pthread_mutex_lock(&node->lock);
-    reply_t reply = take_report(node, &report);
+    reply_t reply = handle_heartbeat(node, &heartbeat);
     pthread_mutex_unlock(&node->lock);
-    report_clear(&report);
+    worker_heartbeat_clear(&heartbeat);
     return reply;
 }
--- a/src/app/cloud_internal.h
+++ b/src/app/cloud_internal.h
@@ -70,7 +70,8 @@
 /* Publishes to the leader, through the key-value store, which workers of others this node keeps
  * alive; at most once in a while, sooner when one has joined them. */
 void cloud_publish_retained(cloud_t *cloud, msec_t now);
-/* Silence after which a worker may have lost its owner: a report and a half, and the time it takes.
+/* Silence after which a worker may have lost its owner: a heartbeat and a half, and the time it
+ * takes.
  */
 msec_t cloud_lost_after(const node_t *node);
 /* A controller that its workers can't reach owns machines in vain: they are kept alive elsewhere
--- a/src/app/cloud_members.c
+++ b/src/app/cloud_members.c
@@ -36,8 +36,8 @@
 msec_t cloud_lost_after(const node_t *node)
 {
     return MAX(LOST_SILENT_MS,
-               (msec_t)(node->settings->report_s * REPORT_SPREAD_FACTOR * MS_PER_S) +
-                   2 * (msec_t)REPORT_LATE_MS);
+               (msec_t)(node->settings->heartbeat_interval_s * REPORT_SPREAD_FACTOR * MS_PER_S) +
+                   2 * (msec_t)HEARTBEAT_LATE_MS);
 }
 
 /* With the lock held: machines of a partition that have gone silent, if they are most of it. */
--- a/src/app/job_watch.c
+++ b/src/app/job_watch.c
@@ -44,7 +44,7 @@
     g_hash_table_unref(listed);
 }
 
-static bool resync(node_t *node, http_client_t *client, uint64_t *revision)
+static bool read_all(node_t *node, http_client_t *client, uint64_t *revision)
 {
     GArray *entries = kv_entries_new();
     msec_t sent = clock_steady();
@@ -61,7 +61,7 @@
     return listed;
 }
 
-static kv_result_t follow(node_t *node, http_client_t *client, uint64_t *revision)
+static kv_result_t watch_changes(node_t *node, http_client_t *client, uint64_t *revision)
 {
     GArray *changes = kv_entries_new();
     msec_t sent = clock_steady();
@@ -84,8 +84,8 @@
     return result;
 }
 
-void *follow_run(void *data)
+void *job_watch_run(void *data)
 {
-    node_follow(data, resync, follow);
+    node_watch(data, read_all, watch_changes);
     return NULL;
 }
--- a/src/app/metrics.h
+++ b/src/app/metrics.h
@@ -10,8 +10,8 @@
     COUNT_SUBMITTED, /* answered 201 */
     COUNT_REFUSED,   /* answered 4xx for good */
     COUNT_COME_BACK, /* answered 429 or 503 */
-    COUNT_REPORTS,
-    COUNT_REPORTS_NOT_OWNED, /* reports of workers that another node owns */
+    COUNT_WORKER_HEARTBEATS,
+    COUNT_WORKER_HEARTBEATS_NOT_OWNED, /* reports of workers that another node owns */
     COUNT_COMMITS,
     COUNT_COMMITS_FAILED, /* a condition did not hold, or the service refused */
     COUNT_RELOADS,
--- a/src/app/node.c
+++ b/src/app/node.c
@@ -104,9 +104,9 @@
     threads_start("peer_client", peer_client_run, node);
     threads_start("peer_server", peer_server_run, node);
     threads_start("relay", relay_run, node);
-    heartbeat_start(node);
+    peer_heartbeat_start(node);
     threads_start("pulse", pulse_run, node);
-    threads_start("job_watch", follow_run, node);
+    threads_start("job_watch", job_watch_run, node);
     threads_start("placer", placer_run, node);
     threads_start("cloud", cloud_run, node);
     return api_start(node);
@@ -152,8 +152,8 @@
     nanosleep(&left, NULL);
 }
 
-void node_follow(node_t *node, bool (*read)(node_t *, http_client_t *, uint64_t *),
-                 kv_result_t (*follow)(node_t *, http_client_t *, uint64_t *))
+void node_watch(node_t *node, bool (*read)(node_t *, http_client_t *, uint64_t *),
+                kv_result_t (*watch_changes)(node_t *, http_client_t *, uint64_t *))
 {
     http_client_t *client = http_client_new(2);
     uint64_t revision = 0;
@@ -165,7 +165,7 @@
                 node_sleep(ELECT_POLL_MS);
             continue;
         }
-        kv_result_t result = follow(node, client, &revision);
+        kv_result_t result = watch_changes(node, client, &revision);
         if (result == KV_COMPACTED)
             synced = false;
         else if (result != KV_OK)
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -115,7 +115,7 @@
     GHashTable *ended;                      /* id -> ended_t; a bounded cache */
     redirection_t *redirection;
     owner_health_t sibling_health[MEMBERS_MAX_COUNT]; /* as the settings list the siblings */
-    msec_t worker_report_at;       /* when a worker of ours last reported to us */
+    msec_t worker_heartbeat_at;    /* when a worker of ours last reported to us */
     pthread_mutex_t requests_lock; /* of the next four only; never with `lock` */
     pthread_cond_t requests_come;
     pthread_cond_t requests_blocked; /* more of them than threads that are free */
@@ -173,8 +173,8 @@
 
 /* Follows a prefix for ever: reads it whole, then its changes, and whole again when they are gone.
  */
-void node_follow(node_t *node, bool (*read)(node_t *, http_client_t *, uint64_t *revision),
-                 kv_result_t (*follow)(node_t *, http_client_t *, uint64_t *revision));
+void node_watch(node_t *node, bool (*read)(node_t *, http_client_t *, uint64_t *revision),
+                kv_result_t (*watch_changes)(node_t *, http_client_t *, uint64_t *revision));
 
 /* The loops; data is the node. */
 void *view_run(void *data);
@@ -183,8 +183,8 @@
 void *peer_server_run(void *data);
 void *relay_run(void *data);
 /* Starts the threads that send heartbeats to the siblings. */
-void heartbeat_start(node_t *node);
-void *follow_run(void *data);
+void peer_heartbeat_start(node_t *node);
+void *job_watch_run(void *data);
 void *placer_run(void *data);
 /* With the lock held: notifies the sender of that slot, whose thread starts when it is first
  * needed.
--- a/src/app/node_partition.c
+++ b/src/app/node_partition.c
@@ -22,9 +22,9 @@
                                      .total = machine->capacity,
                                      .free = partition_free_resources(machine),
                                      .attempts = machine->attempts->len,
-                                     .silent_ms = now - machine->reached,
+                                     .silent_ms = now - machine->last_acknowledged_at,
                                      .idle_ms = now - machine->idle_since,
-                                     .known_ms = now - machine->first_seen};
+                                     .known_ms = now - machine->first_seen_at};
         g_strlcpy(summary.machine, machine->id, sizeof summary.machine);
         g_strlcpy(summary.type, machine->type, sizeof summary.type);
         g_strlcpy(summary.zone, machine->zone, sizeof summary.zone);
--- a/src/app/peer_exchange.c
+++ b/src/app/peer_exchange.c
@@ -14,7 +14,7 @@
 {
     peer_message_t message = {.incarnation = node->incarnation, .view = node->view.number};
     message.kv_answer_age_ms = clock_steady() - atomic_load(&node->kv_store.answered_at);
-    message.worker_heartbeat_age_ms = clock_steady() - node->worker_report_at;
+    message.worker_heartbeat_age_ms = clock_steady() - node->worker_heartbeat_at;
     g_strlcpy(message.sender, node->settings->name, sizeof message.sender);
     return message;
 }
--- a/src/app/peer_exchange.h
+++ b/src/app/peer_exchange.h
@@ -26,6 +26,6 @@
 /* The partition's side: a message up, and whatever message lies there for us. */
 void peer_relay_exchange(node_t *node, http_client_t *client, const GByteArray *frame);
 /* The answer to a sibling's heartbeat, encoded; the caller's. */
-GByteArray *heartbeat_answer(node_t *node, const peer_message_t *message);
+GByteArray *peer_heartbeat_answer(node_t *node, const peer_message_t *message);
 
 #endif
--- a/src/app/heartbeat.c
+++ b/src/app/peer_heartbeat.c
@@ -8,18 +8,18 @@
 #include "log.h"
 
 /* A sibling to which a thread of ours sends heartbeats. */
-typedef struct heartbeat {
+typedef struct peer_heartbeat {
     node_t *node;
     guint index; /* among the settings' siblings */
-} heartbeat_t;
+} peer_heartbeat_t;
 
-static GByteArray *compose_heartbeat(const heartbeat_t *heartbeat)
+static GByteArray *compose_heartbeat(const peer_heartbeat_t *peer_heartbeat)
 {
-    node_t *node = heartbeat->node;
+    node_t *node = peer_heartbeat->node;
     pthread_mutex_lock(&node->lock);
-    const cancellation_replica_t *replica = &node->cancellations.siblings[heartbeat->index];
+    const cancellation_replica_t *replica = &node->cancellations.siblings[peer_heartbeat->index];
     peer_message_t message = peer_exchange_message(node);
-    message.heartbeat = true;
+    message.is_heartbeat = true;
     message.acknowledged_incarnation = replica->incarnation;
     message.acknowledged_index = replica->last_index;
     message.counts.epoch = node->job_counts.epoch;
@@ -36,20 +36,20 @@
     msec_t begun = clock_steady();
     msec_t hold = 0;
     while (message->acknowledged_incarnation == log->incarnation &&
-           message->acknowledged_index >= log->newest && hold < HEARTBEAT_HOLD_MS) {
-        node_wait(node, &node->cancellation, HEARTBEAT_HOLD_MS - hold);
+           message->acknowledged_index >= log->newest && hold < PEER_HEARTBEAT_HOLD_MS) {
+        node_wait(node, &node->cancellation, PEER_HEARTBEAT_HOLD_MS - hold);
         hold = clock_steady() - begun;
     }
     return hold;
 }
 
-GByteArray *heartbeat_answer(node_t *node, const peer_message_t *message)
+GByteArray *peer_heartbeat_answer(node_t *node, const peer_message_t *message)
 {
     pthread_mutex_lock(&node->lock);
     peer_exchange_receive_any(node, message);
     msec_t hold = hold_answer(node, message);
     peer_message_t answer = peer_exchange_message(node);
-    answer.heartbeat = true;
+    answer.is_heartbeat = true;
     answer.hold_ms = hold;
     answer.update = cancellation_log_update(&node->cancellations, message->acknowledged_incarnation,
                                             message->acknowledged_index, clock_steady());
@@ -80,7 +80,7 @@
 {
     peer_exchange_receive_any(node, message);
     node->sibling_health[index] = (owner_health_t){
-        .answered_at = asked, .worker_report_at = asked - message->worker_heartbeat_age_ms};
+        .answered_at = asked, .worker_heartbeat_at = asked - message->worker_heartbeat_age_ms};
     for (guint i = 0; i < message->update.jobs->len; i++) {
         const char *id = g_ptr_array_index(message->update.jobs, i);
         if (!g_hash_table_contains(node->gone, id))
@@ -99,18 +99,19 @@
     return asked + MAX(answer->hold_ms - answer->hold_ms / CLOCK_DRIFT_DIVISOR - 1, 0);
 }
 
-static bool send_heartbeat(const heartbeat_t *heartbeat, int fd)
+static bool send_heartbeat(const peer_heartbeat_t *peer_heartbeat, int fd)
 {
-    node_t *node = heartbeat->node;
+    node_t *node = peer_heartbeat->node;
     msec_t asked = clock_steady();
-    GByteArray *frame = compose_heartbeat(heartbeat);
+    GByteArray *frame = compose_heartbeat(peer_heartbeat);
     peer_message_t message;
     bool answered = peer_exchange_converse(fd, frame, &message);
     g_byte_array_unref(frame);
     if (!answered)
         return false;
     pthread_mutex_lock(&node->lock);
-    receive_heartbeat_answer(node, heartbeat->index, &message, answer_made_at(&message, asked));
+    receive_heartbeat_answer(node, peer_heartbeat->index, &message,
+                             answer_made_at(&message, asked));
     pthread_mutex_unlock(&node->lock);
     peer_message_clear(&message);
     return true;
@@ -120,37 +121,37 @@
  * without the key-value store nothing else says so. It also hears whether the other has the state
  * service, and of a higher view: one that is refused alone can't see that it was replaced, and
  * would hold its workers, whom the new leader then takes for dead. */
-static void *heartbeat_run(void *data)
+static void *peer_heartbeat_run(void *data)
 {
-    const heartbeat_t *heartbeat = data;
+    const peer_heartbeat_t *peer_heartbeat = data;
     const sibling_t *sibling =
-        &g_array_index(heartbeat->node->settings->siblings, sibling_t, heartbeat->index);
+        &g_array_index(peer_heartbeat->node->settings->siblings, sibling_t, peer_heartbeat->index);
     int fd = -1;
     for (;;) {
         if (fd < 0) {
             fd = peer_connect(sibling->endpoint, PEER_TIMEOUT_MS);
             if (fd >= 0)
-                peer_set_timeout(fd, HEARTBEAT_TIMEOUT_MS);
+                peer_set_timeout(fd, PEER_HEARTBEAT_TIMEOUT_MS);
         }
         msec_t sent = clock_steady();
-        bool is_answered = fd >= 0 && send_heartbeat(heartbeat, fd);
+        bool is_answered = fd >= 0 && send_heartbeat(peer_heartbeat, fd);
         if (!is_answered && fd >= 0) {
             close(fd);
             fd = -1;
         }
         if (!is_answered)
-            node_sleep(HEARTBEAT_GAP_MS);
-        else if (clock_steady() - sent < HEARTBEAT_NEWS_GAP_MS)
-            node_sleep(HEARTBEAT_NEWS_GAP_MS);
+            node_sleep(PEER_HEARTBEAT_GAP_MS);
+        else if (clock_steady() - sent < PEER_HEARTBEAT_NEWS_GAP_MS)
+            node_sleep(PEER_HEARTBEAT_NEWS_GAP_MS);
     }
     return NULL;
 }
 
-void heartbeat_start(node_t *node)
+void peer_heartbeat_start(node_t *node)
 {
     for (guint i = 0; i < node->settings->siblings->len; i++) {
-        heartbeat_t *heartbeat = g_new(heartbeat_t, 1);
-        *heartbeat = (heartbeat_t){node, i};
-        threads_start("heartbeat", heartbeat_run, heartbeat);
+        peer_heartbeat_t *peer_heartbeat = g_new(peer_heartbeat_t, 1);
+        *peer_heartbeat = (peer_heartbeat_t){node, i};
+        threads_start("peer_heartbeat", peer_heartbeat_run, peer_heartbeat);
     }
 }
--- a/src/app/peer_server.c
+++ b/src/app/peer_server.c
@@ -102,8 +102,9 @@
         g_byte_array_unref(frame);
         if (!valid)
             break;
-        GByteArray *answer = message.heartbeat ? heartbeat_answer(peer_connection->node, &message)
-                                               : answer_partition(peer_connection->node, &message);
+        GByteArray *answer = message.is_heartbeat
+                                 ? peer_heartbeat_answer(peer_connection->node, &message)
+                                 : answer_partition(peer_connection->node, &message);
         peer_message_clear(&message);
         bool sent = answer && peer_send(peer_connection->fd, answer);
         if (answer)
--- a/src/app/placer.c
+++ b/src/app/placer.c
@@ -28,12 +28,12 @@
 
 static bool read_listing(placer_t *placer, listing_t *listing, bool leading)
 {
-    kv_store_t *state = &placer->node->kv_store;
+    kv_store_t *kv_store = &placer->node->kv_store;
     rate_limiter_charge(&placer->node->core_rps, leading ? 3 : 2, clock_steady());
     /* Jobs last: a job listed then has its finished bits at hand, and one that is not, is over. */
-    return kv_list(state, placer->client, "machines/", listing->machines, NULL) == KV_OK &&
-           (!leading || kv_list(state, placer->client, "done/", listing->done, NULL) == KV_OK) &&
-           kv_list(state, placer->client, "jobs/", listing->jobs, NULL) == KV_OK;
+    return kv_list(kv_store, placer->client, "machines/", listing->machines, NULL) == KV_OK &&
+           (!leading || kv_list(kv_store, placer->client, "done/", listing->done, NULL) == KV_OK) &&
+           kv_list(kv_store, placer->client, "jobs/", listing->jobs, NULL) == KV_OK;
 }
 
 static void load_jobs(node_t *node, const GArray *entries)
@@ -144,9 +144,9 @@
         partition_free(earlier);
     }
     partition_set_view(node->partition, node->view.number);
-    partition_set_report(node->partition, node->settings->report_s);
+    partition_set_heartbeat_interval(node->partition, node->settings->heartbeat_interval_s);
     if (node->settings->pace > 1)
-        partition_delay_probes(node->partition, node->settings->report_s);
+        partition_delay_probes(node->partition, node->settings->heartbeat_interval_s);
     if (node->leading) {
         node->leader = leader_new(node->settings->teams, node->settings->targets, node->policy,
                                   node->view.count);
--- a/src/app/sender.c
+++ b/src/app/sender.c
@@ -26,10 +26,11 @@
 static void finish(node_t *node, const exchange_t *exchange, const GArray *commands, int status,
                    const http_client_t *client)
 {
-    report_t report = {0};
+    worker_heartbeat_t heartbeat = {0};
     gsize length;
     const char *answer = http_answer(client, &length);
-    bool reported = status > HTTP_NO_ANSWER && wire_parse_report(answer, length, &report, NULL);
+    bool reported =
+        status > HTTP_NO_ANSWER && wire_parse_worker_heartbeat(answer, length, &heartbeat, NULL);
     direct_result_t result = status == HTTP_OK && reported ? DIRECT_EXECUTED
                              : status == HTTP_CONFLICT || status == HTTP_BAD_REQUEST
                                  ? DIRECT_REFUSED
@@ -44,15 +45,16 @@
                               result);
         msec_t now = clock_steady();
         uint64_t changes = node->partition->changes;
-        if (reported && strcmp(report.machine, exchange->machine) == 0 &&
-            partition_report(node->partition, &report, true, now, NULL) == REPORT_TAKEN &&
+        if (reported && strcmp(heartbeat.machine, exchange->machine) == 0 &&
+            partition_handle_heartbeat(node->partition, &heartbeat, true, now, NULL) ==
+                HEARTBEAT_ACCEPTED &&
             result == DIRECT_EXECUTED)
             partition_probed(node->partition, exchange->machine, now);
         if (node->partition->changes != changes)
             node_notify(node);
     }
     pthread_mutex_unlock(&node->lock);
-    report_clear(&report);
+    worker_heartbeat_clear(&heartbeat);
 }
 
 static bool may_leave(node_t *node, const exchange_t *exchange, const GArray *commands,
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -20,7 +20,7 @@
     GArray *siblings;    /* sibling_t */
     GArray *teams;       /* team_t */
     GHashTable *targets; /* class -> targets_t *: when its jobs should be finished */
-    double report_s;
+    double heartbeat_interval_s;
     double lease_s;
     double cancel_s;
     double kv_rps;
--- a/src/app/view.c
+++ b/src/app/view.c
@@ -148,7 +148,7 @@
     return read;
 }
 
-static kv_result_t follow_on(node_t *node, http_client_t *client, uint64_t *revision)
+static kv_result_t watch_changes(node_t *node, http_client_t *client, uint64_t *revision)
 {
     GArray *changes = kv_entries_new();
     msec_t sent = clock_steady();
@@ -171,6 +171,6 @@
 
 void *view_run(void *data)
 {
-    node_follow(data, read_all, follow_on);
+    node_watch(data, read_all, watch_changes);
     return NULL;
 }
--- a/src/constants.h
+++ b/src/constants.h
@@ -150,7 +150,7 @@
 /* ---- Connections, threads and memory ---- */
 
 enum {
-    HTTP_THREADS_COUNT = 4,              /* serve all connections; a report takes them a fraction
+    HTTP_THREADS_COUNT = 4,              /* serve all connections; a heartbeat takes them a fraction
                                             of a millisecond */
     THREAD_STACK_BYTES = 128 * 1024,     /* the deepest path: a JSON parse in an HTTP handler */
     CONNECTION_BUFFER_BYTES = 16 * 1024, /* HTTP buffers of a connection */
@@ -188,14 +188,16 @@
                                                    they come in bursts */
 static const double APIS_WRITE_FRACTION = 0.75; /* at all controllers together */
 
-/* ---- Workers' reports and direct commands ---- */
+/* ---- Workers' heartbeats and direct commands ---- */
 
 enum {
-    REPORT_FOLLOWS_MS = 4800, /* a worker waits 4 s for an answer and a second more before it
-                                 turns elsewhere (protocol): a report that comes sooner follows
+    HEARTBEAT_FOLLOWS_MS = 4800, /* a worker waits 4 s for an answer and a second more before it
+                                 turns elsewhere (protocol): a heartbeat that comes sooner follows
                                  an answer that arrived */
-    REPORT_LATE_MS = 1000,    /* a report is on its way, or waits for its turn, so long at most */
-    DIRECT_TIMEOUT_MS = 2000, /* a worker answers in milliseconds; later the report is the path */
+    HEARTBEAT_LATE_MS =
+        1000, /* a heartbeat is on its way, or waits for its turn, so long at most */
+    DIRECT_TIMEOUT_MS =
+        2000, /* a worker answers in milliseconds; later the heartbeat is the path */
     DIRECT_CONNECT_MS = 1000, /* a connection takes milliseconds; a machine that hangs takes none */
     DIRECT_FRESH_MS = 4000,   /* a machine not reached for longer gets no starts and no commands;
                                  more where workers report seldom */
@@ -236,7 +238,7 @@
     SERVE_ALONE_MS =
         8000, /* without key-value store and siblings, workers are answered so long: their
                  new owner, there after 5 s, waits 15 s before it gives them up */
-    CANCEL_MARGIN_MS = 3000, /* kept below cancel_s - lease_s for a report on its way */
+    CANCEL_MARGIN_MS = 3000, /* kept below cancel_s - lease_s for a heartbeat on its way */
     START_KNOWN_MS = 6000,   /* no start is sent while cancellations are unknown for longer:
                                 answers to a follow come every 2 s, slow ones later */
     STALL_MS = 1000,         /* a process that took no notice of the time for so long stood still */
@@ -264,11 +266,12 @@
     PEER_FRAME_MAX_BYTES = 1 << 20, /* a message; usual ones have 10 KB */
     PEER_BATCH_COUNT = 128,         /* items in a message: a second's starts and ends of 200
                                        machines, when an exchange by relay takes one */
-    HEARTBEAT_HOLD_MS = 1000,       /* a heartbeat is answered once there is news of cancellations:
-                                       they are known at once; without any, after this */
-    HEARTBEAT_TIMEOUT_MS = 2500,    /* an answer: the hold, and a sibling that lags */
-    HEARTBEAT_GAP_MS = 500,         /* after a heartbeat that failed */
-    HEARTBEAT_NEWS_GAP_MS = 250,    /* after one that brought news: more of a burst come together */
+    PEER_HEARTBEAT_HOLD_MS = 1000,  /* a heartbeat is answered once there is news of cancellations:
+                                  they are known at once; without any, after this */
+    PEER_HEARTBEAT_TIMEOUT_MS = 2500, /* an answer: the hold, and a sibling that lags */
+    PEER_HEARTBEAT_GAP_MS = 500,      /* after a heartbeat that failed */
+    PEER_HEARTBEAT_NEWS_GAP_MS =
+        250,                    /* after one that brought news: more of a burst come together */
     RELAY_AFTER_MS = 2500,      /* without an exchange by socket for longer, the relay is used */
     RELAY_SOCKET_GAP_MS = 6000, /* between tries by socket meanwhile */
     RELAY_GAP_MS = 400, /* between looks at the relay: few of the key-value store's requests */
--- a/src/core/cancellation_log.c
+++ b/src/core/cancellation_log.c
@@ -68,14 +68,14 @@
 }
 
 msec_t cancellation_log_known_until(const cancellation_log_t *cancellations, guint siblings,
-                                    msec_t followed)
+                                    msec_t jobs_complete_until)
 {
     msec_t known = 0;
     for (guint i = 0; i < siblings; i++) {
         const cancellation_replica_t *replica = &cancellations->siblings[i];
-        bool joined = replica->incarnation != 0 && replica->base <= followed;
-        msec_t until = joined ? MAX(followed, replica->until) : followed;
+        bool joined = replica->incarnation != 0 && replica->base <= jobs_complete_until;
+        msec_t until = joined ? MAX(jobs_complete_until, replica->until) : jobs_complete_until;
         known = i == 0 ? until : MIN(known, until);
     }
-    return siblings ? known : followed;
+    return siblings ? known : jobs_complete_until;
 }
--- a/src/core/cancellation_log.h
+++ b/src/core/cancellation_log.h
@@ -62,6 +62,6 @@
 /* The moment up to which every cancellation told anywhere is known, given that of the jobs
  * followed. siblings: all others that the settings name, in the view or not. */
 msec_t cancellation_log_known_until(const cancellation_log_t *cancellations, guint siblings,
-                                    msec_t followed);
+                                    msec_t jobs_complete_until);
 
 #endif
--- a/src/core/partition.c
+++ b/src/core/partition.c
@@ -39,7 +39,7 @@
     partition->teams = teams;
     partition->results = g_array_new(FALSE, TRUE, sizeof(attempt_result_t));
     partition->lapse = lapse;
-    partition->fresh = DIRECT_FRESH_MS;
+    partition->acknowledgement_timeout = DIRECT_FRESH_MS;
     return partition;
 }
 
@@ -60,16 +60,19 @@
     partition->view = view;
 }
 
-/* Fleets that report every 3 s, some of them late by a half, looked silent between two reports. */
-void partition_set_report(partition_t *partition, double report_s)
+/* Fleets that heartbeat every 3 s, some of them late by a half, looked silent between two reports.
+ */
+void partition_set_heartbeat_interval(partition_t *partition, double heartbeat_interval_s)
 {
-    partition->fresh =
-        MAX(DIRECT_FRESH_MS, (msec_t)(report_s * REPORT_SPREAD_FACTOR * MS_PER_S) + REPORT_LATE_MS);
+    partition->acknowledgement_timeout =
+        MAX(DIRECT_FRESH_MS,
+            (msec_t)(heartbeat_interval_s * REPORT_SPREAD_FACTOR * MS_PER_S) + HEARTBEAT_LATE_MS);
 }
 
-void partition_delay_probes(partition_t *partition, double report_s)
+void partition_delay_probes(partition_t *partition, double heartbeat_interval_s)
 {
-    partition->probe_delay = (msec_t)(report_s * REPORT_SPREAD_FACTOR * MS_PER_S) + REPORT_LATE_MS;
+    partition->probe_delay =
+        (msec_t)(heartbeat_interval_s * REPORT_SPREAD_FACTOR * MS_PER_S) + HEARTBEAT_LATE_MS;
 }
 
 void partition_look_up_capacity(const partition_t *partition, machine_t *machine)
@@ -191,7 +194,8 @@
     machine->attempts = g_ptr_array_new_with_free_func(g_free);
     machine->reservations = g_array_new(FALSE, FALSE, sizeof(reservation_t));
     machine->images = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    machine->first_seen = machine->last_report = machine->reached = machine->idle_since = now;
+    machine->first_seen_at = machine->last_heartbeat_at = machine->last_acknowledged_at =
+        machine->idle_since = now;
     machine->draining = g_hash_table_contains(partition->draining, id);
     g_hash_table_insert(partition->machines, machine->id, machine);
     return machine;
@@ -215,7 +219,7 @@
     machine->spot = record->spot;
     machine->session = record->session;
     partition_look_up_capacity(partition, machine);
-    machine->probe = true;
+    machine->needs_probe = true;
     partition_want_direct(partition, machine);
     for (guint i = 0; i < record->entries->len; i++) {
         attempt_t *attempt = partition_attempt_add(
@@ -244,12 +248,13 @@
     return resources;
 }
 
-/* A machine can be heard and not reached: its reports come, our answers and commands are lost. A
- * worker without an answer waits 4 s and turns to another node a second later, so one that reports
- * here again within that time has had the answer. */
+/* A machine can be heard and not reached: its heartbeats come, our answers and commands are lost. A
+ * worker without an answer waits 4 s and turns to another node a second later, so one that
+ * heartbeats here again within that time has had the answer. */
 bool partition_is_reached(const partition_t *partition, const machine_t *machine, msec_t now)
 {
-    return machine->reported && !machine->doubtful && now - machine->reached < partition->fresh;
+    return machine->has_responded && !machine->doubtful &&
+           now - machine->last_acknowledged_at < partition->acknowledgement_timeout;
 }
 
 void partition_machine_gone(partition_t *partition, const char *id)
@@ -261,7 +266,7 @@
     g_hash_table_remove(partition->draining, id);
     for (guint i = 0; i < machine->attempts->len; i++)
         partition_attempt_over(partition, g_ptr_array_index(machine->attempts, i), CAUSE_NONE);
-    machine->reported = false;
+    machine->has_responded = false;
     machine->gone = true;
     partition_touch(partition, machine);
 }
--- a/src/core/partition.h
+++ b/src/core/partition.h
@@ -6,9 +6,9 @@
  *
  * An attempt is taken off a machine's record only on proof that it is over and cannot still begin:
  *  - the worker reports a newer session (commands of an older one are refused there);
- *  - a report of this session lists it as exited (a late copy of its `run` has no effect then, and
- *    `forget` is held back while a copy may be under way);
- *  - an ordinary report, sent under a token above any under which `run` went out, lacks it;
+ *  - a heartbeat of this session lists it as exited (a late copy of its `run` has no effect then,
+ * and `forget` is held back while a copy may be under way);
+ *  - an ordinary heartbeat, sent under a token above any under which `run` went out, lacks it;
  *  - the cloud confirmed that the machine is gone.
  * Silence, a lapsed reservation, a list of machines or a refused connection is no proof. */
 #ifndef PEPPERPULLEY_PARTITION_H
@@ -116,16 +116,16 @@
     uint64_t session;                                 /* under which it was recorded */
     bool in_record;                                   /* the durable record has it */
     enum { BATCH_NONE, BATCH_ADD, BATCH_DROP } batch; /* what a commit under way does to it */
-    bool listed;
+    bool is_listed;
     task_state_t state;
     cause_t cause;
-    bool reported_done; /* the leader was told; it stays recorded until acknowledged */
+    bool is_done_reported; /* the leader was told; it stays recorded until acknowledged */
     bool acknowledged;
     bool waits; /* for the resources of work that is being stopped */
     bool preempted;
     bool stop;        /* wanted: gone */
     msec_t stop_kill; /* from then on without time to save */
-    msec_t listed_since;
+    msec_t listed_since_at;
 } attempt_t;
 
 struct machine {
@@ -136,25 +136,26 @@
     bool spot;
     bool is_capacity_known;
     resources_t capacity;
-    bool reported; /* it was heard in this view, by a report or by the answer to a probe */
-    bool spoke;    /* by an ordinary report */
-    bool probe;    /* to be asked for its state: its next report may be seconds away */
+    bool has_responded; /* it was heard in this view, by a heartbeat or by the answer to a probe */
+    bool has_heartbeat; /* by an ordinary heartbeat */
+    bool needs_probe;   /* to be asked for its state: its next heartbeat may be seconds away */
     uint64_t session;
     uint64_t seq;
-    uint64_t
-        spoken; /* number of the newest ordinary report of this session; a copy has no higher */
+    uint64_t last_accepted_sequence; /* number of the newest ordinary heartbeat of this session; a
+                                        copy has no higher */
     uint64_t token;
-    uint64_t receipt; /* local count of reports received */
-    msec_t last_report;
-    msec_t reached; /* last sign that what we say arrives there; reports alone are none */
-    msec_t first_seen;
+    uint64_t receipt_count; /* local count of heartbeats received */
+    msec_t last_heartbeat_at;
+    msec_t
+        last_acknowledged_at; /* last sign that what we say arrives there; reports alone are none */
+    msec_t first_seen_at;
     msec_t idle_since;
     msec_t reclaim_at; /* when the cloud takes it; 0: not announced */
     bool draining;
     GPtrArray *attempts; /* attempt_t, owned */
     GArray *reservations;
     GHashTable *images; /* seen in use here, so probably in its cache */
-    resources_t booked; /* of the last report */
+    resources_t booked; /* of the last heartbeat */
     guint starting;
     guint running;
     guint errors; /* failures of jobs that run elsewhere */
@@ -194,8 +195,9 @@
                             results, records to write, machines that open or close */
     guint turn;          /* round robin among equals */
     msec_t lapse;
-    msec_t fresh;  /* a machine not reached for so long gets no starts and no commands */
-    guint probing; /* probes under way */
+    msec_t acknowledgement_timeout; /* a machine not reached for so long gets no starts and no
+                                       commands */
+    guint probes_in_flight;         /* probes under way */
     msec_t
         probe_delay; /* a machine that has not reported for so long since it was loaded is probed */
     bool starts_paused; /* no `run` goes out */
@@ -225,24 +227,31 @@
 resources_t partition_free_resources(const machine_t *machine);
 
 /* Overtaken: older than what is known of this session, as when the answer to a direct command came
- * first. Nothing of it is taken, but its worker waits for an answer. Unproven: the first report to
- * this partition, and from before its view, so perhaps a copy that comes minutes late; nothing of
- * it is taken, and the answer gives the worker the token that its next report will show. Stale: of
- * an earlier session, or a copy of a report that came before. */
-typedef enum { REPORT_TAKEN, REPORT_OVERTAKEN, REPORT_UNPROVEN, REPORT_STALE } report_verdict_t;
-/* A report, or the body of a direct command's answer (direct). commands: array of worker_command_t
- * to append the answer's commands to; unused for direct ones. */
-report_verdict_t partition_report(partition_t *partition, const report_t *report, bool direct,
-                                  msec_t now, GArray *commands);
-/* A report came that could not be answered: the machine is not silent. */
-void partition_note_alive(partition_t *partition, const report_t *report, msec_t now);
+ * first. Nothing of it is taken, but its worker waits for an answer. Unproven: the first heartbeat
+ * to this partition, and from before its view, so perhaps a copy that comes minutes late; nothing
+ * of it is taken, and the answer gives the worker the token that its next heartbeat will show.
+ * Stale: of an earlier session, or a copy of a heartbeat that came before. */
+typedef enum {
+    HEARTBEAT_ACCEPTED,
+    HEARTBEAT_OUT_OF_ORDER,
+    HEARTBEAT_UNVERIFIED,
+    HEARTBEAT_DUPLICATE
+} heartbeat_verdict_t;
+/* A heartbeat, or the body of a direct command's answer (direct). commands: array of
+ * worker_command_t to append the answer's commands to; unused for direct ones. */
+heartbeat_verdict_t partition_handle_heartbeat(partition_t *partition,
+                                               const worker_heartbeat_t *heartbeat, bool direct,
+                                               msec_t now, GArray *commands);
+/* A heartbeat came that could not be answered: the machine is not silent. */
+void partition_record_unanswered_heartbeat(partition_t *partition,
+                                           const worker_heartbeat_t *heartbeat, msec_t now);
 /* Whether what we say has arrived at the machine of late, so that it may get starts. */
 bool partition_is_reached(const partition_t *partition, const machine_t *machine, msec_t now);
 /* How often workers report sets what counts as fresh. */
-void partition_set_report(partition_t *partition, double report_s);
+void partition_set_heartbeat_interval(partition_t *partition, double heartbeat_interval_s);
 /* Probes wait until the machine should have reported twice: where a probe of each takes longer than
  * that. */
-void partition_delay_probes(partition_t *partition, double report_s);
+void partition_delay_probes(partition_t *partition, double heartbeat_interval_s);
 /* It executed a direct command of this view, and what it said was taken. */
 void partition_probed(partition_t *partition, const char *id, msec_t now);
 /* While cancellations may be unknown here no start is sent; what is recorded waits. */
--- a/src/core/partition_attempts.c
+++ b/src/core/partition_attempts.c
@@ -55,7 +55,7 @@
     attempt->cause = cause;
     reservation_free(attempt->machine->reservations, attempt->reservation_id);
     if (cause == CAUSE_DONE) {
-        attempt->reported_done = true;
+        attempt->is_done_reported = true;
         partition_add_result(partition, attempt);
         attempt->machine->page->lazy |= attempt->acknowledged;
     } else {
--- a/src/core/partition_commands.c
+++ b/src/core/partition_commands.c
@@ -32,7 +32,7 @@
     resources_t resources = machine->capacity;
     for (guint i = 0; i < machine->attempts->len; i++) {
         const attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
-        if (attempt->phase == ATTEMPT_RECORDED && attempt->listed &&
+        if (attempt->phase == ATTEMPT_RECORDED && attempt->is_listed &&
             !(attempt->stop && stop_grace(attempt, now) <= 0))
             resources_add(&resources, attempt->entry.need, -1);
     }
@@ -51,7 +51,7 @@
     for (guint i = 0; i < machine->attempts->len; i++) {
         const attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
         const record_entry_t *entry = &attempt->entry;
-        if (!is_sent_here(machine, attempt) || !attempt->stop || !attempt->listed)
+        if (!is_sent_here(machine, attempt) || !attempt->stop || !attempt->is_listed)
             continue;
         double grace = stop_grace(attempt, now);
         if (attempt->state != TASK_SAVING || grace <= 0)
@@ -62,7 +62,7 @@
     for (guint i = 0; !partition->starts_paused && i < machine->attempts->len; i++) {
         const attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
         const record_entry_t *entry = &attempt->entry;
-        if (!is_sent_here(machine, attempt) || attempt->stop || attempt->listed)
+        if (!is_sent_here(machine, attempt) || attempt->stop || attempt->is_listed)
             continue;
         if (attempt->waits && !resources_fit(entry->need, resources))
             continue;
@@ -81,11 +81,11 @@
 static bool take_direct(partition_t *partition, machine_t *machine, msec_t now, GArray *commands)
 {
     machine->direct_busy = true;
-    if (machine->probe && !machine->reported) {
-        partition->probing++;
+    if (machine->needs_probe && !machine->has_responded) {
+        partition->probes_in_flight++;
         return true;
     }
-    machine->probe = false;
+    machine->needs_probe = false;
     partition_wanted_commands(partition, machine, now, commands);
     machine->direct_busy = commands->len > 0;
     return machine->direct_busy;
@@ -94,11 +94,11 @@
 /* Whether the machine's turn may come now. */
 static bool is_direct_due(const partition_t *partition, const machine_t *machine, msec_t now)
 {
-    bool probe = machine->probe && !machine->reported;
+    bool probe = machine->needs_probe && !machine->has_responded;
     if (machine->direct_busy)
         return false;
-    return probe ? partition->probing < SENDERS_COUNT / 2 &&
-                       now - machine->first_seen >= partition->probe_delay
+    return probe ? partition->probes_in_flight < SENDERS_COUNT / 2 &&
+                       now - machine->first_seen_at >= partition->probe_delay
                  : partition_is_reached(partition, machine, now);
 }
 
@@ -133,7 +133,7 @@
                            uint64_t token, direct_result_t result)
 {
     machine_t *machine = g_hash_table_lookup(partition->machines, id);
-    partition->probing -= commands->len == 0;
+    partition->probes_in_flight -= commands->len == 0;
     if (!machine)
         return;
     machine->direct_busy = false;
@@ -141,7 +141,7 @@
         partition_want_direct(partition, machine);
         return;
     }
-    machine->probe = false;
+    machine->needs_probe = false;
     machine->doubtful = result == DIRECT_UNANSWERED || result == DIRECT_NOT_SENT;
     for (guint i = 0; result == DIRECT_UNANSWERED && i < commands->len; i++)
         if (g_array_index(commands, worker_command_t, i).op == COMMAND_RUN)
@@ -155,7 +155,7 @@
     g_hash_table_iter_init(&iter, partition->machines);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const machine_t *machine = value;
-        if (machine->unanswered_token >= partition->view && machine->reported)
+        if (machine->unanswered_token >= partition->view && machine->has_responded)
             return true;
     }
     return false;
--- a/src/core/partition_internal.h
+++ b/src/core/partition_internal.h
@@ -34,7 +34,8 @@
                                  const record_entry_t *entry);
 /* Frees the attempt and its reservation. */
 void partition_attempt_drop(partition_t *partition, attempt_t *attempt);
-/* The attempt that the machine's report lists; NULL: it is not known, or is another machine's. */
+/* The attempt that the machine's heartbeat lists; NULL: it is not known, or is another machine's.
+ */
 attempt_t *partition_find_attempt(partition_t *partition,
                                   const reported_attempt_t *reported_attempt,
                                   const machine_t *machine);
--- a/src/core/partition_placement.c
+++ b/src/core/partition_placement.c
@@ -42,8 +42,8 @@
 {
     bool first_warm = partition_is_warm(first, request);
     bool second_warm = partition_is_warm(second, request);
-    if (first->reported != second->reported)
-        return first->reported ? -1 : 1;
+    if (first->has_responded != second->has_responded)
+        return first->has_responded ? -1 : 1;
     if (request->priority >= PRIORITY_HIGH && first_warm != second_warm)
         return first_warm ? -1 : 1;
     double difference = pressure(first, request->need) - pressure(second, request->need);
@@ -106,7 +106,8 @@
     attempt->job_revision = request->job_revision;
     attempt->session = best->session;
     attempt->waits = waits;
-    reservation_add(best->reservations, attempt->reservation_id, request->need, best->receipt, now);
+    reservation_add(best->reservations, attempt->reservation_id, request->need, best->receipt_count,
+                    now);
     partition_touch(partition, best);
     return best;
 }
--- a/src/core/partition_preemption.c
+++ b/src/core/partition_preemption.c
@@ -7,8 +7,8 @@
 static bool is_victim(const partition_t *partition, const attempt_t *attempt,
                       const placement_request_t *request, msec_t now)
 {
-    if (attempt->phase != ATTEMPT_RECORDED || !attempt->listed || attempt->stop ||
-        now - attempt->listed_since < PREEMPT_PROTECT_MS)
+    if (attempt->phase != ATTEMPT_RECORDED || !attempt->is_listed || attempt->stop ||
+        now - attempt->listed_since_at < PREEMPT_PROTECT_MS)
         return false;
     bool same = strcmp(attempt->entry.team, request->team) == 0;
     bool yields = same;
@@ -23,7 +23,7 @@
  * the wait for a new place. */
 static double lost_work(const attempt_t *attempt, msec_t now)
 {
-    double ran = (double)(now - attempt->listed_since) / MS_PER_S;
+    double ran = (double)(now - attempt->listed_since_at) / MS_PER_S;
     if (attempt->entry.checkpoint_s > 0)
         ran = MIN(ran, attempt->entry.checkpoint_s / 2);
     return (ran + PREEMPT_COST_S) * attempt->entry.need.cpus;
@@ -140,7 +140,7 @@
         return;
     for (guint i = 0; i < machine->attempts->len; i++) {
         attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
-        if (attempt->phase == ATTEMPT_RECORDED && attempt->listed &&
+        if (attempt->phase == ATTEMPT_RECORDED && attempt->is_listed &&
             attempt->entry.checkpoint_s > 0)
             partition_stop(partition, attempt, now);
     }
--- a/src/core/partition_records.c
+++ b/src/core/partition_records.c
@@ -18,7 +18,7 @@
 /* Whether the attempt is to leave the record. */
 static bool leaves(const attempt_t *attempt)
 {
-    return attempt->phase == ATTEMPT_OVER && (!attempt->reported_done || attempt->acknowledged);
+    return attempt->phase == ATTEMPT_OVER && (!attempt->is_done_reported || attempt->acknowledged);
 }
 
 /* What never got into the record goes without a commit. */
@@ -321,7 +321,7 @@
             partition_want_direct(partition, machine);
         } else if (attempt->batch == BATCH_DROP) {
             machine->crowded = false;
-            if (!attempt->reported_done)
+            if (!attempt->is_done_reported)
                 partition_add_result(partition, attempt);
             partition_attempt_drop(partition, attempt);
             continue;
--- a/src/core/redirection.c
+++ b/src/core/redirection.c
@@ -94,23 +94,25 @@
 bool redirection_owner_is_healthy(const owner_health_t *health, msec_t now)
 {
     return health->answered_at > 0 && now - health->answered_at < OWNER_FRESH_MS &&
-           now - health->worker_report_at < OWNER_FRESH_MS;
+           now - health->worker_heartbeat_at < OWNER_FRESH_MS;
 }
 
-redirection_verdict_t redirection_report(redirection_t *redirection, const report_t *report,
-                                         const char *name, bool is_owner_reachable, msec_t now)
+redirection_verdict_t redirection_handle_heartbeat(redirection_t *redirection,
+                                                   const worker_heartbeat_t *heartbeat,
+                                                   const char *name, bool is_owner_reachable,
+                                                   msec_t now)
 {
-    if (report->token < redirection->token)
-        return REDIRECTION_UNPROVEN;
-    redirected_worker_t *worker = find(redirection, report->machine);
-    if (report->session < worker->session ||
-        (report->session == worker->session && report->seq <= worker->seq))
-        return REDIRECTION_STALE;
+    if (heartbeat->token < redirection->token)
+        return REDIRECTION_UNVERIFIED;
+    redirected_worker_t *worker = find(redirection, heartbeat->machine);
+    if (heartbeat->session < worker->session ||
+        (heartbeat->session == worker->session && heartbeat->seq <= worker->seq))
+        return REDIRECTION_DUPLICATE;
     /* Without the answer that retained it here it would have waited, and turned to another node. */
-    if (now < worker->retained_until && now - worker->seen < REPORT_FOLLOWS_MS)
+    if (now < worker->retained_until && now - worker->seen < HEARTBEAT_FOLLOWS_MS)
         worker->reached = now;
-    worker->session = report->session;
-    worker->seq = report->seq;
+    worker->session = heartbeat->session;
+    worker->seq = heartbeat->seq;
     worker->seen = now;
     if (now < worker->retained_until && !(worker->waits_for_probe && is_owner_reachable))
         return REDIRECTION_RETAINED;
@@ -127,7 +129,7 @@
     }
     bool is_grace_over = now - redirection->cleared >= REDIRECTION_GRACE_MS;
     worker->retained_until =
-        spared_until(owner, report->machine, is_grace_over, is_owner_reachable, now);
+        spared_until(owner, heartbeat->machine, is_grace_over, is_owner_reachable, now);
     worker->waits_for_probe = worker->retained_until != 0;
     if (worker->waits_for_probe)
         return REDIRECTION_RETAINED;
@@ -135,11 +137,12 @@
     return REDIRECTION_TO_OWNER;
 }
 
-void redirection_stop_ended(const report_t *report, GHashTable *live_jobs, GArray *commands)
+void redirection_stop_ended(const worker_heartbeat_t *heartbeat, GHashTable *live_jobs,
+                            GArray *commands)
 {
-    for (guint i = 0; i < report->attempts->len; i++) {
+    for (guint i = 0; i < heartbeat->attempts->len; i++) {
         const reported_attempt_t *reported_attempt =
-            &g_array_index(report->attempts, reported_attempt_t, i);
+            &g_array_index(heartbeat->attempts, reported_attempt_t, i);
         if (reported_attempt->state == TASK_EXITED ||
             g_hash_table_contains(live_jobs, reported_attempt->job))
             continue;
--- a/src/core/reservation.c
+++ b/src/core/reservation.c
@@ -5,7 +5,7 @@
 {
     reservation_t entry = {.reservation_id = reservation_id,
                            .receipt = receipt,
-                           .made = now,
+                           .made_at = now,
                            .cpus = need.cpus,
                            .gpus = need.gpus,
                            .memory = need.memory};
@@ -67,7 +67,7 @@
 {
     guint ended = 0;
     for (guint i = list->len; i-- > 0;) {
-        if (now - g_array_index(list, reservation_t, i).made >= lapse) {
+        if (now - g_array_index(list, reservation_t, i).made_at >= lapse) {
             g_array_remove_index(list, i);
             ended++;
         }
--- a/src/core/types.c
+++ b/src/core/types.c
@@ -8,11 +8,11 @@
     spec->types = NULL;
 }
 
-void report_clear(report_t *report)
+void worker_heartbeat_clear(worker_heartbeat_t *heartbeat)
 {
-    if (report->attempts)
-        g_array_unref(report->attempts);
-    report->attempts = NULL;
+    if (heartbeat->attempts)
+        g_array_unref(heartbeat->attempts);
+    heartbeat->attempts = NULL;
 }
 
 guint task_ref_hash(gconstpointer ref)
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -70,8 +70,8 @@
     cause_t cause;
 } reported_attempt_t;
 
-/* A worker's report. attempts: array of reported_attempt_t, owned by the report. */
-typedef struct report {
+/* A worker's heartbeat. attempts: array of reported_attempt_t, owned by the heartbeat. */
+typedef struct worker_heartbeat {
     char machine[ID_BYTES];
     char address[ADDRESS_BYTES];
     char type[LABEL_BYTES];
@@ -82,7 +82,7 @@
     uint64_t token;
     double reclaim_in_s; /* below 0: none */
     GArray *attempts;
-} report_t;
+} worker_heartbeat_t;
 
 typedef enum { COMMAND_RUN, COMMAND_STOP, COMMAND_FORGET } worker_command_op_t;
 
@@ -148,7 +148,7 @@
 }
 
 void job_spec_clear(job_spec_t *spec);
-void report_clear(report_t *report);
+void worker_heartbeat_clear(worker_heartbeat_t *heartbeat);
 
 /* Can any machine type and zone ever take one task of the job? machine_types: array of
  * machine_type_t. */
--- a/src/io/kv_store.c
+++ b/src/io/kv_store.c
@@ -4,10 +4,10 @@
 
 #include "io/clock.h"
 
-void kv_store_init(kv_store_t *state, const char *address)
+void kv_store_init(kv_store_t *kv_store, const char *address)
 {
-    g_snprintf(state->base_url, sizeof state->base_url, "http://%s", address);
-    atomic_init(&state->answered_at, KV_NEVER_ANSWERED);
+    g_snprintf(kv_store->base_url, sizeof kv_store->base_url, "http://%s", address);
+    atomic_init(&kv_store->answered_at, KV_NEVER_ANSWERED);
 }
 
 static void entry_clear(gpointer data)
@@ -24,12 +24,12 @@
     return entries;
 }
 
-static kv_result_t send_request(kv_store_t *state, http_client_t *client, const char *method,
+static kv_result_t send_request(kv_store_t *kv_store, http_client_t *client, const char *method,
                                 const char *path, const json_t *body, long timeout_ms,
                                 json_t **answer)
 {
     char url[URL_BYTES];
-    g_snprintf(url, sizeof url, "%s%s", state->base_url, path);
+    g_snprintf(url, sizeof url, "%s%s", kv_store->base_url, path);
     msec_t sent = clock_steady();
     int status = http_call(client, method, url, body, timeout_ms, answer);
     switch (status) {
@@ -50,8 +50,8 @@
     default:
         return KV_INDETERMINATE;
     }
-    msec_t before = atomic_load(&state->answered_at);
-    while (sent > before && !atomic_compare_exchange_weak(&state->answered_at, &before, sent))
+    msec_t before = atomic_load(&kv_store->answered_at);
+    while (sent > before && !atomic_compare_exchange_weak(&kv_store->answered_at, &before, sent))
         ;
     if (status == HTTP_OK)
         return *answer ? KV_OK : KV_INDETERMINATE;
@@ -65,13 +65,13 @@
     return (uint64_t)json_integer_value(json_object_get(object, name));
 }
 
-kv_result_t kv_get(kv_store_t *state, http_client_t *client, const char *key, long timeout_ms,
+kv_result_t kv_get(kv_store_t *kv_store, http_client_t *client, const char *key, long timeout_ms,
                    kv_entry_t *entry)
 {
     char path[URL_BYTES];
     json_t *answer = NULL;
     g_snprintf(path, sizeof path, "/keys/%s", key);
-    kv_result_t result = send_request(state, client, "GET", path, NULL, timeout_ms, &answer);
+    kv_result_t result = send_request(kv_store, client, "GET", path, NULL, timeout_ms, &answer);
     if (result == KV_OK) {
         entry->key = g_strdup(key);
         entry->value = json_incref(json_object_get(answer, "Value"));
@@ -81,8 +81,8 @@
     return result;
 }
 
-kv_result_t kv_list(kv_store_t *state, http_client_t *client, const char *prefix, GArray *entries,
-                    uint64_t *revision)
+kv_result_t kv_list(kv_store_t *kv_store, http_client_t *client, const char *prefix,
+                    GArray *entries, uint64_t *revision)
 {
     char path[URL_BYTES];
     bool more = true, first = true;
@@ -91,7 +91,8 @@
         const char *since = first ? NULL : g_array_index(entries, kv_entry_t, entries->len - 1).key;
         g_snprintf(path, sizeof path, "/keys?Under=%s%s%s&Limit=%d", prefix, since ? "&Since=" : "",
                    since ? since : "", KEYS_PAGE_COUNT);
-        kv_result_t result = send_request(state, client, "GET", path, NULL, KV_TIMEOUT_MS, &answer);
+        kv_result_t result =
+            send_request(kv_store, client, "GET", path, NULL, KV_TIMEOUT_MS, &answer);
         if (result != KV_OK) {
             json_decref(answer);
             return result;
@@ -147,14 +148,14 @@
     json_array_append_new(txn->changes, json_pack("{s:s}", "Delete", key));
 }
 
-kv_result_t kv_commit(kv_store_t *state, http_client_t *client, const kv_txn_t *txn,
+kv_result_t kv_commit(kv_store_t *kv_store, http_client_t *client, const kv_txn_t *txn,
                       long timeout_ms, uint64_t *revision, GPtrArray *failed)
 {
     json_t *answer = NULL;
     if (txn->is_invalid)
         return KV_INVALID;
     json_t *body = json_pack("{s:O,s:O}", "If", txn->conditions, "Then", txn->changes);
-    kv_result_t result = send_request(state, client, "POST", "/txn", body, timeout_ms, &answer);
+    kv_result_t result = send_request(kv_store, client, "POST", "/txn", body, timeout_ms, &answer);
     json_decref(body);
     if (result == KV_OK && revision)
         *revision = get_number(answer, "Logline");
@@ -167,13 +168,13 @@
     return result;
 }
 
-kv_result_t kv_lease_create(kv_store_t *state, http_client_t *client, guint life_ms,
+kv_result_t kv_lease_create(kv_store_t *kv_store, http_client_t *client, guint life_ms,
                             uint64_t *lease)
 {
     json_t *answer = NULL;
     json_t *body = json_pack("{s:i}", "LifeMs", (int)life_ms);
     kv_result_t result =
-        send_request(state, client, "POST", "/grants", body, KV_TIMEOUT_MS, &answer);
+        send_request(kv_store, client, "POST", "/grants", body, KV_TIMEOUT_MS, &answer);
     json_decref(body);
     if (result == KV_OK)
         *lease = get_number(answer, "Tether");
@@ -181,26 +182,26 @@
     return result;
 }
 
-kv_result_t kv_lease_extend(kv_store_t *state, http_client_t *client, uint64_t lease)
+kv_result_t kv_lease_extend(kv_store_t *kv_store, http_client_t *client, uint64_t lease)
 {
     char path[URL_BYTES];
     json_t *answer = NULL;
     g_snprintf(path, sizeof path, "/grants/%" G_GUINT64_FORMAT "/extend", lease);
     kv_result_t result =
-        send_request(state, client, "POST", path, NULL, LEASE_EXTEND_GAP_MS, &answer);
+        send_request(kv_store, client, "POST", path, NULL, LEASE_EXTEND_GAP_MS, &answer);
     json_decref(answer);
     return result;
 }
 
-kv_result_t kv_watch(kv_store_t *state, http_client_t *client, const char *prefix, guint block_ms,
-                     uint64_t *revision, GArray *changes)
+kv_result_t kv_watch(kv_store_t *kv_store, http_client_t *client, const char *prefix,
+                     guint block_ms, uint64_t *revision, GArray *changes)
 {
     char path[URL_BYTES];
     json_t *answer = NULL;
     g_snprintf(path, sizeof path, "/follow?Under=%s&Since=%" G_GUINT64_FORMAT "&BlockMs=%u", prefix,
                *revision, block_ms);
     kv_result_t result =
-        send_request(state, client, "GET", path, NULL, (long)block_ms + KV_TIMEOUT_MS, &answer);
+        send_request(kv_store, client, "GET", path, NULL, (long)block_ms + KV_TIMEOUT_MS, &answer);
     if (result != KV_OK) {
         json_decref(answer);
         return result;
--- a/src/io/kv_store.h
+++ b/src/io/kv_store.h
@@ -32,16 +32,16 @@
     uint64_t revision;
 } kv_entry_t;
 
-void kv_store_init(kv_store_t *state, const char *address);
+void kv_store_init(kv_store_t *kv_store, const char *address);
 /* entries: array of kv_entry_t with a clear function. */
 GArray *kv_entries_new(void);
 
-kv_result_t kv_get(kv_store_t *state, http_client_t *client, const char *key, long timeout_ms,
+kv_result_t kv_get(kv_store_t *kv_store, http_client_t *client, const char *key, long timeout_ms,
                    kv_entry_t *entry);
 /* Reads everything under the prefix, page by page; *revision is of the first page, so that a follow
  * from it misses nothing. */
-kv_result_t kv_list(kv_store_t *state, http_client_t *client, const char *prefix, GArray *entries,
-                    uint64_t *revision);
+kv_result_t kv_list(kv_store_t *kv_store, http_client_t *client, const char *prefix,
+                    GArray *entries, uint64_t *revision);
 
 /* A transaction under construction. */
 typedef struct kv_txn {
@@ -55,15 +55,15 @@
 void kv_txn_put(kv_txn_t *txn, const char *key, json_t *value, uint64_t lease); /* consumes value */
 void kv_txn_delete(kv_txn_t *txn, const char *key);
 /* failed (may be NULL): array of keys to append to. */
-kv_result_t kv_commit(kv_store_t *state, http_client_t *client, const kv_txn_t *txn,
+kv_result_t kv_commit(kv_store_t *kv_store, http_client_t *client, const kv_txn_t *txn,
                       long timeout_ms, uint64_t *revision, GPtrArray *failed);
 
-kv_result_t kv_lease_create(kv_store_t *state, http_client_t *client, guint life_ms,
+kv_result_t kv_lease_create(kv_store_t *kv_store, http_client_t *client, guint life_ms,
                             uint64_t *lease);
-kv_result_t kv_lease_extend(kv_store_t *state, http_client_t *client, uint64_t lease);
+kv_result_t kv_lease_extend(kv_store_t *kv_store, http_client_t *client, uint64_t lease);
 
 /* changes: array of kv_entry_t; value NULL: deleted. *revision: from, then up to. */
-kv_result_t kv_watch(kv_store_t *state, http_client_t *client, const char *prefix, guint block_ms,
-                     uint64_t *revision, GArray *changes);
+kv_result_t kv_watch(kv_store_t *kv_store, http_client_t *client, const char *prefix,
+                     guint block_ms, uint64_t *revision, GArray *changes);
 
 #endif
--- a/src/io/peer_protocol.c
+++ b/src/io/peer_protocol.c
@@ -172,7 +172,7 @@
                           .kv_answer_age_ms = message->kv_answer_age_ms,
                           .hold_ms = message->hold_ms,
                           .worker_heartbeat_age_ms = message->worker_heartbeat_age_ms,
-                          .heartbeat = message->heartbeat,
+                          .is_heartbeat = message->is_heartbeat,
                           .acknowledged_incarnation = message->acknowledged_incarnation,
                           .acknowledged_index = message->acknowledged_index,
                           .update = {.after_index = message->update.after_index,
@@ -292,7 +292,7 @@
     message->worker_heartbeat_age_ms = wire->worker_heartbeat_age_ms;
     message->summaries.base = wire->summaries_base;
     message->summaries.version = wire->summaries_version;
-    message->heartbeat = wire->heartbeat;
+    message->is_heartbeat = wire->is_heartbeat;
     message->acknowledged_incarnation = wire->acknowledged_incarnation;
     message->acknowledged_index = wire->acknowledged_index;
     message->update = (cancellation_update_t){.incarnation = wire->incarnation,
--- a/src/io/peer_protocol.h
+++ b/src/io/peer_protocol.h
@@ -17,7 +17,7 @@
     msec_t kv_answer_age_ms;
     msec_t hold_ms;                 /* an answer to a heartbeat: how long it was delayed for news */
     msec_t worker_heartbeat_age_ms; /* since a worker that the sender owns last reported to it */
-    bool heartbeat;
+    bool is_heartbeat;
     uint64_t acknowledged_incarnation;
     uint64_t acknowledged_index;
     cancellation_update_t update; /* jobs NULL: none */
--- a/src/io/peer_protocol.x
+++ b/src/io/peer_protocol.x
@@ -106,7 +106,7 @@
     hyper kv_answer_age_ms; /* ms since the key-value store last answered the sender */
     hyper hold_ms;            /* an answer to a heartbeat: how long it was delayed for news */
     hyper worker_heartbeat_age_ms;  /* ms since a worker that the sender owns last reported to it */
-    bool heartbeat;     /* a call, or the answer to one, from any controller to any other */
+    bool is_heartbeat;     /* a call, or the answer to one, from any controller to any other */
     unsigned hyper acknowledged_incarnation; /* a call: of whose cancellation log the caller has ... */
     unsigned hyper acknowledged_index;     /* ... all up to this number */
     peer_cancellation_update update;               /* an answer: what the sender told users */
--- a/src/io/wire.h
+++ b/src/io/wire.h
@@ -21,8 +21,9 @@
 bool wire_parse_job(const json_t *body, bool stored, job_spec_t *spec, reason_t *why);
 json_t *wire_build_job(const job_spec_t *spec);
 
-/* A worker's report, as it came: parsed without a tree. */
-bool wire_parse_report(const char *text, gsize length, report_t *report, reason_t *why);
+/* A worker's heartbeat, as it came: parsed without a tree. */
+bool wire_parse_worker_heartbeat(const char *text, gsize length, worker_heartbeat_t *heartbeat,
+                                 reason_t *why);
 json_t *wire_build_commands(uint64_t token, const GArray *commands);
 json_t *wire_build_direct(uint64_t token, uint64_t session, const GArray *commands);
 
--- a/src/io/wire_report.c
+++ b/src/io/wire_worker_heartbeat.c
@@ -1,7 +1,9 @@
-/* Workers' reports, the steadiest traffic: read while they are parsed, without a tree in between.
+/* Workers' heartbeats, the steadiest traffic: read while they are parsed, without a tree in
+ * between.
  *
- * The fields of the report are those of the outermost object; those of its attempts are the ones of
- * the objects in the list of attempts. What lies deeper, or under another name, is passed over. */
+ * The fields of the heartbeat are those of the outermost object; those of its attempts are the ones
+ * of the objects in the list of attempts. What lies deeper, or under another name, is passed over.
+ */
 #include "io/wire_internal.h"
 
 #include <math.h>
@@ -11,7 +13,7 @@
 enum { READ_STOP = 0, READ_ON = 1 };
 
 /* How many containers are open round a value. */
-enum { DEPTH_ROOT = 0, DEPTH_REPORT = 1, DEPTH_LIST = 2, DEPTH_ATTEMPT = 3 };
+enum { DEPTH_ROOT = 0, DEPTH_HEARTBEAT = 1, DEPTH_LIST = 2, DEPTH_ATTEMPT = 3 };
 
 typedef enum {
     FIELD_MACHINE,
@@ -24,13 +26,13 @@
     FIELD_TOKEN,
     FIELD_RECLAIM,
     FIELD_ATTEMPTS,
-    REPORT_FIELDS,
-    FIELD_UNKNOWN = REPORT_FIELDS
-} report_field_t;
+    HEARTBEAT_FIELDS,
+    FIELD_UNKNOWN = HEARTBEAT_FIELDS
+} heartbeat_field_t;
 
-static const char *const report_fields[REPORT_FIELDS] = {"Winch",     "Address", "Hull",  "Dock",
-                                                         "Driftwood", "Watch",   "Tally", "Helm",
-                                                         "WarningS",  "Pieces"};
+static const char *const report_fields[HEARTBEAT_FIELDS] = {"Winch",     "Address", "Hull",  "Dock",
+                                                            "Driftwood", "Watch",   "Tally", "Helm",
+                                                            "WarningS",  "Pieces"};
 
 typedef enum {
     ATTEMPT_FIELD_TASK,
@@ -58,20 +60,20 @@
     bool is_true;
 } value_t;
 
-typedef struct report_reader {
-    report_t *report;
+typedef struct heartbeat_reader {
+    worker_heartbeat_t *heartbeat;
     reason_t *why;
     guint depth;
-    bool in_list;         /* of attempts */
-    report_field_t field; /* whose value comes next */
-    guint seen;           /* a bit for each field of the report that was read */
+    bool in_list;            /* of attempts */
+    heartbeat_field_t field; /* whose value comes next */
+    guint seen;              /* a bit for each field of the heartbeat that was read */
     attempt_field_t attempt_field;
     guint attempt_seen;
     reported_attempt_t attempt;
-} report_reader_t;
+} heartbeat_reader_t;
 
 /* Sets the reason and ends the parsing. */
-static int refuse(report_reader_t *reader, const char *name, const char *expected)
+static int refuse(heartbeat_reader_t *reader, const char *name, const char *expected)
 {
     wire_fail(reader->why, "%s: %s", name, expected);
     return READ_STOP;
@@ -91,7 +93,7 @@
     return value->kind == VALUE_STRING && !memchr(value->text, '\0', value->length);
 }
 
-static int take_text(report_reader_t *reader, const value_t *value, const char *name, char *to,
+static int take_text(heartbeat_reader_t *reader, const value_t *value, const char *name, char *to,
                      gsize size)
 {
     if (!is_text(value) || value->length == 0)
@@ -113,7 +115,8 @@
     return g_ascii_string_to_unsigned(digits, DECIMAL, 0, most, to, NULL);
 }
 
-static int take_count(report_reader_t *reader, const value_t *value, const char *name, uint64_t *to)
+static int take_count(heartbeat_reader_t *reader, const value_t *value, const char *name,
+                      uint64_t *to)
 {
     if (value->kind != VALUE_NUMBER || !parse_integer(value->text, value->length, G_MAXINT64, to))
         return refuse(reader, name, "an integer in range is expected");
@@ -121,10 +124,10 @@
 }
 
 /* null: none was announced. */
-static int take_reclaim(report_reader_t *reader, const value_t *value, const char *name)
+static int take_reclaim(heartbeat_reader_t *reader, const value_t *value, const char *name)
 {
     char number[LABEL_BYTES];
-    reader->report->reclaim_in_s = -1;
+    reader->heartbeat->reclaim_in_s = -1;
     if (value->kind == VALUE_NULL)
         return READ_ON;
     if (value->kind != VALUE_NUMBER || value->length >= sizeof number)
@@ -134,36 +137,36 @@
     double amount = g_ascii_strtod(number, NULL);
     if (!isfinite(amount) || amount < 0 || amount > AMOUNT_MAX)
         return refuse(reader, name, "out of range");
-    reader->report->reclaim_in_s = amount;
+    reader->heartbeat->reclaim_in_s = amount;
     return READ_ON;
 }
 
-static int take_report_field(report_reader_t *reader, const value_t *value)
+static int read_heartbeat_field(heartbeat_reader_t *reader, const value_t *value)
 {
-    report_t *report = reader->report;
+    worker_heartbeat_t *heartbeat = reader->heartbeat;
     if (reader->field == FIELD_UNKNOWN)
         return READ_ON;
     const char *name = report_fields[reader->field];
     reader->seen |= 1U << reader->field;
     switch (reader->field) {
     case FIELD_MACHINE:
-        return take_text(reader, value, name, report->machine, sizeof report->machine);
+        return take_text(reader, value, name, heartbeat->machine, sizeof heartbeat->machine);
     case FIELD_ADDRESS:
-        return take_text(reader, value, name, report->address, sizeof report->address);
+        return take_text(reader, value, name, heartbeat->address, sizeof heartbeat->address);
     case FIELD_TYPE:
-        return take_text(reader, value, name, report->type, sizeof report->type);
+        return take_text(reader, value, name, heartbeat->type, sizeof heartbeat->type);
     case FIELD_ZONE:
-        return take_text(reader, value, name, report->zone, sizeof report->zone);
+        return take_text(reader, value, name, heartbeat->zone, sizeof heartbeat->zone);
     case FIELD_SPOT:
-        report->spot = value->is_true;
+        heartbeat->spot = value->is_true;
         return value->kind == VALUE_BOOLEAN ? READ_ON
                                             : refuse(reader, name, "true or false is expected");
     case FIELD_SESSION:
-        return take_count(reader, value, name, &report->session);
+        return take_count(reader, value, name, &heartbeat->session);
     case FIELD_SEQ:
-        return take_count(reader, value, name, &report->seq);
+        return take_count(reader, value, name, &heartbeat->seq);
     case FIELD_TOKEN:
-        return take_count(reader, value, name, &report->token);
+        return take_count(reader, value, name, &heartbeat->token);
     case FIELD_RECLAIM:
         return take_reclaim(reader, value, name);
     case FIELD_ATTEMPTS: /* a list is no plain value */
@@ -175,7 +178,7 @@
 }
 
 /* "job/task". */
-static int take_task(report_reader_t *reader, const value_t *value)
+static int take_task(heartbeat_reader_t *reader, const value_t *value)
 {
     reported_attempt_t *attempt = &reader->attempt;
     const char *slash = is_text(value) ? memchr(value->text, '/', value->length) : NULL;
@@ -190,7 +193,7 @@
     return READ_ON;
 }
 
-static int take_state(report_reader_t *reader, const value_t *value)
+static int take_state(heartbeat_reader_t *reader, const value_t *value)
 {
     guint state = G_N_ELEMENTS(states);
     if (is_text(value))
@@ -202,7 +205,7 @@
 }
 
 /* A cause not known here counts as a failure: the attempt is over in any case. */
-static int take_cause(report_reader_t *reader, const value_t *value)
+static int take_cause(heartbeat_reader_t *reader, const value_t *value)
 {
     guint cause = G_N_ELEMENTS(causes);
     if (is_text(value))
@@ -211,7 +214,7 @@
     return READ_ON;
 }
 
-static int take_attempt_field(report_reader_t *reader, const value_t *value)
+static int take_attempt_field(heartbeat_reader_t *reader, const value_t *value)
 {
     if (reader->attempt_field == ATTEMPT_FIELD_UNKNOWN)
         return READ_ON;
@@ -232,12 +235,12 @@
     return READ_ON;
 }
 
-static int take_value(report_reader_t *reader, const value_t *value)
+static int take_value(heartbeat_reader_t *reader, const value_t *value)
 {
     if (reader->depth == DEPTH_ROOT)
         return refuse(reader, "report", "a JSON object is expected");
-    if (reader->depth == DEPTH_REPORT)
-        return take_report_field(reader, value);
+    if (reader->depth == DEPTH_HEARTBEAT)
+        return read_heartbeat_field(reader, value);
     if (reader->depth == DEPTH_LIST && reader->in_list)
         return refuse(reader, "Pieces", "Piece is not the name of a task");
     if (reader->depth == DEPTH_ATTEMPT && reader->in_list)
@@ -245,7 +248,7 @@
     return READ_ON;
 }
 
-static int open_container(report_reader_t *reader)
+static int open_container(heartbeat_reader_t *reader)
 {
     return ++reader->depth > JSON_DEPTH_MAX_COUNT ? refuse(reader, "report", "nested too deeply")
                                                   : READ_ON;
@@ -253,7 +256,7 @@
 
 static int read_map_start(void *context)
 {
-    report_reader_t *reader = context;
+    heartbeat_reader_t *reader = context;
     const value_t value = {.kind = VALUE_CONTAINER};
     if (reader->depth == DEPTH_LIST && reader->in_list) {
         reader->attempt = (reported_attempt_t){0};
@@ -266,18 +269,18 @@
 
 static int read_list_start(void *context)
 {
-    report_reader_t *reader = context;
+    heartbeat_reader_t *reader = context;
     const value_t value = {.kind = VALUE_CONTAINER};
-    if (reader->depth == DEPTH_REPORT && reader->field == FIELD_ATTEMPTS) {
+    if (reader->depth == DEPTH_HEARTBEAT && reader->field == FIELD_ATTEMPTS) {
         reader->in_list = true;
-        g_array_set_size(reader->report->attempts, 0);
+        g_array_set_size(reader->heartbeat->attempts, 0);
     } else if (take_value(reader, &value) == READ_STOP) {
         return READ_STOP;
     }
     return open_container(reader);
 }
 
-static int end_attempt(report_reader_t *reader)
+static int end_attempt(heartbeat_reader_t *reader)
 {
     static const guint needed =
         1U << ATTEMPT_FIELD_TASK | 1U << ATTEMPT_FIELD_NUMBER | 1U << ATTEMPT_FIELD_STATE;
@@ -289,32 +292,32 @@
         attempt->cause = CAUSE_NONE;
     else if (!(reader->attempt_seen & 1U << ATTEMPT_FIELD_CAUSE))
         attempt->cause = CAUSE_ERROR;
-    g_array_append_val(reader->report->attempts, *attempt);
+    g_array_append_val(reader->heartbeat->attempts, *attempt);
     return READ_ON;
 }
 
 static int read_map_end(void *context)
 {
-    report_reader_t *reader = context;
+    heartbeat_reader_t *reader = context;
     reader->depth--;
     return reader->in_list && reader->depth == DEPTH_LIST ? end_attempt(reader) : READ_ON;
 }
 
 static int read_list_end(void *context)
 {
-    report_reader_t *reader = context;
+    heartbeat_reader_t *reader = context;
     reader->depth--;
-    if (reader->depth == DEPTH_REPORT)
+    if (reader->depth == DEPTH_HEARTBEAT)
         reader->in_list = false;
     return READ_ON;
 }
 
 static int read_key(void *context, const unsigned char *text, size_t length)
 {
-    report_reader_t *reader = context;
-    if (reader->depth == DEPTH_REPORT)
-        reader->field =
-            (report_field_t)find_name(report_fields, REPORT_FIELDS, (const char *)text, length);
+    heartbeat_reader_t *reader = context;
+    if (reader->depth == DEPTH_HEARTBEAT)
+        reader->field = (heartbeat_field_t)find_name(report_fields, HEARTBEAT_FIELDS,
+                                                     (const char *)text, length);
     else if (reader->depth == DEPTH_ATTEMPT && reader->in_list)
         reader->attempt_field =
             (attempt_field_t)find_name(attempt_fields, ATTEMPT_FIELDS, (const char *)text, length);
@@ -345,16 +348,17 @@
     return take_value(context, &value);
 }
 
-static bool has_all_fields(report_reader_t *reader)
+static bool has_all_fields(heartbeat_reader_t *reader)
 {
     static const guint optional = 1U << FIELD_RECLAIM | 1U << FIELD_ATTEMPTS;
-    guint missing = ((1U << REPORT_FIELDS) - 1) & ~optional & ~reader->seen;
+    guint missing = ((1U << HEARTBEAT_FIELDS) - 1) & ~optional & ~reader->seen;
     if (missing)
         refuse(reader, report_fields[g_bit_nth_lsf(missing, -1)], "missing");
     return missing == 0;
 }
 
-bool wire_parse_report(const char *text, gsize length, report_t *report, reason_t *why)
+bool wire_parse_worker_heartbeat(const char *text, gsize length, worker_heartbeat_t *heartbeat,
+                                 reason_t *why)
 {
     static const yajl_callbacks callbacks = {.yajl_null = read_null,
                                              .yajl_boolean = read_boolean,
@@ -365,9 +369,9 @@
                                              .yajl_end_map = read_map_end,
                                              .yajl_start_array = read_list_start,
                                              .yajl_end_array = read_list_end};
-    report_reader_t reader = {.report = report, .why = why, .field = FIELD_UNKNOWN};
-    *report = (report_t){.reclaim_in_s = -1};
-    report->attempts = g_array_new(FALSE, FALSE, sizeof(reported_attempt_t));
+    heartbeat_reader_t reader = {.heartbeat = heartbeat, .why = why, .field = FIELD_UNKNOWN};
+    *heartbeat = (worker_heartbeat_t){.reclaim_in_s = -1};
+    heartbeat->attempts = g_array_new(FALSE, FALSE, sizeof(reported_attempt_t));
     if (why)
         why->text[0] = '\0';
     yajl_handle parser = yajl_alloc(&callbacks, NULL, &reader);
@@ -375,7 +379,7 @@
                     yajl_complete_parse(parser) == yajl_status_ok && has_all_fields(&reader);
     yajl_free(parser);
     if (!is_valid)
-        report_clear(report);
+        worker_heartbeat_clear(heartbeat);
     if (!is_valid && why && why->text[0] == '\0')
         wire_fail(why, "not JSON");
     return is_valid;
--- a/tests/fakes/services.c
+++ b/tests/fakes/services.c
@@ -109,7 +109,8 @@
 }
 
 /* With the lock held, which is given up while nothing changes. */
-static answer_t follow(services_t *services, const char *prefix, uint64_t since, guint block_ms)
+static answer_t watch_changes(services_t *services, const char *prefix, uint64_t since,
+                              guint block_ms)
 {
     struct timespec until;
     clock_gettime(CLOCK_REALTIME, &until);
@@ -223,9 +224,9 @@
     if (strcmp(path, "/keys") == 0)
         return list_keys(services, query(connection, "Under"));
     if (strcmp(path, "/follow") == 0)
-        return follow(services, query(connection, "Under"),
-                      g_ascii_strtoull(query(connection, "Since"), NULL, 10),
-                      (guint)g_ascii_strtoull(query(connection, "BlockMs"), NULL, 10));
+        return watch_changes(services, query(connection, "Under"),
+                             g_ascii_strtoull(query(connection, "Since"), NULL, 10),
+                             (guint)g_ascii_strtoull(query(connection, "BlockMs"), NULL, 10));
     if (strcmp(path, "/grants") == 0)
         return plain(200, json_pack("{s:I}", "Tether", (json_int_t)++services->leases));
     if (g_str_has_prefix(path, "/grants/"))
@@ -428,19 +429,19 @@
 }
 
 /* With the lock held. */
-static json_t *build_report(fake_machine_t *machine)
+static json_t *build_heartbeat(fake_machine_t *machine)
 {
-    report_t report = fake_worker_report(machine->worker);
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(machine->worker);
     json_t *attempts = json_array();
-    for (guint i = 0; i < report.attempts->len; i++)
+    for (guint i = 0; i < heartbeat.attempts->len; i++)
         json_array_append_new(
-            attempts, build_attempt(&g_array_index(report.attempts, reported_attempt_t, i)));
-    json_t *body =
-        json_pack("{s:s,s:o,s:s,s:s,s:b,s:I,s:I,s:I,s:o}", "Winch", report.machine, "Address",
-                  json_sprintf("127.0.0.1:%u", machine->port), "Hull", report.type, "Dock",
-                  report.zone, "Driftwood", 1, "Watch", (json_int_t)report.session, "Tally",
-                  (json_int_t)report.seq, "Helm", (json_int_t)report.token, "Pieces", attempts);
-    report_clear(&report);
+            attempts, build_attempt(&g_array_index(heartbeat.attempts, reported_attempt_t, i)));
+    json_t *body = json_pack("{s:s,s:o,s:s,s:s,s:b,s:I,s:I,s:I,s:o}", "Winch", heartbeat.machine,
+                             "Address", json_sprintf("127.0.0.1:%u", machine->port), "Hull",
+                             heartbeat.type, "Dock", heartbeat.zone, "Driftwood", 1, "Watch",
+                             (json_int_t)heartbeat.session, "Tally", (json_int_t)heartbeat.seq,
+                             "Helm", (json_int_t)heartbeat.token, "Pieces", attempts);
+    worker_heartbeat_clear(&heartbeat);
     return body;
 }
 
@@ -489,11 +490,11 @@
     pthread_mutex_lock(&machine->lock);
     bool executed =
         fake_worker_direct(machine->worker, number(body, "Helm"), number(body, "Watch"), commands);
-    json_t *report = build_report(machine);
+    json_t *heartbeat = build_heartbeat(machine);
     pthread_mutex_unlock(&machine->lock);
     g_array_unref(commands);
     json_decref(body);
-    return send_answer(connection, plain(executed ? 200 : 409, report));
+    return send_answer(connection, plain(executed ? 200 : 409, heartbeat));
 }
 
 fake_machine_t *fake_machine_new(const char *id)
@@ -505,10 +506,10 @@
     return machine;
 }
 
-json_t *fake_machine_report(fake_machine_t *machine)
+json_t *fake_machine_heartbeat(fake_machine_t *machine)
 {
     pthread_mutex_lock(&machine->lock);
-    json_t *body = build_report(machine);
+    json_t *body = build_heartbeat(machine);
     pthread_mutex_unlock(&machine->lock);
     return body;
 }
--- a/tests/fakes/services.h
+++ b/tests/fakes/services.h
@@ -55,9 +55,9 @@
 } fake_machine_t;
 
 fake_machine_t *fake_machine_new(const char *id);
-/* The body of its next report. */
-json_t *fake_machine_report(fake_machine_t *machine);
-/* Takes the answer to a report. */
+/* The body of its next heartbeat. */
+json_t *fake_machine_heartbeat(fake_machine_t *machine);
+/* Takes the answer to a heartbeat. */
 void fake_machine_answer(fake_machine_t *machine, const json_t *answer);
 guint fake_machine_active(fake_machine_t *machine);
 /* All that runs there completes. */
--- a/tests/fakes/worker.c
+++ b/tests/fakes/worker.c
@@ -17,18 +17,18 @@
     g_free(worker);
 }
 
-report_t fake_worker_report(fake_worker_t *worker)
+worker_heartbeat_t fake_worker_heartbeat(fake_worker_t *worker)
 {
-    report_t report = {.session = worker->session,
-                       .seq = ++worker->seq,
-                       .token = worker->token,
-                       .reclaim_in_s = -1,
-                       .attempts = g_array_copy(worker->attempts)};
-    g_strlcpy(report.machine, worker->id, sizeof report.machine);
-    g_strlcpy(report.address, "10.1.0.1:9000", sizeof report.address);
-    g_strlcpy(report.type, "t16", sizeof report.type);
-    g_strlcpy(report.zone, "north", sizeof report.zone);
-    return report;
+    worker_heartbeat_t heartbeat = {.session = worker->session,
+                                    .seq = ++worker->seq,
+                                    .token = worker->token,
+                                    .reclaim_in_s = -1,
+                                    .attempts = g_array_copy(worker->attempts)};
+    g_strlcpy(heartbeat.machine, worker->id, sizeof heartbeat.machine);
+    g_strlcpy(heartbeat.address, "10.1.0.1:9000", sizeof heartbeat.address);
+    g_strlcpy(heartbeat.type, "t16", sizeof heartbeat.type);
+    g_strlcpy(heartbeat.zone, "north", sizeof heartbeat.zone);
+    return heartbeat;
 }
 
 static reported_attempt_t *find(fake_worker_t *worker, const worker_command_t *command, guint *at)
--- a/tests/fakes/worker.h
+++ b/tests/fakes/worker.h
@@ -16,9 +16,9 @@
 
 fake_worker_t *fake_worker_new(const char *id);
 void fake_worker_free(fake_worker_t *worker);
-/* The next report; report_clear it. */
-report_t fake_worker_report(fake_worker_t *worker);
-/* An answer to a report, or a direct command (session checked): true if executed. */
+/* The next heartbeat; worker_heartbeat_clear it. */
+worker_heartbeat_t fake_worker_heartbeat(fake_worker_t *worker);
+/* An answer to a heartbeat, or a direct command (session checked): true if executed. */
 bool fake_worker_answer(fake_worker_t *worker, uint64_t token, const GArray *commands);
 bool fake_worker_direct(fake_worker_t *worker, uint64_t token, uint64_t session,
                         const GArray *commands);
--- a/tests/load.c
+++ b/tests/load.c
@@ -19,7 +19,7 @@
 enum {
     TICK_MS_LOAD = 250,  /* between looks of a worker at what changed */
     CONTROLLERS_MAX = 3, /* a port of the key-value store each */
-    CHANGE_GAP_MS = 500, /* a worker reports a change no sooner after its last report */
+    CHANGE_GAP_MS = 500, /* a worker reports a change no sooner after its last heartbeat */
     USER_POLL_MS = 5000, /* users ask for a job so often */
     HTTP_TIMEOUT_MS = 4000,
     CPU_MS_PER_S = 1000
@@ -30,7 +30,7 @@
     int machines;
     int seconds;
     int warmup;
-    double report_s;
+    double heartbeat_interval_s;
     double jobs_per_s;
     int tasks;
     double run_s;
@@ -51,7 +51,7 @@
                                   .machines = 60,
                                   .seconds = 20,
                                   .warmup = 10,
-                                  .report_s = 1,
+                                  .heartbeat_interval_s = 1,
                                   .jobs_per_s = 1,
                                   .tasks = 10,
                                   .run_s = 20,
@@ -89,7 +89,7 @@
         "s:{s:f,s:f},s:{s:f,s:f,s:i}}",
         "initial_size", load.options.controllers, "zones", "north", "teams", "name", "red", "cpus",
         1e5, "cpus_max", 1e6, "gpus", 0.0, "gpus_max", 0.0, "objectives", "workers", "report_s",
-        load.options.report_s, "lease_s", 10.0, "gang_wait_s", 35.0, "gang_peer_s", 4.0, "cancel_s",
+        load.options.heartbeat_interval_s, "lease_s", 10.0, "gang_wait_s", 35.0, "gang_peer_s", 4.0, "cancel_s",
         30.0, "state", "rps", 250.0, "write_rps", 80.0, "value_kb", 16.0, "txn_ops", 48, "cloud",
         "rps", 5.0, "list_lag_s", 3.0, "limits", "core_share", load.options.core_share, "ram_mb",
         37.0, "fd_limit", 600);
@@ -135,10 +135,10 @@
         runs = machine->worker->runs;
         pthread_mutex_unlock(&machine->lock);
         msec_t age = clock_steady() - reported;
-        if (age < (changed ? CHANGE_GAP_MS : (msec_t)(load.options.report_s * MS_PER_S)))
+        if (age < (changed ? CHANGE_GAP_MS : (msec_t)(load.options.heartbeat_interval_s * MS_PER_S)))
             continue;
         json_t *answer = NULL;
-        json_t *body = fake_machine_report(machine);
+        json_t *body = fake_machine_heartbeat(machine);
         int status = call(client, controller, "POST", "/hello", body, &answer);
         const char *owner = json_string_value(json_object_get(answer, "Bosun"));
         reported = clock_steady();
@@ -148,7 +148,7 @@
             controller = (guint)(owner[strlen("hand-")] - '0');
         else
             controller = (controller + 1) % (guint)load.options.controllers;
-        reported -= status == HTTP_OK ? 0 : (msec_t)(load.options.report_s * MS_PER_S);
+        reported -= status == HTTP_OK ? 0 : (msec_t)(load.options.heartbeat_interval_s * MS_PER_S);
         json_decref(answer);
         json_decref(body);
     }
@@ -251,7 +251,7 @@
         {"machines", 0, 0, G_OPTION_ARG_INT, &options->machines, "workers", "N"},
         {"seconds", 0, 0, G_OPTION_ARG_INT, &options->seconds, "measured", "N"},
         {"warmup", 0, 0, G_OPTION_ARG_INT, &options->warmup, "not measured", "N"},
-        {"report-s", 0, 0, G_OPTION_ARG_DOUBLE, &options->report_s, "between reports", "S"},
+        {"heartbeat-s", 0, 0, G_OPTION_ARG_DOUBLE, &options->heartbeat_interval_s, "between heartbeats", "S"},
         {"jobs-per-s", 0, 0, G_OPTION_ARG_DOUBLE, &options->jobs_per_s, "0: none", "R"},
         {"tasks", 0, 0, G_OPTION_ARG_INT, &options->tasks, "of a job", "N"},
         {"run-s", 0, 0, G_OPTION_ARG_DOUBLE, &options->run_s, "of a task, about", "S"},
--- a/tests/test_encoding_samples.c
+++ b/tests/test_encoding_samples.c
@@ -119,20 +119,21 @@
 {
     (void)state;
     static const task_state_t states[] = {TASK_FETCHING, TASK_RUNNING, TASK_SAVING, TASK_FETCHING};
-    report_t report;
+    worker_heartbeat_t heartbeat;
     char *text = read_sample("worker_report.json");
-    assert_true(wire_parse_report(text, strlen(text), &report, NULL));
-    assert_string_equal(report.machine, "m-000231");
-    assert_string_equal(report.address, "10.1.0.232:9000");
-    assert_string_equal(report.type, "g8");
-    assert_string_equal(report.zone, "north");
-    assert_true(report.spot && report.reclaim_in_s == 12.5);
-    assert_int_equal(report.session, 31);
-    assert_int_equal(report.seq, 88);
-    assert_int_equal(report.token, 41);
-    assert_int_equal(report.attempts->len, G_N_ELEMENTS(states) + CAUSE_ALONE + 1);
-    for (guint i = 0; i < report.attempts->len; i++) {
-        const reported_attempt_t *attempt = &g_array_index(report.attempts, reported_attempt_t, i);
+    assert_true(wire_parse_worker_heartbeat(text, strlen(text), &heartbeat, NULL));
+    assert_string_equal(heartbeat.machine, "m-000231");
+    assert_string_equal(heartbeat.address, "10.1.0.232:9000");
+    assert_string_equal(heartbeat.type, "g8");
+    assert_string_equal(heartbeat.zone, "north");
+    assert_true(heartbeat.spot && heartbeat.reclaim_in_s == 12.5);
+    assert_int_equal(heartbeat.session, 31);
+    assert_int_equal(heartbeat.seq, 88);
+    assert_int_equal(heartbeat.token, 41);
+    assert_int_equal(heartbeat.attempts->len, G_N_ELEMENTS(states) + CAUSE_ALONE + 1);
+    for (guint i = 0; i < heartbeat.attempts->len; i++) {
+        const reported_attempt_t *attempt =
+            &g_array_index(heartbeat.attempts, reported_attempt_t, i);
         bool over = i >= G_N_ELEMENTS(states);
         guint cause = over ? i - G_N_ELEMENTS(states) : CAUSE_NONE;
         assert_string_equal(attempt->job, over ? "j-000398" : "j-000412");
@@ -141,7 +142,7 @@
         assert_int_equal(attempt->state, over ? TASK_EXITED : states[i]);
         assert_int_equal(attempt->cause, cause);
     }
-    report_clear(&report);
+    worker_heartbeat_clear(&heartbeat);
     g_free(text);
 }
 
--- a/tests/test_message_samples.c
+++ b/tests/test_message_samples.c
@@ -30,7 +30,7 @@
         .kv_answer_age_ms = 44,
         .hold_ms = 45,
         .worker_heartbeat_age_ms = 46,
-        .heartbeat = true,
+        .is_heartbeat = true,
         .acknowledged_incarnation = 47,
         .acknowledged_index = 48,
         .update = {.after_index = 49, .last_index = 50, .whole = true, .base_age = -51},
@@ -181,7 +181,7 @@
     (void)state;
     peer_message_t message = read_message_sample("peer_heartbeat.hex");
     assert_string_equal(message.sender, "node-2");
-    assert_true(message.incarnation == 1700000000456 && message.heartbeat);
+    assert_true(message.incarnation == 1700000000456 && message.is_heartbeat);
     assert_int_equal(message.view, 41);
     assert_int_equal(message.number, 42);
     assert_int_equal(message.ack, 43);
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -29,7 +29,7 @@
 {
     settings_t *settings = g_new0(settings_t, 1);
     *settings = (settings_t){.zone = "north",
-                             .report_s = 1,
+                             .heartbeat_interval_s = 1,
                              .lease_s = 10,
                              .cancel_s = 3600, /* no test waits for its end */
                              .kv_rps = 1000,
@@ -236,8 +236,9 @@
     assert_true(is_stopped(0, "j-000001"));
 }
 
-/* A worker's report with one task, running; the answer's commands, or NULL where it was not 200. */
-static json_t *report_task(guint node, json_int_t number, const char *task)
+/* A worker's heartbeat with one task, running; the answer's commands, or NULL where it was not 200.
+ */
+static json_t *send_heartbeat_with_task(guint node, json_int_t number, const char *task)
 {
     json_t *answer = NULL;
     json_t *body =
@@ -274,7 +275,7 @@
         node_sleep(POLL_MS);
     json_t *commands = NULL;
     json_int_t number = 0;
-    while (!commands && !(commands = report_task(1, ++number, "j-000001/0")))
+    while (!commands && !(commands = send_heartbeat_with_task(1, ++number, "j-000001/0")))
         node_sleep(POLL_MS);
     assert_int_equal(json_array_size(commands), 1);
     assert_string_equal(json_string_value(json_object_get(json_array_get(commands, 0), "Call")),
@@ -283,15 +284,15 @@
     expect(1, "GET", "/v2/runs/j-000001", NULL, 200, "cancelled"); /* it can tell, too */
 }
 
-/* Reports until the machine runs so many tasks, to whichever node it is sent; between reports there
- * is time for direct commands. */
-static void report_until(fake_machine_t *machine, guint active)
+/* Heartbeats until the machine runs so many tasks, to whichever node it is sent; between reports
+ * there is time for direct commands. */
+static void send_heartbeats_until(fake_machine_t *machine, guint active)
 {
     static guint node; /* an earlier test's may not be there in this one */
     node = fixture->nodes[node] ? node : 0;
     do {
         json_t *answer = NULL;
-        json_t *body = fake_machine_report(machine);
+        json_t *body = fake_machine_heartbeat(machine);
         int status = send_request(node, "POST", "/hello", body, &answer);
         if (status == 200)
             fake_machine_answer(machine, answer);
@@ -311,23 +312,23 @@
     (void)state;
     begin_ready(1);
     fake_machine_t *machine = fake_machine_new("m-000001");
-    report_until(machine, 0);
+    send_heartbeats_until(machine, 0);
     submit(0, "j-000001");
-    report_until(machine, 2);
+    send_heartbeats_until(machine, 2);
     fake_machine_complete(machine);
     json_t *answer = NULL;
     const char *trim = NULL;
     while (g_strcmp0(trim, "done") != 0) {
         json_decref(answer);
-        report_until(machine, 0);
+        send_heartbeats_until(machine, 0);
         send_request(0, "GET", "/v2/runs/j-000001", NULL, &answer);
         trim = json_string_value(json_object_get(answer, "Trim"));
     }
     json_decref(answer);
     submit(0, "j-000002");
-    report_until(machine, 2);
+    send_heartbeats_until(machine, 2);
     abort_job(0, "j-000002", "cancelled");
-    report_until(machine, 0);
+    send_heartbeats_until(machine, 0);
     expect(0, "GET", "/v2/runs/j-000001", NULL, 200, "done");
     pthread_mutex_lock(&machine->lock);
     assert_int_equal(machine->worker->runs, 4);
@@ -356,14 +357,14 @@
     fake_machine_t *machine = fake_machine_new("m-000001");
     json_t *body = job_body("j-000001");
     json_object_set_new(body, "Pieces", json_integer(10)); /* a machine has room for eight */
-    report_until(machine, 0);
+    send_heartbeats_until(machine, 0);
     expect(0, "POST", "/v2/runs", body, 201, "queued");
-    report_until(machine, 8);
+    send_heartbeats_until(machine, 8);
     for (guint node = 0; node < 2; node++)
         while (!shows_counts(node, "j-000001", 0, 8))
             node_sleep(POLL_MS);
     fake_machine_complete(machine);
-    report_until(machine, 2);
+    send_heartbeats_until(machine, 2);
     for (guint node = 0; node < 2; node++)
         while (!shows_counts(node, "j-000001", 8, 2))
             node_sleep(POLL_MS);
@@ -780,11 +781,11 @@
     node->loaded = node->jobs_synced = true;
     node->jobs_proof = node->pulse = now;
     worker->token = 1;
-    report_t report = fake_worker_report(worker);
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(worker);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    assert_int_equal(partition_report(node->partition, &report, false, now, commands),
-                     REPORT_TAKEN);
-    report_clear(&report);
+    assert_int_equal(partition_handle_heartbeat(node->partition, &heartbeat, false, now, commands),
+                     HEARTBEAT_ACCEPTED);
+    worker_heartbeat_clear(&heartbeat);
     g_array_unref(commands);
     return node;
 }
@@ -957,12 +958,12 @@
     assert_true(is_noted(0, "j-000001")); /* it was told once more */
 }
 
-/* One report of the worker to the controller that it stays with; on any answer but 200 it turns to
- * the other. */
-static void report_somewhere(fake_machine_t *machine, guint *at)
+/* One heartbeat of the worker to the controller that it stays with; on any answer but 200 it turns
+ * to the other. */
+static void send_heartbeat_somewhere(fake_machine_t *machine, guint *at)
 {
     json_t *answer = NULL;
-    json_t *body = fake_machine_report(machine);
+    json_t *body = fake_machine_heartbeat(machine);
     if (send_request(*at, "POST", "/hello", body, &answer) == 200)
         fake_machine_answer(machine, answer);
     else
@@ -971,10 +972,10 @@
     json_decref(body);
 }
 
-static void report_until_active(fake_machine_t *machine, guint *at, guint active)
+static void send_heartbeats_until_active(fake_machine_t *machine, guint *at, guint active)
 {
     do {
-        report_somewhere(machine, at);
+        send_heartbeat_somewhere(machine, at);
         for (guint i = 0; i < 10 && fake_machine_active(machine) != active; i++)
             node_sleep(POLL_MS);
     } while (fake_machine_active(machine) != active);
@@ -1002,7 +1003,7 @@
     wait_ready(0);
     wait_ready(1);
     fake_machine_t *machine = fake_machine_new("m-000001");
-    report_until_active(machine, &at, 0);
+    send_heartbeats_until_active(machine, &at, 0);
     for (guint i = 1; i <= 4; i++) {
         char id[ID_BYTES];
         char path[64];
@@ -1017,18 +1018,18 @@
         assert_true(status == 201 || status == 200);
         json_decref(body);
         expect(1 - i % 2, "GET", path, NULL, 200, NULL);
-        report_until_active(machine, &at, 2);
+        send_heartbeats_until_active(machine, &at, 2);
         if (i % 2) {
             abort_job(1, id, "cancelled");
             expect_everywhere(id, "cancelled");
-            report_until_active(machine, &at, 0);
+            send_heartbeats_until_active(machine, &at, 0);
             continue;
         }
         fake_machine_complete(machine);
         while (g_strcmp0(trim, "done") != 0) {
             json_decref(answer);
             answer = NULL;
-            report_until_active(machine, &at, 0);
+            send_heartbeats_until_active(machine, &at, 0);
             send_request(0, "GET", path, NULL, &answer);
             trim = json_string_value(json_object_get(answer, "Trim"));
         }
@@ -1073,7 +1074,7 @@
     fake_machine_t *machine = fake_machine_new("m-000001");
     submit(0, "j-000001");
     submit(1, "j-000002");
-    report_until_active(machine, &at, 4);
+    send_heartbeats_until_active(machine, &at, 4);
     guint owner = current_owner(0);
     msec_t until = clock_steady() + EXCLUDED_MS;
     for (guint i = 0; i < 2; i++) { /* the leader is one of them */
@@ -1086,11 +1087,11 @@
         pthread_mutex_unlock(&fixture->nodes[i]->lock);
     }
     abort_job(1 - owner, "j-000001", "cancelled");
-    report_until_active(machine, &at, 2);
+    send_heartbeats_until_active(machine, &at, 2);
     while (current_owner(0) == owner)
         node_sleep(POLL_MS);
     abort_job(owner, "j-000002", "cancelled");
-    report_until_active(machine, &at, 0);
+    send_heartbeats_until_active(machine, &at, 0);
     assert_int_equal(runs_of(machine), 4);
     expect_everywhere("j-000001", "cancelled");
     expect_everywhere("j-000002", "cancelled");
@@ -1125,9 +1126,9 @@
     assert_int_equal(fixture->nodes[0]->started_senders, 0);
     pthread_mutex_unlock(&fixture->nodes[0]->lock);
     fake_machine_t *machine = fake_machine_new("m-000001");
-    report_until(machine, 0);
+    send_heartbeats_until(machine, 0);
     submit(0, "j-000001");
-    report_until(machine, 2);
+    send_heartbeats_until(machine, 2);
     pthread_mutex_lock(&fixture->nodes[0]->lock);
     assert_in_range(fixture->nodes[0]->answerers, 1, API_THREADS_COUNT);
     assert_int_equal(__builtin_popcount(fixture->nodes[0]->started_senders), 1);
@@ -1138,11 +1139,11 @@
 static peer_message_t ask_heartbeat(node_t *node, uint64_t incarnation, uint64_t index)
 {
     peer_message_t call = {.sender = "hand-1",
-                           .heartbeat = true,
+                           .is_heartbeat = true,
                            .acknowledged_incarnation = incarnation,
                            .acknowledged_index = index};
     peer_message_t answer;
-    GByteArray *frame = heartbeat_answer(node, &call);
+    GByteArray *frame = peer_heartbeat_answer(node, &call);
     assert_true(peer_decode(frame->data, frame->len, &answer));
     g_byte_array_unref(frame);
     return answer;
@@ -1159,7 +1160,7 @@
     peer_message_t first = ask_heartbeat(node, 0, 0);
     assert_int_equal(first.hold_ms, 0);
     peer_message_t second = ask_heartbeat(node, first.update.incarnation, first.update.last_index);
-    assert_true(second.hold_ms >= HEARTBEAT_HOLD_MS);
+    assert_true(second.hold_ms >= PEER_HEARTBEAT_HOLD_MS);
     pthread_mutex_lock(&node->lock);
     node_remember(node, "j-000001", false);
     pthread_mutex_unlock(&node->lock);
--- a/tests/test_partition.c
+++ b/tests/test_partition.c
@@ -46,20 +46,20 @@
     return 0;
 }
 
-static report_verdict_t deliver(report_t *report, bool direct)
+static heartbeat_verdict_t deliver(worker_heartbeat_t *heartbeat, bool direct)
 {
     g_array_set_size(fixture->commands, 0);
-    report_verdict_t verdict =
-        partition_report(fixture->partition, report, direct, fixture->now, fixture->commands);
-    report_clear(report);
+    heartbeat_verdict_t verdict = partition_handle_heartbeat(fixture->partition, heartbeat, direct,
+                                                             fixture->now, fixture->commands);
+    worker_heartbeat_clear(heartbeat);
     return verdict;
 }
 
-/* One report, taken and answered. */
+/* One heartbeat, taken and answered. */
 static void exchange(void)
 {
-    report_t report = fake_worker_report(fixture->worker);
-    assert_int_equal(deliver(&report, false), REPORT_TAKEN);
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+    assert_int_equal(deliver(&heartbeat, false), HEARTBEAT_ACCEPTED);
     assert_true(fake_worker_answer(fixture->worker, fixture->partition->view, fixture->commands));
     fixture->now += 1000;
 }
@@ -128,15 +128,15 @@
     exchange();
     place("j-000001", 0, 100);
     commit();
-    report_t report = fake_worker_report(fixture->worker);
-    deliver(&report, false);
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+    deliver(&heartbeat, false);
     assert_int_equal(count_commands(COMMAND_RUN), 1); /* this answer is lost */
     exchange();
     assert_int_equal(fixture->worker->runs, 1);
     assert_int_equal(fixture->partition->results->len, 0);
 }
 
-/* Nobody looks at what a report says anew that says nothing new: rounds of placing and commits
+/* Nobody looks at what a heartbeat says anew that says nothing new: rounds of placing and commits
  * follow changes, not reports. */
 static void test_a_report_that_says_nothing_new_is_no_change(void **state)
 {
@@ -243,28 +243,28 @@
 {
     (void)state;
     exchange();
-    report_t late = fake_worker_report(fixture->worker);
+    worker_heartbeat_t late = fake_worker_heartbeat(fixture->worker);
     fake_worker_lose_lease(fixture->worker);
     exchange();
-    assert_int_equal(deliver(&late, false), REPORT_STALE);
+    assert_int_equal(deliver(&late, false), HEARTBEAT_DUPLICATE);
 }
 
-/* The answer to a direct command may overtake a report. Refused, its worker would leave for another
- * node; so it is answered, and nothing of it is taken. */
+/* The answer to a direct command may overtake a heartbeat. Refused, its worker would leave for
+ * another node; so it is answered, and nothing of it is taken. */
 static void test_overtaken_report_changes_nothing(void **state)
 {
     (void)state;
     exchange();
     place("j-000001", 0, 100);
     commit();
-    report_t late = fake_worker_report(fixture->worker);
+    worker_heartbeat_t late = fake_worker_heartbeat(fixture->worker);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     assert_non_null(partition_direct_take(fixture->partition, G_MAXUINT32, fixture->now, commands));
     assert_true(fake_worker_direct(fixture->worker, 7, 1, commands));
     g_array_unref(commands);
-    report_t answer = fake_worker_report(fixture->worker);
-    assert_int_equal(deliver(&answer, true), REPORT_TAKEN); /* the task runs and is listed */
-    assert_int_equal(deliver(&late, false), REPORT_OVERTAKEN);
+    worker_heartbeat_t answer = fake_worker_heartbeat(fixture->worker);
+    assert_int_equal(deliver(&answer, true), HEARTBEAT_ACCEPTED); /* the task runs and is listed */
+    assert_int_equal(deliver(&late, false), HEARTBEAT_OUT_OF_ORDER);
     assert_int_equal(fixture->commands->len, 0);
     assert_true(
         ((machine_t *)g_hash_table_lookup(fixture->partition->machines, "m-000001"))->running == 1);
@@ -344,7 +344,7 @@
     GArray *late = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     assert_non_null(partition_direct_take(fixture->partition, G_MAXUINT32, fixture->now, late));
     partition_direct_done(fixture->partition, "m-000001", late, 7, DIRECT_UNANSWERED);
-    exchange(); /* the report's answer starts it */
+    exchange(); /* the heartbeat's answer starts it */
     assert_int_equal(fixture->worker->runs, 1);
     fake_worker_exit(fixture->worker, "j-000001", 0, CAUSE_ERROR);
     exchange();
@@ -409,7 +409,7 @@
 }
 
 /* Two controllers believe that they own the machine: the one with the older token can neither
- * start anything there nor take its report for its own. */
+ * start anything there nor take its heartbeat for its own. */
 static void test_older_owner_is_powerless(void **state)
 {
     (void)state;
@@ -420,11 +420,11 @@
     commit();
     exchange();
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    report_t report = fake_worker_report(fixture->worker);
-    partition_report(older, &report, false, fixture->now, commands);
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+    partition_handle_heartbeat(older, &heartbeat, false, fixture->now, commands);
     assert_false(fake_worker_answer(fixture->worker, 6, commands));
     assert_int_equal(fake_worker_active(fixture->worker), 1);
-    report_clear(&report);
+    worker_heartbeat_clear(&heartbeat);
     g_array_unref(commands);
     partition_free(older);
 }
@@ -495,8 +495,8 @@
     load_record();
     partition_end_job(fixture->partition, "j-000001");
     fixture->worker->token = 6;
-    report_t report = fake_worker_report(fixture->worker);
-    assert_int_equal(deliver(&report, false), REPORT_UNPROVEN);
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+    assert_int_equal(deliver(&heartbeat, false), HEARTBEAT_UNVERIFIED);
     fake_worker_answer(fixture->worker, 7, fixture->commands);
     commit();
     assert_int_equal(fixture->partition->results->len, 0);
@@ -554,8 +554,8 @@
         partition_withdraw(fixture->partition, &ref, fixture->now);
     }
     partition_end_job(fixture->partition, "j-000001");
-    report_t report = fake_worker_report(fixture->worker);
-    deliver(&report, false);
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+    deliver(&heartbeat, false);
     assert_int_equal(count_commands(COMMAND_STOP), 2);
     assert_true(the_stop()->grace_s == 0);
 }
@@ -569,8 +569,8 @@
     fixture->worker->token = 6;
     fixture->worker->seq = 40;
     fake_worker_lose_lease(fixture->worker);
-    report_t report = fake_worker_report(fixture->worker);
-    assert_int_equal(deliver(&report, false), REPORT_UNPROVEN);
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+    assert_int_equal(deliver(&heartbeat, false), HEARTBEAT_UNVERIFIED);
     commit();
     assert_int_equal(fixture->partition->results->len, 0);
     fake_worker_answer(fixture->worker, 7, fixture->commands);
@@ -581,8 +581,8 @@
 }
 
 /* A leader ended while this machine, with a long task, could not be reached, or does not hear the
- * new one's answers: its reports come, under the old token. The attempt stands, in the record too,
- * until the cloud says that the machine is gone. */
+ * new one's answers: its heartbeats come, under the old token. The attempt stands, in the record
+ * too, until the cloud says that the machine is gone. */
 static void test_a_deaf_machine_keeps_its_task_through_a_change_of_leader(void **state)
 {
     (void)state;
@@ -591,13 +591,13 @@
     reported_attempt_t reported_attempt = {.job = "j-000001", .attempt = 55, .state = TASK_RUNNING};
     g_array_append_val(fixture->worker->attempts, reported_attempt);
     for (int i = 0; i < 4; i++) {
-        report_t report = fake_worker_report(fixture->worker);
-        assert_int_equal(deliver(&report, false), REPORT_UNPROVEN);
+        worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+        assert_int_equal(deliver(&heartbeat, false), HEARTBEAT_UNVERIFIED);
         fixture->now += 15000;
     }
     fake_worker_lose_lease(fixture->worker);
-    report_t report = fake_worker_report(fixture->worker);
-    deliver(&report, false);
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+    deliver(&heartbeat, false);
     commit();
     assert_int_equal(fixture->partition->results->len, 0);
     partition_machine_gone(fixture->partition, "m-000001");
@@ -610,8 +610,9 @@
     return g_hash_table_lookup(fixture->partition->machines, "m-000001");
 }
 
-/* A fresh owner, after a restart or a change of view, has nothing to compare a report with. A copy
- * from minutes ago must not rewind session or address, prove absence, forget, or keep alive. */
+/* A fresh owner, after a restart or a change of view, has nothing to compare a heartbeat with. A
+ * copy from minutes ago must not rewind session or address, prove absence, forget, or keep alive.
+ */
 static void test_copy_at_a_fresh_owner_changes_nothing(void **state)
 {
     (void)state;
@@ -620,13 +621,13 @@
     fake_worker_t *past = fake_worker_new("m-000001");
     past->token = 6;
     past->seq = 40;
-    report_t copy = fake_worker_report(past);
+    worker_heartbeat_t copy = fake_worker_heartbeat(past);
     g_strlcpy(copy.address, "10.9.9.9:1", sizeof copy.address);
     fixture->now += 5000;
-    assert_int_equal(deliver(&copy, false), REPORT_UNPROVEN);
+    assert_int_equal(deliver(&copy, false), HEARTBEAT_UNVERIFIED);
     assert_int_equal(fixture->commands->len, 0);
     assert_string_equal(the_machine()->address, "10.1.0.1:9000");
-    assert_int_equal(the_machine()->reached, fixture->now - 5000);
+    assert_int_equal(the_machine()->last_acknowledged_at, fixture->now - 5000);
     assert_false(partition_is_reached(fixture->partition, the_machine(), fixture->now));
     commit();
     assert_int_equal(fixture->partition->results->len, 0);
@@ -639,24 +640,24 @@
 {
     (void)state;
     exchange();
-    report_t original = fake_worker_report(fixture->worker);
-    report_t copy = original;
+    worker_heartbeat_t original = fake_worker_heartbeat(fixture->worker);
+    worker_heartbeat_t copy = original;
     copy.attempts = g_array_copy(original.attempts);
     deliver(&original, false);
     msec_t last = fixture->now;
     place("j-000001", 0, 100);
     commit();
     fixture->now += 20000;
-    assert_int_equal(deliver(&copy, false), REPORT_STALE);
-    assert_int_equal(the_machine()->reached, last);
-    assert_int_equal(the_machine()->last_report, last);
+    assert_int_equal(deliver(&copy, false), HEARTBEAT_DUPLICATE);
+    assert_int_equal(the_machine()->last_acknowledged_at, last);
+    assert_int_equal(the_machine()->last_heartbeat_at, last);
     assert_int_equal(the_machine()->reservations->len, 1); /* confirmed by nothing */
     assert_int_equal(fixture->commands->len, 0);
 }
 
-/* Reports come, answers and commands are lost: the worker waits 4 s for each answer and goes from
- * node to node, so it is heard here every 15 s. Starts sent there would all be lost with its lease,
- * time after time. */
+/* Heartbeats come, answers and commands are lost: the worker waits 4 s for each answer and goes
+ * from node to node, so it is heard here every 15 s. Starts sent there would all be lost with its
+ * lease, time after time. */
 static void test_reporting_but_unreached_machine_gets_no_starts(void **state)
 {
     (void)state;
@@ -668,10 +669,11 @@
     for (int round = 0; round < 3; round++) {
         fixture->now += 15000;
         fake_worker_lose_lease(fixture->worker);
-        report_t report = fake_worker_report(fixture->worker);
-        assert_int_equal(deliver(&report, false), REPORT_TAKEN);
+        worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+        assert_int_equal(deliver(&heartbeat, false), HEARTBEAT_ACCEPTED);
         assert_null(partition_place(fixture->partition, &request, fixture->now));
-        assert_true(fixture->now - the_machine()->reached >= 15000); /* as good as silent */
+        assert_true(fixture->now - the_machine()->last_acknowledged_at >=
+                    15000); /* as good as silent */
         commit();
         assert_true(
             has_result(0, CAUSE_NONE)); /* its new session is proof: the task goes on elsewhere */
@@ -689,11 +691,11 @@
         return NULL;
     assert_int_equal(fixture->commands->len, 0);
     partition_direct_done(fixture->partition, "m-000001", fixture->commands, 7, result);
-    report_t report = fake_worker_report(fixture->worker);
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
     if (result <= DIRECT_REFUSED)
-        assert_int_equal(deliver(&report, true), REPORT_TAKEN);
+        assert_int_equal(deliver(&heartbeat, true), HEARTBEAT_ACCEPTED);
     else
-        report_clear(&report);
+        worker_heartbeat_clear(&heartbeat);
     if (result == DIRECT_EXECUTED)
         partition_probed(fixture->partition, "m-000001", fixture->now);
     return machine;
@@ -709,21 +711,21 @@
     assert_null(partition_place(fixture->partition, &request, fixture->now));
     assert_non_null(probe(DIRECT_EXECUTED));
     assert_non_null(partition_place(fixture->partition, &request, fixture->now));
-    /* It opens the machine for a moment only: leases are renewed by reports. */
+    /* It opens the machine for a moment only: leases are renewed by heartbeats. */
     request.task = 1;
-    fixture->now += fixture->partition->fresh;
+    fixture->now += fixture->partition->acknowledgement_timeout;
     assert_null(partition_place(fixture->partition, &request, fixture->now));
-    /* A report from before this view is still perhaps a copy. */
-    report_t copy = fake_worker_report(fixture->worker);
+    /* A heartbeat from before this view is still perhaps a copy. */
+    worker_heartbeat_t copy = fake_worker_heartbeat(fixture->worker);
     copy.token = 6;
-    assert_int_equal(deliver(&copy, false), REPORT_UNPROVEN);
+    assert_int_equal(deliver(&copy, false), HEARTBEAT_UNVERIFIED);
     assert_null(partition_place(fixture->partition, &request, fixture->now));
     exchange();
     assert_non_null(partition_place(fixture->partition, &request, fixture->now));
 }
 
-/* On a small share of a processor, probes of all machines take longer than their next reports: only
- * those that stay silent are asked. */
+/* On a small share of a processor, probes of all machines take longer than their next heartbeats:
+ * only those that stay silent are asked. */
 static void test_delayed_probes_ask_only_machines_that_stay_silent(void **state)
 {
     (void)state;
@@ -746,7 +748,7 @@
     fixture->now += fixture->partition->probe_delay;
     exchange();
     partition_direct_take(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands);
-    assert_int_equal(fixture->partition->probing, 0);
+    assert_int_equal(fixture->partition->probes_in_flight, 0);
 }
 
 static void test_probe_that_is_refused_or_lost_opens_nothing(void **state)
@@ -757,7 +759,7 @@
     assert_non_null(probe(DIRECT_REFUSED)); /* another session, or a higher token */
     assert_null(partition_place(fixture->partition, &request, fixture->now));
     assert_null(probe(DIRECT_EXECUTED)); /* it is asked once */
-    assert_int_equal(fixture->partition->probing, 0);
+    assert_int_equal(fixture->partition->probes_in_flight, 0);
     exchange();
     assert_non_null(partition_place(fixture->partition, &request, fixture->now));
 }
@@ -768,7 +770,7 @@
 {
     (void)state;
     placement_request_t request = request_of("j-000001", 0, 100, 1);
-    partition_set_report(fixture->partition, 3.0);
+    partition_set_heartbeat_interval(fixture->partition, 3.0);
     exchange();
     for (uint32_t i = 0; i < 8; i++) {
         fixture->now += 3500; /* and 1 s in exchange() */
@@ -776,7 +778,7 @@
         request.attempt = 100 + i;
         assert_non_null(partition_place(fixture->partition, &request, fixture->now));
         exchange();
-        assert_true(fixture->now - the_machine()->reached <= 1000);
+        assert_true(fixture->now - the_machine()->last_acknowledged_at <= 1000);
     }
 }
 
@@ -789,18 +791,19 @@
     assert_non_null(
         partition_direct_take(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands));
     assert_int_equal(fixture->commands->len, 0);
-    report_t same = fake_worker_report(fixture->worker);
-    assert_int_equal(deliver(&same, true), REPORT_TAKEN); /* it lists nothing: no proof by itself */
+    worker_heartbeat_t same = fake_worker_heartbeat(fixture->worker);
+    assert_int_equal(deliver(&same, true),
+                     HEARTBEAT_ACCEPTED); /* it lists nothing: no proof by itself */
     commit();
     assert_int_equal(fixture->partition->results->len, 0);
     fake_worker_lose_lease(fixture->worker);
-    report_t answer = fake_worker_report(fixture->worker);
+    worker_heartbeat_t answer = fake_worker_heartbeat(fixture->worker);
     deliver(&answer, true);
     partition_direct_done(fixture->partition, "m-000001", fixture->commands, 7, DIRECT_REFUSED);
     commit();
     assert_true(has_result(0, CAUSE_NONE));
     placement_request_t request = request_of("j-000009", 0, 900, 4);
-    fixture->now += fixture->partition->fresh;
+    fixture->now += fixture->partition->acknowledgement_timeout;
     assert_null(partition_place(fixture->partition, &request,
                                 fixture->now)); /* its leases can't be renewed */
 }
@@ -845,10 +848,10 @@
     (void)state;
     placement_request_t request = request_of("j-000001", 0, 100, 4);
     exchange();
-    report_t copy = fake_worker_report(fixture->worker);
+    worker_heartbeat_t copy = fake_worker_heartbeat(fixture->worker);
     partition_machine_gone(fixture->partition, "m-000001");
     commit();
-    assert_int_equal(deliver(&copy, false), REPORT_STALE);
+    assert_int_equal(deliver(&copy, false), HEARTBEAT_DUPLICATE);
     assert_int_equal(g_hash_table_size(fixture->partition->machines), 0);
     assert_null(partition_place(fixture->partition, &request, fixture->now));
 }
@@ -868,9 +871,9 @@
     (void)state;
     fake_worker_t *other = fake_worker_new("m-000002");
     other->token = 7;
-    report_t report = fake_worker_report(other);
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(other);
     exchange();
-    deliver(&report, false);
+    deliver(&heartbeat, false);
     guint first = 0;
     for (uint32_t i = 0; i < 4; i++) {
         placement_request_t request = request_of("j-000001", i, 100 + i, 4);
@@ -975,8 +978,8 @@
     normal.preempt = true;
     assert_non_null(partition_place(fixture->partition, &normal, fixture->now));
     commit();
-    report_t report = fake_worker_report(fixture->worker);
-    deliver(&report, false);
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+    deliver(&heartbeat, false);
     assert_int_equal(count_commands(COMMAND_STOP), 1);
     assert_int_equal(count_commands(COMMAND_RUN), 0);
     fake_worker_exit(fixture->worker, "j-000001", 0, CAUSE_STOPPED);
@@ -985,8 +988,8 @@
 }
 
 /* A direct `run` went unanswered, and its job is cancelled. Reports without the task prove nothing
- * while the copy may still arrive; when it does, it is stopped with the next report, and forgotten
- * only under a token that voids every copy. */
+ * while the copy may still arrive; when it does, it is stopped with the next heartbeat, and
+ * forgotten only under a token that voids every copy. */
 static void test_a_run_that_is_out_stays_out_until_proof(void **state)
 {
     (void)state;
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -53,15 +53,15 @@
 
 static void report_of(const char *id, const char *type, uint64_t seq)
 {
-    report_t report = {.session = 1, .seq = seq, .token = 1, .reclaim_in_s = -1};
-    g_strlcpy(report.machine, id, sizeof report.machine);
-    g_strlcpy(report.address, "10.1.255.254:9000", sizeof report.address);
-    g_strlcpy(report.type, type, sizeof report.type);
-    g_strlcpy(report.zone, "north", sizeof report.zone);
-    report.attempts = g_array_new(FALSE, FALSE, sizeof(reported_attempt_t));
+    worker_heartbeat_t heartbeat = {.session = 1, .seq = seq, .token = 1, .reclaim_in_s = -1};
+    g_strlcpy(heartbeat.machine, id, sizeof heartbeat.machine);
+    g_strlcpy(heartbeat.address, "10.1.255.254:9000", sizeof heartbeat.address);
+    g_strlcpy(heartbeat.type, type, sizeof heartbeat.type);
+    g_strlcpy(heartbeat.zone, "north", sizeof heartbeat.zone);
+    heartbeat.attempts = g_array_new(FALSE, FALSE, sizeof(reported_attempt_t));
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    partition_report(partition, &report, false, 1000 * (msec_t)seq, commands);
-    report_clear(&report);
+    partition_handle_heartbeat(partition, &heartbeat, false, 1000 * (msec_t)seq, commands);
+    worker_heartbeat_clear(&heartbeat);
     g_array_unref(commands);
 }
 
--- a/tests/test_redirection.c
+++ b/tests/test_redirection.c
@@ -1,4 +1,4 @@
-/* Tests of workers that report to a node that does not own them. */
+/* Tests of workers that heartbeat to a node that does not own them. */
 #include "core/redirection.h"
 #include "unit_test.h"
 
@@ -20,8 +20,8 @@
 
 static redirection_verdict_t receive(uint64_t session, uint64_t seq, msec_t now)
 {
-    report_t report = {.machine = "m-000001", .session = session, .seq = seq};
-    return redirection_report(redirection, &report, "hand-1", false, now);
+    worker_heartbeat_t heartbeat = {.machine = "m-000001", .session = session, .seq = seq};
+    return redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false, now);
 }
 
 static guint retained(msec_t now)
@@ -43,18 +43,18 @@
     assert_int_equal(retained(5000 + RETAIN_MS), 0);
 }
 
-/* Copies of two old reports look like a worker that came back: the leader would keep a dead
+/* Copies of two old heartbeats look like a worker that came back: the leader would keep a dead
  * machine, tasks and all. */
 static void test_copies_keep_no_machine_alive(void **state)
 {
     (void)state;
     assert_int_equal(receive(1, 5, 1000), REDIRECTION_TO_OWNER);
-    assert_int_equal(receive(1, 5, 2000), REDIRECTION_STALE);
-    assert_int_equal(receive(1, 4, 2000), REDIRECTION_STALE);
+    assert_int_equal(receive(1, 5, 2000), REDIRECTION_DUPLICATE);
+    assert_int_equal(receive(1, 4, 2000), REDIRECTION_DUPLICATE);
     assert_int_equal(receive(1, 6, 5000),
                      REDIRECTION_RETAINED); /* perhaps a late one: answered, not told */
     assert_int_equal(retained(5000), 0);
-    assert_int_equal(receive(1, 6, 5500), REDIRECTION_STALE);
+    assert_int_equal(receive(1, 6, 5500), REDIRECTION_DUPLICATE);
     assert_int_equal(receive(1, 7, 15000),
                      REDIRECTION_RETAINED); /* 10 s later: no answer has arrived there */
     assert_int_equal(retained(15000), 0);
@@ -64,15 +64,16 @@
 {
     (void)state;
     receive(2, 5, 1000);
-    assert_int_equal(receive(1, 90, 2000), REDIRECTION_STALE);
+    assert_int_equal(receive(1, 90, 2000), REDIRECTION_DUPLICATE);
     assert_int_equal(receive(3, 1, 2000), REDIRECTION_RETAINED);
 }
 
 static redirection_verdict_t receive_with_loss(const char *machine, uint64_t seq, msec_t now)
 {
-    report_t report = {.session = 1, .seq = seq};
-    g_strlcpy(report.machine, machine, sizeof report.machine);
-    return redirection_report(redirection, &report, "hand-1", false, REDIRECTION_GRACE_MS + now);
+    worker_heartbeat_t heartbeat = {.session = 1, .seq = seq};
+    g_strlcpy(heartbeat.machine, machine, sizeof heartbeat.machine);
+    return redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false,
+                                        REDIRECTION_GRACE_MS + now);
 }
 
 /* Workers that had their owner in this view lost it, all at once. Sent back to it, each waited 5 s
@@ -106,17 +107,17 @@
     (void)state;
     assert_int_equal(receive_with_loss("m-000001", 1, 1000), REDIRECTION_TO_OWNER);
     assert_int_equal(receive_with_loss("m-000001", 2, 2000), REDIRECTION_RETAINED);
-    report_t report = {.machine = "m-000002", .session = 1, .seq = 1};
+    worker_heartbeat_t heartbeat = {.machine = "m-000002", .session = 1, .seq = 1};
     redirection_clear(redirection, 0, REDIRECTION_GRACE_MS + 2050);
-    assert_int_equal(
-        redirection_report(redirection, &report, "hand-1", false, REDIRECTION_GRACE_MS + 2100),
-        REDIRECTION_TO_OWNER);
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false,
+                                                  REDIRECTION_GRACE_MS + 2100),
+                     REDIRECTION_TO_OWNER);
     /* Nor is any worker retained for a probe while workers are on their way to new owners, whatever
      * token a command brought them. */
-    g_strlcpy(report.machine, "m-000003", sizeof report.machine);
-    assert_int_equal(
-        redirection_report(redirection, &report, "hand-1", false, REDIRECTION_GRACE_MS + 2200),
-        REDIRECTION_TO_OWNER);
+    g_strlcpy(heartbeat.machine, "m-000003", sizeof heartbeat.machine);
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false,
+                                                  REDIRECTION_GRACE_MS + 2200),
+                     REDIRECTION_TO_OWNER);
 }
 
 /* After a view its owner is another, which others of its workers could not reach a moment ago: it
@@ -127,46 +128,46 @@
     receive_with_loss("m-000001", 1, 1000);
     receive_with_loss("m-000001", 2, 11000); /* hand-1 is missed */
     redirection_clear(redirection, 0, REDIRECTION_GRACE_MS + 11500);
-    report_t report = {.machine = "m-000004", .session = 1, .seq = 1};
-    assert_int_equal(
-        redirection_report(redirection, &report, "hand-1", false, REDIRECTION_GRACE_MS + 12000),
-        REDIRECTION_RETAINED);
-    report.seq = 2;
-    g_strlcpy(report.machine, "m-000005", sizeof report.machine);
-    assert_int_equal(redirection_report(redirection, &report, "hand-1 anew", false,
-                                        REDIRECTION_GRACE_MS + 12000),
+    worker_heartbeat_t heartbeat = {.machine = "m-000004", .session = 1, .seq = 1};
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false,
+                                                  REDIRECTION_GRACE_MS + 12000),
+                     REDIRECTION_RETAINED);
+    heartbeat.seq = 2;
+    g_strlcpy(heartbeat.machine, "m-000005", sizeof heartbeat.machine);
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1 anew", false,
+                                                  REDIRECTION_GRACE_MS + 12000),
                      REDIRECTION_TO_OWNER);
-    assert_int_equal(
-        redirection_report(redirection, &report, "hand-2", false, REDIRECTION_GRACE_MS + 12000),
-        REDIRECTION_STALE);
-    report.seq = 3; /* it came right back from the one that began anew */
-    assert_int_equal(redirection_report(redirection, &report, "hand-1 anew", false,
-                                        REDIRECTION_GRACE_MS + 20000),
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-2", false,
+                                                  REDIRECTION_GRACE_MS + 12000),
+                     REDIRECTION_DUPLICATE);
+    heartbeat.seq = 3; /* it came right back from the one that began anew */
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1 anew", false,
+                                                  REDIRECTION_GRACE_MS + 20000),
                      REDIRECTION_RETAINED);
 }
 
-/* Copies of reports from before the view reach every controller just as it begins, when nobody has
- * anything to compare them with. The worker, which comes for the first time after them, had looked
- * like one that could not reach its owner: it was kept from it for 20 s without starts, and all
- * that belong there along with it. */
+/* Copies of heartbeats from before the view reach every controller just as it begins, when nobody
+ * has anything to compare them with. The worker, which comes for the first time after them, had
+ * looked like one that could not reach its owner: it was kept from it for 20 s without starts, and
+ * all that belong there along with it. */
 static void test_a_copy_from_before_the_view_redirects_nobody(void **state)
 {
     (void)state;
-    report_t report = {.machine = "m-000001", .session = 1, .seq = 5, .token = 6};
+    worker_heartbeat_t heartbeat = {.machine = "m-000001", .session = 1, .seq = 5, .token = 6};
     redirection_clear(redirection, 7, 1000);
-    assert_int_equal(redirection_report(redirection, &report, "hand-1", false, 1100),
-                     REDIRECTION_UNPROVEN);
-    assert_int_equal(redirection_report(redirection, &report, "hand-1", false, 1200),
-                     REDIRECTION_UNPROVEN);
-    report.seq = 9;
-    report.token = 7; /* the worker: an answer, or its owner's command, brought it the token */
-    assert_int_equal(
-        redirection_report(redirection, &report, "hand-1", false, 1100 + REDIRECT_TIMEOUT_MS),
-        REDIRECTION_TO_OWNER);
-    report_t other = {.machine = "m-000002", .session = 1, .seq = 5, .token = 7};
-    assert_int_equal(
-        redirection_report(redirection, &other, "hand-1", false, 1200 + REDIRECT_TIMEOUT_MS),
-        REDIRECTION_TO_OWNER);
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false, 1100),
+                     REDIRECTION_UNVERIFIED);
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false, 1200),
+                     REDIRECTION_UNVERIFIED);
+    heartbeat.seq = 9;
+    heartbeat.token = 7; /* the worker: an answer, or its owner's command, brought it the token */
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false,
+                                                  1100 + REDIRECT_TIMEOUT_MS),
+                     REDIRECTION_TO_OWNER);
+    worker_heartbeat_t other = {.machine = "m-000002", .session = 1, .seq = 5, .token = 7};
+    assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", false,
+                                                  1200 + REDIRECT_TIMEOUT_MS),
+                     REDIRECTION_TO_OWNER);
     assert_int_equal(retained(1200 + REDIRECT_TIMEOUT_MS), 0);
 }
 
@@ -181,13 +182,13 @@
         {.job = "j-000002", .task = 1, .attempt = 8, .state = TASK_SAVING},
         {.job = "j-000002", .task = 2, .attempt = 9, .state = TASK_EXITED},
         {.job = "j-000002", .task = 3, .attempt = 9, .state = TASK_FETCHING}};
-    report_t report = {.machine = "m-000001",
-                       .attempts = g_array_new(FALSE, FALSE, sizeof(reported_attempt_t))};
-    g_array_append_vals(report.attempts, attempts, G_N_ELEMENTS(attempts));
+    worker_heartbeat_t heartbeat = {
+        .machine = "m-000001", .attempts = g_array_new(FALSE, FALSE, sizeof(reported_attempt_t))};
+    g_array_append_vals(heartbeat.attempts, attempts, G_N_ELEMENTS(attempts));
     GHashTable *live = g_hash_table_new(g_str_hash, g_str_equal);
     g_hash_table_add(live, (gpointer) "j-000001");
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    redirection_stop_ended(&report, live, commands);
+    redirection_stop_ended(&heartbeat, live, commands);
     assert_int_equal(commands->len, 2);
     for (guint i = 0; i < commands->len; i++) {
         const worker_command_t *command = &g_array_index(commands, worker_command_t, i);
@@ -198,7 +199,7 @@
     }
     g_array_unref(commands);
     g_hash_table_unref(live);
-    report_clear(&report);
+    worker_heartbeat_clear(&heartbeat);
 }
 
 /* A machine that hung comes back to the wrong controller with others of its owner: retained for the
@@ -207,18 +208,18 @@
 {
     (void)state;
     msec_t now = REDIRECTION_GRACE_MS + 1000;
-    report_t first = {.machine = "m-000001", .session = 1, .seq = 1};
-    report_t second = {.machine = "m-000002", .session = 1, .seq = 1};
-    assert_int_equal(redirection_report(redirection, &first, "hand-1", true, now),
+    worker_heartbeat_t first = {.machine = "m-000001", .session = 1, .seq = 1};
+    worker_heartbeat_t second = {.machine = "m-000002", .session = 1, .seq = 1};
+    assert_int_equal(redirection_handle_heartbeat(redirection, &first, "hand-1", true, now),
                      REDIRECTION_TO_OWNER);
-    assert_int_equal(redirection_report(redirection, &second, "hand-1", true, now + 100),
+    assert_int_equal(redirection_handle_heartbeat(redirection, &second, "hand-1", true, now + 100),
                      REDIRECTION_TO_OWNER);
-    owner_health_t health = {.answered_at = now - 500, .worker_report_at = now - 800};
+    owner_health_t health = {.answered_at = now - 500, .worker_heartbeat_at = now - 800};
     assert_true(redirection_owner_is_healthy(&health, now));
     /* One that answers us but is heard by no worker, or the reverse, may be cut from workers. */
-    health.worker_report_at = now - OWNER_FRESH_MS;
+    health.worker_heartbeat_at = now - OWNER_FRESH_MS;
     assert_false(redirection_owner_is_healthy(&health, now));
-    health = (owner_health_t){.answered_at = now - OWNER_FRESH_MS, .worker_report_at = now};
+    health = (owner_health_t){.answered_at = now - OWNER_FRESH_MS, .worker_heartbeat_at = now};
     assert_false(redirection_owner_is_healthy(&health, now));
     health = (owner_health_t){0};
     assert_false(redirection_owner_is_healthy(&health, 100)); /* it never answered */
@@ -230,26 +231,26 @@
 {
     (void)state;
     msec_t now = REDIRECTION_GRACE_MS + 1000;
-    report_t probe = {.machine = "m-000001", .session = 1, .seq = 1};
-    report_t other = {.machine = "m-000002", .session = 1, .seq = 1};
-    assert_int_equal(redirection_report(redirection, &probe, "hand-1", false, now),
+    worker_heartbeat_t probe = {.machine = "m-000001", .session = 1, .seq = 1};
+    worker_heartbeat_t other = {.machine = "m-000002", .session = 1, .seq = 1};
+    assert_int_equal(redirection_handle_heartbeat(redirection, &probe, "hand-1", false, now),
                      REDIRECTION_TO_OWNER);
-    assert_int_equal(redirection_report(redirection, &other, "hand-1", false, now + 100),
+    assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", false, now + 100),
                      REDIRECTION_RETAINED);
     other.seq++;
-    assert_int_equal(redirection_report(redirection, &other, "hand-1", false, now + 1100),
+    assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", false, now + 1100),
                      REDIRECTION_RETAINED);
     other.seq++;
-    assert_int_equal(redirection_report(redirection, &other, "hand-1", true, now + 2100),
+    assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", true, now + 2100),
                      REDIRECTION_TO_OWNER);
     other.seq++; /* it tried for itself in vain, and stays for the whole time */
-    assert_int_equal(
-        redirection_report(redirection, &other, "hand-1", true, now + 2100 + REDIRECT_TIMEOUT_MS),
-        REDIRECTION_RETAINED);
+    assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", true,
+                                                  now + 2100 + REDIRECT_TIMEOUT_MS),
+                     REDIRECTION_RETAINED);
     other.seq++;
-    assert_int_equal(
-        redirection_report(redirection, &other, "hand-1", true, now + 3100 + REDIRECT_TIMEOUT_MS),
-        REDIRECTION_RETAINED);
+    assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", true,
+                                                  now + 3100 + REDIRECT_TIMEOUT_MS),
+                     REDIRECTION_RETAINED);
 }
 
 /* A controller that had just begun kept each worker that it turned away without starts for 20 s. */
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -95,33 +95,33 @@
 static void test_report_is_read(void **state)
 {
     (void)state;
-    report_t report;
-    assert_true(wire_parse_report(report_text, strlen(report_text), &report, NULL));
-    assert_int_equal(report.token, 41);
-    assert_true(report.reclaim_in_s < 0);
-    assert_int_equal(report.attempts->len, 2);
-    assert_int_equal(g_array_index(report.attempts, reported_attempt_t, 0).task, 3);
-    assert_int_equal(g_array_index(report.attempts, reported_attempt_t, 1).cause, CAUSE_DONE);
-    assert_int_equal(g_array_index(report.attempts, reported_attempt_t, 0).cause, CAUSE_NONE);
-    report_clear(&report);
+    worker_heartbeat_t heartbeat;
+    assert_true(wire_parse_worker_heartbeat(report_text, strlen(report_text), &heartbeat, NULL));
+    assert_int_equal(heartbeat.token, 41);
+    assert_true(heartbeat.reclaim_in_s < 0);
+    assert_int_equal(heartbeat.attempts->len, 2);
+    assert_int_equal(g_array_index(heartbeat.attempts, reported_attempt_t, 0).task, 3);
+    assert_int_equal(g_array_index(heartbeat.attempts, reported_attempt_t, 1).cause, CAUSE_DONE);
+    assert_int_equal(g_array_index(heartbeat.attempts, reported_attempt_t, 0).cause, CAUSE_NONE);
+    worker_heartbeat_clear(&heartbeat);
 }
 
 /* Consumes the body. */
-static bool takes_report(json_t *body, reason_t *why)
+static bool accepts_heartbeat(json_t *body, reason_t *why)
 {
-    report_t report;
+    worker_heartbeat_t heartbeat;
     char *text = json_dumps(body, JSON_ENCODE_ANY);
-    bool taken = wire_parse_report(text, strlen(text), &report, why);
+    bool taken = wire_parse_worker_heartbeat(text, strlen(text), &heartbeat, why);
     if (taken)
-        report_clear(&report);
+        worker_heartbeat_clear(&heartbeat);
     else
-        assert_null(report.attempts);
+        assert_null(heartbeat.attempts);
     free(text);
     json_decref(body);
     return taken;
 }
 
-static json_t *report_with(const char *field, json_t *value)
+static json_t *heartbeat_with(const char *field, json_t *value)
 {
     json_t *body = json_loads(report_text, 0, NULL);
     json_object_set_new(body, field, value);
@@ -138,44 +138,46 @@
 static void test_report_fields_that_nobody_reads_do_no_harm(void **state)
 {
     (void)state;
-    assert_true(takes_report(
-        report_with("New", json_pack("{s:[i,{s:i}],s:n}", "Watch", 1, "Piece", 2, "Trim")), NULL));
-    assert_true(
-        takes_report(report_with("New", json_pack("[[s],{s:s}]", "Pieces", "Helm", "x")), NULL));
-    assert_true(
-        takes_report(attempt_with("New", json_pack("{s:s,s:[i]}", "Trim", "x", "Cause", 1)), NULL));
-    assert_true(takes_report(report_with("Pieces", json_null()), NULL));
-    assert_true(takes_report(report_with("WarningS", json_real(12.5)), NULL));
+    assert_true(accepts_heartbeat(
+        heartbeat_with("New", json_pack("{s:[i,{s:i}],s:n}", "Watch", 1, "Piece", 2, "Trim")),
+        NULL));
+    assert_true(accepts_heartbeat(
+        heartbeat_with("New", json_pack("[[s],{s:s}]", "Pieces", "Helm", "x")), NULL));
+    assert_true(accepts_heartbeat(
+        attempt_with("New", json_pack("{s:s,s:[i]}", "Trim", "x", "Cause", 1)), NULL));
+    assert_true(accepts_heartbeat(heartbeat_with("Pieces", json_null()), NULL));
+    assert_true(accepts_heartbeat(heartbeat_with("WarningS", json_real(12.5)), NULL));
 }
 
 static void test_report_with_a_field_of_the_wrong_kind_is_refused(void **state)
 {
     (void)state;
     reason_t why;
-    assert_false(takes_report(report_with("Pieces", json_integer(1)), &why));
+    assert_false(accepts_heartbeat(heartbeat_with("Pieces", json_integer(1)), &why));
     assert_non_null(strstr(why.text, "Pieces"));
-    assert_false(takes_report(report_with("Pieces", json_object()), &why));
-    assert_false(takes_report(report_with("Pieces", json_pack("[i]", 1)), &why));
-    assert_false(takes_report(report_with("Pieces", json_pack("[[]]")), &why));
-    assert_false(takes_report(report_with("Pieces", json_pack("[{}]")), &why));
-    assert_false(takes_report(report_with("WarningS", json_real(-1)), &why));
-    assert_false(takes_report(report_with("WarningS", json_string("1")), &why));
-    assert_false(takes_report(report_with("Helm", json_real(1.5)), &why));
-    assert_false(takes_report(report_with("Helm", json_integer(-1)), &why));
-    assert_false(takes_report(report_with("Winch", json_stringn("m\0x", 3)), &why));
-    assert_false(takes_report(report_with("Winch", json_string("")), &why));
-    assert_false(takes_report(attempt_with("Heave", json_string("2")), &why));
+    assert_false(accepts_heartbeat(heartbeat_with("Pieces", json_object()), &why));
+    assert_false(accepts_heartbeat(heartbeat_with("Pieces", json_pack("[i]", 1)), &why));
+    assert_false(accepts_heartbeat(heartbeat_with("Pieces", json_pack("[[]]")), &why));
+    assert_false(accepts_heartbeat(heartbeat_with("Pieces", json_pack("[{}]")), &why));
+    assert_false(accepts_heartbeat(heartbeat_with("WarningS", json_real(-1)), &why));
+    assert_false(accepts_heartbeat(heartbeat_with("WarningS", json_string("1")), &why));
+    assert_false(accepts_heartbeat(heartbeat_with("Helm", json_real(1.5)), &why));
+    assert_false(accepts_heartbeat(heartbeat_with("Helm", json_integer(-1)), &why));
+    assert_false(accepts_heartbeat(heartbeat_with("Winch", json_stringn("m\0x", 3)), &why));
+    assert_false(accepts_heartbeat(heartbeat_with("Winch", json_string("")), &why));
+    assert_false(accepts_heartbeat(attempt_with("Heave", json_string("2")), &why));
     assert_non_null(strstr(why.text, "Heave"));
-    assert_false(takes_report(attempt_with("Trim", json_string("asleep")), &why));
-    assert_false(takes_report(attempt_with("Piece", json_string("j-000412/")), &why));
-    assert_false(takes_report(attempt_with("Piece", json_string("/3")), &why));
-    assert_false(takes_report(attempt_with("Piece", json_string("j-000412/-3")), &why));
-    assert_false(takes_report(json_array(), &why));
-    assert_false(takes_report(json_string("report"), &why));
-    report_t report;
-    assert_false(wire_parse_report(report_text, strlen(report_text) - 1, &report, &why));
-    assert_false(wire_parse_report("{}{}", 4, &report, &why));
-    assert_false(wire_parse_report("", 0, &report, &why));
+    assert_false(accepts_heartbeat(attempt_with("Trim", json_string("asleep")), &why));
+    assert_false(accepts_heartbeat(attempt_with("Piece", json_string("j-000412/")), &why));
+    assert_false(accepts_heartbeat(attempt_with("Piece", json_string("/3")), &why));
+    assert_false(accepts_heartbeat(attempt_with("Piece", json_string("j-000412/-3")), &why));
+    assert_false(accepts_heartbeat(json_array(), &why));
+    assert_false(accepts_heartbeat(json_string("report"), &why));
+    worker_heartbeat_t heartbeat;
+    assert_false(
+        wire_parse_worker_heartbeat(report_text, strlen(report_text) - 1, &heartbeat, &why));
+    assert_false(wire_parse_worker_heartbeat("{}{}", 4, &heartbeat, &why));
+    assert_false(wire_parse_worker_heartbeat("", 0, &heartbeat, &why));
 }
 
 /* What is over is over, whatever the worker calls it. */
@@ -188,13 +190,13 @@
         "{\"Trim\":\"gathering\",\"Cause\":\"done\",\"Heave\":1,\"Piece\":\"j-000001/2\"}],"
         "\"Winch\":\"m-1\",\"Address\":\"a\",\"Hull\":\"g8\",\"Dock\":\"a\",\"Driftwood\":false,"
         "\"Watch\":1,\"Tally\":2,\"Helm\":0}";
-    report_t report;
-    assert_true(wire_parse_report(text, strlen(text), &report, NULL));
-    assert_int_equal(g_array_index(report.attempts, reported_attempt_t, 0).cause, CAUSE_ERROR);
-    assert_int_equal(g_array_index(report.attempts, reported_attempt_t, 1).cause, CAUSE_ERROR);
-    assert_int_equal(g_array_index(report.attempts, reported_attempt_t, 2).cause, CAUSE_NONE);
-    assert_int_equal(g_array_index(report.attempts, reported_attempt_t, 2).state, TASK_FETCHING);
-    report_clear(&report);
+    worker_heartbeat_t heartbeat;
+    assert_true(wire_parse_worker_heartbeat(text, strlen(text), &heartbeat, NULL));
+    assert_int_equal(g_array_index(heartbeat.attempts, reported_attempt_t, 0).cause, CAUSE_ERROR);
+    assert_int_equal(g_array_index(heartbeat.attempts, reported_attempt_t, 1).cause, CAUSE_ERROR);
+    assert_int_equal(g_array_index(heartbeat.attempts, reported_attempt_t, 2).cause, CAUSE_NONE);
+    assert_int_equal(g_array_index(heartbeat.attempts, reported_attempt_t, 2).state, TASK_FETCHING);
+    worker_heartbeat_clear(&heartbeat);
 }
 
 static void test_malformed_report_is_refused(void **state)
@@ -203,17 +205,17 @@
     static const char *const fields[] = {"Winch", "Address", "Watch", "Tally", "Helm", "Driftwood"};
     reason_t why;
     for (guint i = 0; i < G_N_ELEMENTS(fields); i++) {
-        assert_false(takes_report(report_with(fields[i], json_array()), &why));
+        assert_false(accepts_heartbeat(heartbeat_with(fields[i], json_array()), &why));
         assert_non_null(strstr(why.text, fields[i]));
         json_t *body = json_loads(report_text, 0, NULL);
         json_object_del(body, fields[i]);
-        assert_false(takes_report(body, &why));
+        assert_false(accepts_heartbeat(body, &why));
         assert_non_null(strstr(why.text, fields[i]));
     }
     json_t *body = json_loads(report_text, 0, NULL);
     json_object_set_new(json_array_get(json_object_get(body, "Pieces"), 1), "Piece",
                         json_string("j-000398"));
-    assert_false(takes_report(body, &why));
+    assert_false(accepts_heartbeat(body, &why));
 }
 
 static void test_progress_bits_come_back(void **state)
