--- a/src/app/api.c
+++ b/src/app/api.c
@@ -45,28 +45,29 @@
 
 /* The answer to a heartbeat that calls for nothing: the same for all workers of a view, so each
  * thread of the HTTP server builds it once. */
-static struct MHD_Response *quiet_response(uint64_t token)
+static struct MHD_Response *quiet_response(uint64_t fencing_token)
 {
     static _Thread_local struct MHD_Response *response;
     static _Thread_local uint64_t built_for;
-    if (built_for == token)
+    if (built_for == fencing_token)
         return response;
     if (response)
         MHD_destroy_response(response);
-    json_t *body = wire_build_commands(token, NULL);
+    json_t *body = wire_build_commands(fencing_token, NULL);
     char *text = json_dumps(body, JSON_COMPACT);
     json_decref(body);
     response = MHD_create_response_from_buffer(strlen(text), text, MHD_RESPMEM_MUST_FREE);
     MHD_add_response_header(response, "Content-Type", "application/json");
-    built_for = token;
+    built_for = fencing_token;
     return response;
 }
 
 /* close: the connection is given up after this answer. */
 static enum MHD_Result send_reply(struct MHD_Connection *connection, reply_t reply, bool close)
 {
-    if (reply.quiet_token)
-        return MHD_queue_response(connection, reply.status, quiet_response(reply.quiet_token));
+    if (reply.unchanged_fencing_token)
+        return MHD_queue_response(connection, reply.status,
+                                  quiet_response(reply.unchanged_fencing_token));
     char *text =
         reply.body ? json_dumps(reply.body, JSON_COMPACT | JSON_REAL_PRECISION(9)) : reply.text;
     json_decref(reply.body);
--- a/src/app/api_internal.h
+++ b/src/app/api_internal.h
@@ -13,10 +13,10 @@
 typedef struct reply {
     unsigned status;
     json_t *body;
-    unsigned retry_after_s; /* 0: none */
-    char *text;             /* instead of body; owned */
-    uint64_t quiet_token; /* instead of body: the answer to a heartbeat that calls for nothing, with
-                             this token; 0: another answer */
+    unsigned retry_after_s;           /* 0: none */
+    char *text;                       /* instead of body; owned */
+    uint64_t unchanged_fencing_token; /* instead of body: the answer to a heartbeat that calls for
+                             nothing, with this fencing token; 0: another answer */
 } reply_t;
 
 /* A request: its body while it arrives, then, if it has to wait, what serves it. One that gets no
--- a/src/app/api_worker_heartbeats.c
+++ b/src/app/api_worker_heartbeats.c
@@ -64,9 +64,10 @@
     } else {
         if (verdict != HEARTBEAT_ACCEPTED)
             redirection_stop_ended(heartbeat, node->jobs, commands);
-        reply = commands->len ? (reply_t){.status = HTTP_OK,
-                                          .body = wire_build_commands(node->view.number, commands)}
-                              : (reply_t){.status = HTTP_OK, .quiet_token = node->view.number};
+        reply = commands->len
+                    ? (reply_t){.status = HTTP_OK,
+                                .body = wire_build_commands(node->view.number, commands)}
+                    : (reply_t){.status = HTTP_OK, .unchanged_fencing_token = node->view.number};
     }
     if (node->partition && node->partition->changes != changes)
         node_notify(node);
@@ -78,9 +79,10 @@
 {
     msec_t now = clock_steady();
     metrics_count(node->metrics, COUNT_WORKER_HEARTBEATS, 1);
-    /* A higher token is out: this node's view is old, and a 200 from it would be dropped while it
-     * holds the worker here. Silence about aborts ends the answers as well. */
-    if (node->view.count == 0 || MAX(heartbeat->token, node->superseded) > node->view.number)
+    /* A higher fencing token is out: this node's view is old, and a 200 from it would be dropped
+     * while it holds the worker here. Silence about aborts ends the answers as well. */
+    if (node->view.count == 0 ||
+        MAX(heartbeat->fencing_token, node->superseded) > node->view.number)
         return api_refuse(HTTP_UNAVAILABLE, "not entitled now", 0);
     if (!node_may_renew(node, now)) {
         /* It lives, though its lease may not be renewed: after an outage, machines that were only
--- a/src/app/placer.c
+++ b/src/app/placer.c
@@ -17,7 +17,7 @@
 typedef struct placer {
     node_t *node;
     http_client_t *client;
-    msec_t renumbered;
+    msec_t fencing_token_advanced_at;
 } placer_t;
 
 typedef struct listing {
@@ -199,9 +199,9 @@
     node->loaded = false;
     node->generation++;
     pthread_mutex_unlock(&node->lock);
-    while (!view_renumber(node, placer->client))
+    while (!view_advance_fencing_token(node, placer->client))
         node_sleep(ELECT_POLL_MS);
-    placer->renumbered = clock_steady();
+    placer->fencing_token_advanced_at = clock_steady();
 }
 
 static void take_results(node_t *node, msec_t now)
@@ -384,8 +384,8 @@
         node_pulse(node, now);
         batch_t batch = {0};
         bool changes = tick(node, &batch, now);
-        bool wants_token =
-            partition_wants_token(node->partition) && now - placer.renumbered > RENUMBER_GAP_MS;
+        bool wants_token = partition_needs_new_fencing_token(node->partition) &&
+                           now - placer.fencing_token_advanced_at > FENCING_TOKEN_GAP_MS;
         uint64_t revision = node->view.revision;
         pthread_mutex_unlock(&node->lock);
         if (changes)
@@ -393,8 +393,8 @@
         if (batch.progress)
             g_array_unref(batch.progress);
         partition_batch_free(batch.machines);
-        if (wants_token && view_renumber(node, placer.client))
-            placer.renumbered = clock_steady();
+        if (wants_token && view_advance_fencing_token(node, placer.client))
+            placer.fencing_token_advanced_at = clock_steady();
         node_sleep(node_paced(node, COMMIT_GAP_MS));
     }
     return NULL;
--- a/src/app/sender.c
+++ b/src/app/sender.c
@@ -4,7 +4,8 @@
  * elsewhere. So they are judged again right before they leave. What remains is a stall within the
  * call itself, or the way there: such a start is under way when the job is cancelled, like any that
  * a network holds up. Its record stands until proof, the stop that follows the cancellation repeats
- * for as long as the worker lists it, and after a lease the session that it was sent for is over.
+ * for as long as the worker lists it, and after a lease the worker epoch that it was sent for is
+ * over.
  */
 #include <string.h>
 
@@ -18,8 +19,8 @@
 typedef struct exchange {
     char machine[ID_BYTES];
     char url[URL_BYTES];
-    uint64_t token;
-    uint64_t session;
+    uint64_t fencing_token;
+    uint64_t worker_epoch;
     uint64_t generation;
 } exchange_t;
 
@@ -39,9 +40,10 @@
     log_debug("event=direct machine=%s commands=%u status=%d", exchange->machine, commands->len,
               status);
     pthread_mutex_lock(&node->lock);
-    /* A view loaded meanwhile has its own data and a higher token, under which this one is void. */
+    /* A view loaded meanwhile has its own data and a higher fencing token, under which this one is
+     * void. */
     if (node->generation == exchange->generation && node->loaded) {
-        partition_direct_done(node->partition, exchange->machine, commands, exchange->token,
+        partition_direct_done(node->partition, exchange->machine, commands, exchange->fencing_token,
                               result);
         msec_t now = clock_steady();
         uint64_t changes = node->partition->changes;
@@ -123,13 +125,13 @@
             pthread_mutex_unlock(&node->lock);
             continue;
         }
-        exchange_t exchange = {.token = node->view.number,
-                               .session = machine->session,
+        exchange_t exchange = {.fencing_token = node->view.number,
+                               .worker_epoch = machine->worker_epoch,
                                .generation = node->generation};
         g_strlcpy(exchange.machine, machine->id, sizeof exchange.machine);
         g_snprintf(exchange.url, sizeof exchange.url, "http://%s/do", machine->address);
         pthread_mutex_unlock(&node->lock);
-        json_t *body = wire_build_direct(exchange.token, exchange.session, commands);
+        json_t *body = wire_build_direct(exchange.fencing_token, exchange.worker_epoch, commands);
         if (!may_leave(node, &exchange, commands, now)) {
             json_decref(body);
             continue;
--- a/src/app/view.c
+++ b/src/app/view.c
@@ -1,5 +1,6 @@
-/* view/ in the key-value store. view/number holds the number, which is the token, with leader and
- * members; view/lease hangs on the leader's lease, view/members/<name> on each node's own. */
+/* view/ in the key-value store. view/number holds the number, which is the fencing token, with
+ * leader and members; view/lease hangs on the leader's lease, view/members/<name> on each node's
+ * own. */
 #include "app/view.h"
 
 #include <string.h>
@@ -95,7 +96,7 @@
     return result;
 }
 
-bool view_renumber(node_t *node, http_client_t *client)
+bool view_advance_fencing_token(node_t *node, http_client_t *client)
 {
     pthread_mutex_lock(&node->lock);
     view_t next = node->view;
--- a/src/app/view.h
+++ b/src/app/view.h
@@ -10,8 +10,8 @@
  * also takes view/lease, as at lease_revision, attached to this lease (0: leaves it). */
 kv_result_t view_change(node_t *node, http_client_t *client, view_t *next, uint64_t revision,
                         uint64_t lease, uint64_t lease_revision);
-/* Moves the token on, leader and members as they are; false: try again or look again. */
-bool view_renumber(node_t *node, http_client_t *client);
+/* Moves the fencing token on, leader and members as they are; false: try again or look again. */
+bool view_advance_fencing_token(node_t *node, http_client_t *client);
 /* Reads view/number and adopts it if it is newer. */
 void view_refresh(node_t *node, http_client_t *client);
 
--- a/src/constants.h
+++ b/src/constants.h
@@ -122,8 +122,9 @@
     LEADER_GRACE_MS = 4000,  /* a new leader waits for reports before it judges silence or rents */
     RETURN_AFTER_MS = 40000, /* a new leader waits so long before it returns machines: what goes
                                 back in the trough after a trouble is missed in the next wave */
-    RENUMBER_GAP_MS = 15000, /* between moves of the token made only to allow a forget */
-    EXCLUDED_MS = 90000      /* a controller without workers owns no machines for so long */
+    FENCING_TOKEN_GAP_MS =
+        15000,          /* between moves of the fencing token made only to allow a forget */
+    EXCLUDED_MS = 90000 /* a controller without workers owns no machines for so long */
 };
 
 /* ---- Users' requests ---- */
--- a/src/core/partition.c
+++ b/src/core/partition.c
@@ -217,7 +217,7 @@
     g_strlcpy(machine->address, record->address, sizeof machine->address);
     g_strlcpy(machine->type, record->type, sizeof machine->type);
     machine->spot = record->spot;
-    machine->session = record->session;
+    machine->worker_epoch = record->worker_epoch;
     partition_look_up_capacity(partition, machine);
     machine->needs_probe = true;
     partition_want_direct(partition, machine);
@@ -225,7 +225,7 @@
         attempt_t *attempt = partition_attempt_add(
             partition, machine, &g_array_index(record->entries, record_entry_t, i));
         attempt->phase = ATTEMPT_RECORDED;
-        attempt->session = record->session;
+        attempt->worker_epoch = record->worker_epoch;
         attempt->in_record = true;
         reservation_add(machine->reservations, attempt->reservation_id, attempt->entry.need, 0,
                         now);
--- a/src/core/partition.h
+++ b/src/core/partition.h
@@ -5,10 +5,11 @@
  * nothing here waits, reads a clock or does input or output.
  *
  * An attempt is taken off a machine's record only on proof that it is over and cannot still begin:
- *  - the worker reports a newer session (commands of an older one are refused there);
- *  - a heartbeat of this session lists it as exited (a late copy of its `run` has no effect then,
- * and `forget` is held back while a copy may be under way);
- *  - an ordinary heartbeat, sent under a token above any under which `run` went out, lacks it;
+ *  - the worker reports a newer worker epoch (commands of an older one are refused there);
+ *  - a heartbeat of this worker epoch lists it as exited (a late copy of its `run` has no effect
+ * then, and `forget` is held back while a copy may be under way);
+ *  - an ordinary heartbeat, sent under a fencing token above any under which `run` went out, lacks
+ * it;
  *  - the cloud confirmed that the machine is gone.
  * Silence, a lapsed reservation, a list of machines or a refused connection is no proof. */
 #ifndef PEPPERPULLEY_PARTITION_H
@@ -60,7 +61,7 @@
     char type[LABEL_BYTES];
     char zone[LABEL_BYTES];
     bool spot;
-    uint64_t session;
+    uint64_t worker_epoch;
     GArray *entries;
 } machine_record_t;
 
@@ -113,7 +114,7 @@
     machine_t *machine;
     attempt_phase_t phase;
     uint64_t job_revision;
-    uint64_t session;                                 /* under which it was recorded */
+    uint64_t worker_epoch;                            /* under which it was recorded */
     bool in_record;                                   /* the durable record has it */
     enum { BATCH_NONE, BATCH_ADD, BATCH_DROP } batch; /* what a commit under way does to it */
     bool is_listed;
@@ -139,11 +140,11 @@
     bool has_responded; /* it was heard in this view, by a heartbeat or by the answer to a probe */
     bool has_heartbeat; /* by an ordinary heartbeat */
     bool needs_probe;   /* to be asked for its state: its next heartbeat may be seconds away */
-    uint64_t session;
-    uint64_t seq;
-    uint64_t last_accepted_sequence; /* number of the newest ordinary heartbeat of this session; a
-                                        copy has no higher */
-    uint64_t token;
+    uint64_t worker_epoch;
+    uint64_t heartbeat_sequence;
+    uint64_t last_accepted_sequence; /* number of the newest ordinary heartbeat of this worker
+                                        epoch; a copy has no higher */
+    uint64_t fencing_token;
     uint64_t receipt_count; /* local count of heartbeats received */
     msec_t last_heartbeat_at;
     msec_t
@@ -167,7 +168,8 @@
     bool direct_busy;
     guint slot; /* of the sender that serves it, unless that is busy */
     bool direct_wanted;
-    uint64_t unanswered_token; /* a direct `run` under it got no answer: a copy may still arrive */
+    uint64_t unanswered_fencing_token; /* a direct `run` under it got no answer: a copy may still
+                                          arrive */
 };
 
 /* Told to the leader: an attempt that is over. Anything but done is told after its record is gone.
@@ -206,7 +208,7 @@
 
 partition_t *partition_new(const GArray *machine_types, const GArray *teams, msec_t lapse);
 void partition_free(partition_t *partition);
-/* A new token of the same leadership: nothing is read again. */
+/* A new fencing token of the same leadership: nothing is read again. */
 void partition_set_view(partition_t *partition, uint64_t view);
 void partition_load(partition_t *partition, const page_record_t *record, msec_t now);
 /* Machines that `earlier` was emptying are emptied on: a view changes nothing about why. Before the
@@ -226,11 +228,11 @@
 /* Resources that neither reports nor reservations take. */
 resources_t partition_free_resources(const machine_t *machine);
 
-/* Overtaken: older than what is known of this session, as when the answer to a direct command came
- * first. Nothing of it is taken, but its worker waits for an answer. Unproven: the first heartbeat
- * to this partition, and from before its view, so perhaps a copy that comes minutes late; nothing
- * of it is taken, and the answer gives the worker the token that its next heartbeat will show.
- * Stale: of an earlier session, or a copy of a heartbeat that came before. */
+/* Overtaken: older than what is known of this worker epoch, as when the answer to a direct command
+ * came first. Nothing of it is taken, but its worker waits for an answer. Unproven: the first
+ * heartbeat to this partition, and from before its view, so perhaps a copy that comes minutes late;
+ * nothing of it is taken, and the answer gives the worker the fencing token that its next heartbeat
+ * will show. Stale: of an earlier worker epoch, or a copy of a heartbeat that came before. */
 typedef enum {
     HEARTBEAT_ACCEPTED,
     HEARTBEAT_OUT_OF_ORDER,
@@ -306,8 +308,8 @@
     DIRECT_UNANSWERED
 } direct_result_t;
 void partition_direct_done(partition_t *partition, const char *id, const GArray *commands,
-                           uint64_t token, direct_result_t result);
-/* Whether something waits for the token to move before it can be forgotten or proved. */
-bool partition_wants_token(const partition_t *partition);
+                           uint64_t fencing_token, direct_result_t result);
+/* Whether something waits for the fencing token to move before it can be forgotten or proved. */
+bool partition_needs_new_fencing_token(const partition_t *partition);
 
 #endif
--- a/src/core/partition_commands.c
+++ b/src/core/partition_commands.c
@@ -42,7 +42,7 @@
 static bool is_sent_here(const machine_t *machine, const attempt_t *attempt)
 {
     return attempt->phase == ATTEMPT_RECORDED && attempt->in_record &&
-           attempt->session == machine->session;
+           attempt->worker_epoch == machine->worker_epoch;
 }
 
 void partition_wanted_commands(const partition_t *partition, const machine_t *machine, msec_t now,
@@ -130,7 +130,7 @@
 }
 
 void partition_direct_done(partition_t *partition, const char *id, const GArray *commands,
-                           uint64_t token, direct_result_t result)
+                           uint64_t fencing_token, direct_result_t result)
 {
     machine_t *machine = g_hash_table_lookup(partition->machines, id);
     partition->probes_in_flight -= commands->len == 0;
@@ -145,17 +145,18 @@
     machine->doubtful = result == DIRECT_UNANSWERED || result == DIRECT_NOT_SENT;
     for (guint i = 0; result == DIRECT_UNANSWERED && i < commands->len; i++)
         if (g_array_index(commands, worker_command_t, i).op == COMMAND_RUN)
-            machine->unanswered_token = MAX(machine->unanswered_token, token);
+            machine->unanswered_fencing_token =
+                MAX(machine->unanswered_fencing_token, fencing_token);
 }
 
-bool partition_wants_token(const partition_t *partition)
+bool partition_needs_new_fencing_token(const partition_t *partition)
 {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, partition->machines);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const machine_t *machine = value;
-        if (machine->unanswered_token >= partition->view && machine->has_responded)
+        if (machine->unanswered_fencing_token >= partition->view && machine->has_responded)
             return true;
     }
     return false;
--- a/src/core/partition_heartbeats.c
+++ b/src/core/partition_heartbeats.c
@@ -3,20 +3,20 @@
 
 #include <string.h>
 
-static void take_session(partition_t *partition, machine_t *machine,
-                         const worker_heartbeat_t *heartbeat)
+static void handle_worker_epoch(partition_t *partition, machine_t *machine,
+                                const worker_heartbeat_t *heartbeat)
 {
-    if (heartbeat->session <= machine->session && machine->session)
+    if (heartbeat->worker_epoch <= machine->worker_epoch && machine->worker_epoch)
         return;
-    /* The worker killed and forgot all of its earlier sessions, and commands of those are refused
+    /* The worker killed and forgot all of its earlier epochs, and commands of those are refused
      * there: proof for every attempt recorded under them. A placed one has not been sent. */
     for (guint i = 0; i < machine->attempts->len; i++) {
         attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
-        if (attempt->session < heartbeat->session)
+        if (attempt->worker_epoch < heartbeat->worker_epoch)
             partition_attempt_over(partition, attempt, CAUSE_NONE);
     }
-    machine->session = heartbeat->session;
-    machine->unanswered_token = 0;
+    machine->worker_epoch = heartbeat->worker_epoch;
+    machine->unanswered_fencing_token = 0;
     machine->booked = (resources_t){0};
 }
 
@@ -82,16 +82,16 @@
 }
 
 /* Whether no `run` of ours that the worker has not executed can still be executed there: it has
- * seen this view's token, no direct command is under way, and none went unanswered under a token as
- * high as the one it has seen. Commands in answers to heartbeats need no more care: this heartbeat
- * was sent after the answer to the one before arrived or was given up. That holds for ordinary
- * heartbeats only; the answer to a direct command may overtake what an earlier heartbeat's answer
- * carries. */
+ * seen this view's fencing token, no direct command is under way, and none went unanswered under a
+ * fencing token as high as the one it has seen. Commands in answers to heartbeats need no more
+ * care: this heartbeat was sent after the answer to the one before arrived or was given up. That
+ * holds for ordinary heartbeats only; the answer to a direct command may overtake what an earlier
+ * heartbeat's answer carries. */
 static bool nothing_under_way(const partition_t *partition, const machine_t *machine,
                               const worker_heartbeat_t *heartbeat)
 {
-    return heartbeat->token >= partition->view && !machine->direct_busy &&
-           machine->unanswered_token < heartbeat->token;
+    return heartbeat->fencing_token >= partition->view && !machine->direct_busy &&
+           machine->unanswered_fencing_token < heartbeat->fencing_token;
 }
 
 static void prove_absent(partition_t *partition, machine_t *machine,
@@ -130,19 +130,21 @@
 /* What a heartbeat is worth by its order alone. A copy may come seconds to minutes late, here or at
  * a controller that never saw the original: it must not rewind, prove, confirm or keep anything
  * alive. Within what this partition has seen, the worker's numbers tell. For a first heartbeat
- * there is nothing to compare with, but one that bears this view's token was sent in this view. */
+ * there is nothing to compare with, but one that bears this view's fencing token was sent in this
+ * view. */
 static heartbeat_verdict_t judge_heartbeat(partition_t *partition, machine_t *machine,
                                            const worker_heartbeat_t *heartbeat, bool direct)
 {
-    if (machine->gone || heartbeat->session < machine->session)
+    if (machine->gone || heartbeat->worker_epoch < machine->worker_epoch)
         return HEARTBEAT_DUPLICATE;
-    if (!direct && !machine->has_heartbeat && heartbeat->token < partition->view)
+    if (!direct && !machine->has_heartbeat && heartbeat->fencing_token < partition->view)
         return HEARTBEAT_UNVERIFIED;
-    if (!machine->has_responded || heartbeat->session > machine->session)
+    if (!machine->has_responded || heartbeat->worker_epoch > machine->worker_epoch)
         return HEARTBEAT_ACCEPTED;
-    if (!direct && heartbeat->seq <= machine->last_accepted_sequence)
+    if (!direct && heartbeat->heartbeat_sequence <= machine->last_accepted_sequence)
         return HEARTBEAT_DUPLICATE;
-    return heartbeat->seq <= machine->seq ? HEARTBEAT_OUT_OF_ORDER : HEARTBEAT_ACCEPTED;
+    return heartbeat->heartbeat_sequence <= machine->heartbeat_sequence ? HEARTBEAT_OUT_OF_ORDER
+                                                                        : HEARTBEAT_ACCEPTED;
 }
 
 /* An ordinary heartbeat came in its turn: what does it show about our answers? */
@@ -156,7 +158,7 @@
         machine->doubtful = false;
     }
     machine->last_heartbeat_at = now;
-    machine->last_accepted_sequence = heartbeat->seq;
+    machine->last_accepted_sequence = heartbeat->heartbeat_sequence;
 }
 
 /* Whether starts may be sent there, as far as the machine goes. */
@@ -182,9 +184,9 @@
         return verdict;
     bool took_starts = takes_starts(partition, machine, now);
     take_identity(partition, machine, heartbeat);
-    take_session(partition, machine, heartbeat);
-    machine->seq = heartbeat->seq;
-    machine->token = heartbeat->token;
+    handle_worker_epoch(partition, machine, heartbeat);
+    machine->heartbeat_sequence = heartbeat->heartbeat_sequence;
+    machine->fencing_token = heartbeat->fencing_token;
     machine->receipt_count++;
     machine->reclaim_at = heartbeat->reclaim_in_s >= 0
                               ? MAX(now + (msec_t)(heartbeat->reclaim_in_s * MS_PER_S), 1)
@@ -225,9 +227,9 @@
                                            const worker_heartbeat_t *heartbeat, msec_t now)
 {
     machine_t *machine = g_hash_table_lookup(partition->machines, heartbeat->machine);
-    if (!machine || heartbeat->session < machine->session ||
-        (heartbeat->session == machine->session &&
-         heartbeat->seq <= machine->last_accepted_sequence))
+    if (!machine || heartbeat->worker_epoch < machine->worker_epoch ||
+        (heartbeat->worker_epoch == machine->worker_epoch &&
+         heartbeat->heartbeat_sequence <= machine->last_accepted_sequence))
         return;
     machine->last_acknowledged_at = machine->last_heartbeat_at = now;
 }
--- a/src/core/partition_placement.c
+++ b/src/core/partition_placement.c
@@ -104,7 +104,7 @@
     attempt_t *attempt = partition_attempt_add(partition, best, &entry);
     attempt->phase = ATTEMPT_PLACED;
     attempt->job_revision = request->job_revision;
-    attempt->session = best->session;
+    attempt->worker_epoch = best->worker_epoch;
     attempt->waits = waits;
     reservation_add(best->reservations, attempt->reservation_id, request->need, best->receipt_count,
                     now);
--- a/src/core/partition_records.c
+++ b/src/core/partition_records.c
@@ -123,7 +123,7 @@
 static machine_record_t machine_record(const machine_t *machine)
 {
     machine_record_t record = {.spot = machine->spot,
-                               .session = machine->session,
+                               .worker_epoch = machine->worker_epoch,
                                .entries = g_array_new(FALSE, FALSE, sizeof(record_entry_t))};
     g_strlcpy(record.machine, machine->id, sizeof record.machine);
     g_strlcpy(record.address, machine->address, sizeof record.address);
--- a/src/core/redirection.c
+++ b/src/core/redirection.c
@@ -8,8 +8,8 @@
     bool waits_for_probe;  /* retained for what others met, not for a try of its own */
     msec_t seen;
     msec_t reached; /* when it showed last that an answer of ours arrived */
-    uint64_t session;
-    uint64_t seq;
+    uint64_t worker_epoch;
+    uint64_t heartbeat_sequence;
 } redirected_worker_t;
 
 /* A controller that workers of this view were sent to. */
@@ -20,9 +20,9 @@
 } owner_t;
 
 struct redirection {
-    GHashTable *machines; /* id -> redirected_worker_t, owned */
-    GHashTable *owners;   /* name -> owner_t, owned */
-    uint64_t token;       /* of the view that made these owners */
+    GHashTable *machines;   /* id -> redirected_worker_t, owned */
+    GHashTable *owners;     /* name -> owner_t, owned */
+    uint64_t fencing_token; /* of the view that made these owners */
     msec_t cleared;
 };
 
@@ -41,9 +41,9 @@
     g_free(redirection);
 }
 
-void redirection_clear(redirection_t *redirection, uint64_t token, msec_t now)
+void redirection_clear(redirection_t *redirection, uint64_t fencing_token, msec_t now)
 {
-    redirection->token = token;
+    redirection->fencing_token = fencing_token;
     redirection->cleared = now;
     g_hash_table_remove_all(redirection->machines);
 }
@@ -102,17 +102,18 @@
                                                    const char *name, bool is_owner_reachable,
                                                    msec_t now)
 {
-    if (heartbeat->token < redirection->token)
+    if (heartbeat->fencing_token < redirection->fencing_token)
         return REDIRECTION_UNVERIFIED;
     redirected_worker_t *worker = find(redirection, heartbeat->machine);
-    if (heartbeat->session < worker->session ||
-        (heartbeat->session == worker->session && heartbeat->seq <= worker->seq))
+    if (heartbeat->worker_epoch < worker->worker_epoch ||
+        (heartbeat->worker_epoch == worker->worker_epoch &&
+         heartbeat->heartbeat_sequence <= worker->heartbeat_sequence))
         return REDIRECTION_DUPLICATE;
     /* Without the answer that retained it here it would have waited, and turned to another node. */
     if (now < worker->retained_until && now - worker->seen < HEARTBEAT_FOLLOWS_MS)
         worker->reached = now;
-    worker->session = heartbeat->session;
-    worker->seq = heartbeat->seq;
+    worker->worker_epoch = heartbeat->worker_epoch;
+    worker->heartbeat_sequence = heartbeat->heartbeat_sequence;
     worker->seen = now;
     if (now < worker->retained_until && !(worker->waits_for_probe && is_owner_reachable))
         return REDIRECTION_RETAINED;
--- a/src/core/redirection.h
+++ b/src/core/redirection.h
@@ -18,7 +18,8 @@
     REDIRECTION_RETAINED,  /* to be answered */
     REDIRECTION_DUPLICATE, /* a copy of what came before: nothing follows from it */
     REDIRECTION_UNVERIFIED /* written before these owners were known there, so perhaps a late copy:
-                      to be answered, which brings its worker the token, but nothing follows from it
+                      to be answered, which brings its worker the fencing token, but nothing follows
+                      from it
                     */
 } redirection_verdict_t;
 
@@ -32,7 +33,7 @@
 void redirection_free(redirection_t *redirection);
 /* The owners changed: everybody is redirected anew, but to owners that could not be reached of
  * late. token: of the view that changed them; reports below it were written before. */
-void redirection_clear(redirection_t *redirection, uint64_t token, msec_t now);
+void redirection_clear(redirection_t *redirection, uint64_t fencing_token, msec_t now);
 /* Whether the controller answers this one and is heard by its workers. */
 bool redirection_owner_is_healthy(const owner_health_t *health, msec_t now);
 /* name: the controller it belongs to, by name and incarnation. is_owner_reachable: other workers
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -77,9 +77,9 @@
     char type[LABEL_BYTES];
     char zone[LABEL_BYTES];
     bool spot;
-    uint64_t session;
-    uint64_t seq;
-    uint64_t token;
+    uint64_t worker_epoch;
+    uint64_t heartbeat_sequence;
+    uint64_t fencing_token;
     double reclaim_in_s; /* below 0: none */
     GArray *attempts;
 } worker_heartbeat_t;
--- a/src/io/wire_state.c
+++ b/src/io/wire_state.c
@@ -30,8 +30,8 @@
                                         (json_int_t)entry->task, (json_int_t)entry->attempt));
     }
     return json_pack("{s:s,s:I,s:s,s:s,s:s,s:b,s:o}", "Id", record->machine, "Session",
-                     (json_int_t)record->session, "Address", record->address, "Type", record->type,
-                     "Zone", record->zone, "Spot", record->spot, "Tasks", tasks);
+                     (json_int_t)record->worker_epoch, "Address", record->address, "Type",
+                     record->type, "Zone", record->zone, "Spot", record->spot, "Tasks", tasks);
 }
 
 json_t *wire_build_record(const page_record_t *record)
@@ -108,7 +108,7 @@
                  wire_get_text(value, "Type", record->type, sizeof record->type, NULL) &&
                  wire_get_text(value, "Zone", record->zone, sizeof record->zone, NULL) &&
                  wire_get_flag(value, "Spot", &record->spot, NULL) &&
-                 wire_get_count(value, "Session", 0, G_MAXINT64, &record->session, NULL) &&
+                 wire_get_count(value, "Session", 0, G_MAXINT64, &record->worker_epoch, NULL) &&
                  json_is_array(json_object_get(value, "Tasks"));
     size_t i;
     json_t *task;
--- a/src/io/wire_worker.c
+++ b/src/io/wire_worker.c
@@ -17,13 +17,14 @@
     return list;
 }
 
-json_t *wire_build_commands(uint64_t token, const GArray *commands)
+json_t *wire_build_commands(uint64_t fencing_token, const GArray *commands)
 {
-    return json_pack("{s:I,s:o}", "Helm", (json_int_t)token, "Calls", build_command_list(commands));
+    return json_pack("{s:I,s:o}", "Helm", (json_int_t)fencing_token, "Calls",
+                     build_command_list(commands));
 }
 
-json_t *wire_build_direct(uint64_t token, uint64_t session, const GArray *commands)
+json_t *wire_build_direct(uint64_t fencing_token, uint64_t worker_epoch, const GArray *commands)
 {
-    return json_pack("{s:I,s:I,s:o}", "Helm", (json_int_t)token, "Watch", (json_int_t)session,
-                     "Calls", build_command_list(commands));
+    return json_pack("{s:I,s:I,s:o}", "Helm", (json_int_t)fencing_token, "Watch",
+                     (json_int_t)worker_epoch, "Calls", build_command_list(commands));
 }
--- a/src/io/wire_worker_heartbeat.c
+++ b/src/io/wire_worker_heartbeat.c
@@ -21,9 +21,9 @@
     FIELD_TYPE,
     FIELD_ZONE,
     FIELD_SPOT,
-    FIELD_SESSION,
-    FIELD_SEQ,
-    FIELD_TOKEN,
+    FIELD_WORKER_EPOCH,
+    FIELD_HEARTBEAT_SEQUENCE,
+    FIELD_FENCING_TOKEN,
     FIELD_RECLAIM,
     FIELD_ATTEMPTS,
     HEARTBEAT_FIELDS,
@@ -161,12 +161,12 @@
         heartbeat->spot = value->is_true;
         return value->kind == VALUE_BOOLEAN ? READ_ON
                                             : refuse(reader, name, "true or false is expected");
-    case FIELD_SESSION:
-        return take_count(reader, value, name, &heartbeat->session);
-    case FIELD_SEQ:
-        return take_count(reader, value, name, &heartbeat->seq);
-    case FIELD_TOKEN:
-        return take_count(reader, value, name, &heartbeat->token);
+    case FIELD_WORKER_EPOCH:
+        return take_count(reader, value, name, &heartbeat->worker_epoch);
+    case FIELD_HEARTBEAT_SEQUENCE:
+        return take_count(reader, value, name, &heartbeat->heartbeat_sequence);
+    case FIELD_FENCING_TOKEN:
+        return take_count(reader, value, name, &heartbeat->fencing_token);
     case FIELD_RECLAIM:
         return take_reclaim(reader, value, name);
     case FIELD_ATTEMPTS: /* a list is no plain value */
--- a/src/policy/ast.h
+++ b/src/policy/ast.h
@@ -52,7 +52,7 @@
 /* A token's value and place. */
 typedef struct token {
     double number;
-    char *text; /* owned by whoever takes the token */
+    char *text; /* owned by whoever takes the fencing token */
     int line;
     int column;
 } token_t;
--- a/tests/fakes/services.c
+++ b/tests/fakes/services.c
@@ -436,11 +436,12 @@
     for (guint i = 0; i < heartbeat.attempts->len; i++)
         json_array_append_new(
             attempts, build_attempt(&g_array_index(heartbeat.attempts, reported_attempt_t, i)));
-    json_t *body = json_pack("{s:s,s:o,s:s,s:s,s:b,s:I,s:I,s:I,s:o}", "Winch", heartbeat.machine,
-                             "Address", json_sprintf("127.0.0.1:%u", machine->port), "Hull",
-                             heartbeat.type, "Dock", heartbeat.zone, "Driftwood", 1, "Watch",
-                             (json_int_t)heartbeat.session, "Tally", (json_int_t)heartbeat.seq,
-                             "Helm", (json_int_t)heartbeat.token, "Pieces", attempts);
+    json_t *body =
+        json_pack("{s:s,s:o,s:s,s:s,s:b,s:I,s:I,s:I,s:o}", "Winch", heartbeat.machine, "Address",
+                  json_sprintf("127.0.0.1:%u", machine->port), "Hull", heartbeat.type, "Dock",
+                  heartbeat.zone, "Driftwood", 1, "Watch", (json_int_t)heartbeat.worker_epoch,
+                  "Tally", (json_int_t)heartbeat.heartbeat_sequence, "Helm",
+                  (json_int_t)heartbeat.fencing_token, "Pieces", attempts);
     worker_heartbeat_clear(&heartbeat);
     return body;
 }
--- a/tests/fakes/worker.c
+++ b/tests/fakes/worker.c
@@ -6,7 +6,7 @@
 {
     fake_worker_t *worker = g_new0(fake_worker_t, 1);
     g_strlcpy(worker->id, id, sizeof worker->id);
-    worker->session = 1;
+    worker->worker_epoch = 1;
     worker->attempts = g_array_new(FALSE, FALSE, sizeof(reported_attempt_t));
     return worker;
 }
@@ -19,9 +19,9 @@
 
 worker_heartbeat_t fake_worker_heartbeat(fake_worker_t *worker)
 {
-    worker_heartbeat_t heartbeat = {.session = worker->session,
-                                    .seq = ++worker->seq,
-                                    .token = worker->token,
+    worker_heartbeat_t heartbeat = {.worker_epoch = worker->worker_epoch,
+                                    .heartbeat_sequence = ++worker->heartbeat_sequence,
+                                    .fencing_token = worker->fencing_token,
                                     .reclaim_in_s = -1,
                                     .attempts = g_array_copy(worker->attempts)};
     g_strlcpy(heartbeat.machine, worker->id, sizeof heartbeat.machine);
@@ -69,19 +69,20 @@
     }
 }
 
-bool fake_worker_answer(fake_worker_t *worker, uint64_t token, const GArray *commands)
+bool fake_worker_answer(fake_worker_t *worker, uint64_t fencing_token, const GArray *commands)
 {
-    if (token < worker->token)
+    if (fencing_token < worker->fencing_token)
         return false;
-    worker->token = token;
+    worker->fencing_token = fencing_token;
     execute(worker, commands);
     return true;
 }
 
-bool fake_worker_direct(fake_worker_t *worker, uint64_t token, uint64_t session,
+bool fake_worker_direct(fake_worker_t *worker, uint64_t fencing_token, uint64_t worker_epoch,
                         const GArray *commands)
 {
-    return session == worker->session && fake_worker_answer(worker, token, commands);
+    return worker_epoch == worker->worker_epoch &&
+           fake_worker_answer(worker, fencing_token, commands);
 }
 
 void fake_worker_exit(fake_worker_t *worker, const char *job, uint32_t task, cause_t cause)
@@ -98,7 +99,7 @@
 
 void fake_worker_lose_lease(fake_worker_t *worker)
 {
-    worker->session++;
+    worker->worker_epoch++;
     g_array_set_size(worker->attempts, 0);
 }
 
--- a/tests/load.c
+++ b/tests/load.c
@@ -89,10 +89,10 @@
         "s:{s:f,s:f},s:{s:f,s:f,s:i}}",
         "initial_size", load.options.controllers, "zones", "north", "teams", "name", "red", "cpus",
         1e5, "cpus_max", 1e6, "gpus", 0.0, "gpus_max", 0.0, "objectives", "workers", "report_s",
-        load.options.heartbeat_interval_s, "lease_s", 10.0, "gang_wait_s", 35.0, "gang_peer_s", 4.0, "cancel_s",
-        30.0, "state", "rps", 250.0, "write_rps", 80.0, "value_kb", 16.0, "txn_ops", 48, "cloud",
-        "rps", 5.0, "list_lag_s", 3.0, "limits", "core_share", load.options.core_share, "ram_mb",
-        37.0, "fd_limit", 600);
+        load.options.heartbeat_interval_s, "lease_s", 10.0, "gang_wait_s", 35.0, "gang_peer_s", 4.0,
+        "cancel_s", 30.0, "state", "rps", 250.0, "write_rps", 80.0, "value_kb", 16.0, "txn_ops", 48,
+        "cloud", "rps", 5.0, "list_lag_s", 3.0, "limits", "core_share", load.options.core_share,
+        "ram_mb", 37.0, "fd_limit", 600);
     json_object_set_new(settings, "clock_off_ms", json_real(5));
     return json_pack("{s:o,s:s,s:o,s:o,s:o,s:{s:o,s:o},s:o}", "host_name",
                      json_sprintf("hand-%u", index), "location", "north", "client_listen",
@@ -135,7 +135,8 @@
         runs = machine->worker->runs;
         pthread_mutex_unlock(&machine->lock);
         msec_t age = clock_steady() - reported;
-        if (age < (changed ? CHANGE_GAP_MS : (msec_t)(load.options.heartbeat_interval_s * MS_PER_S)))
+        if (age <
+            (changed ? CHANGE_GAP_MS : (msec_t)(load.options.heartbeat_interval_s * MS_PER_S)))
             continue;
         json_t *answer = NULL;
         json_t *body = fake_machine_heartbeat(machine);
@@ -251,7 +252,8 @@
         {"machines", 0, 0, G_OPTION_ARG_INT, &options->machines, "workers", "N"},
         {"seconds", 0, 0, G_OPTION_ARG_INT, &options->seconds, "measured", "N"},
         {"warmup", 0, 0, G_OPTION_ARG_INT, &options->warmup, "not measured", "N"},
-        {"heartbeat-s", 0, 0, G_OPTION_ARG_DOUBLE, &options->heartbeat_interval_s, "between heartbeats", "S"},
+        {"heartbeat-s", 0, 0, G_OPTION_ARG_DOUBLE, &options->heartbeat_interval_s,
+         "between heartbeats", "S"},
         {"jobs-per-s", 0, 0, G_OPTION_ARG_DOUBLE, &options->jobs_per_s, "0: none", "R"},
         {"tasks", 0, 0, G_OPTION_ARG_INT, &options->tasks, "of a job", "N"},
         {"run-s", 0, 0, G_OPTION_ARG_DOUBLE, &options->run_s, "of a task, about", "S"},
--- a/tests/test_encoding_samples.c
+++ b/tests/test_encoding_samples.c
@@ -127,9 +127,9 @@
     assert_string_equal(heartbeat.type, "g8");
     assert_string_equal(heartbeat.zone, "north");
     assert_true(heartbeat.spot && heartbeat.reclaim_in_s == 12.5);
-    assert_int_equal(heartbeat.session, 31);
-    assert_int_equal(heartbeat.seq, 88);
-    assert_int_equal(heartbeat.token, 41);
+    assert_int_equal(heartbeat.worker_epoch, 31);
+    assert_int_equal(heartbeat.heartbeat_sequence, 88);
+    assert_int_equal(heartbeat.fencing_token, 41);
     assert_int_equal(heartbeat.attempts->len, G_N_ELEMENTS(states) + CAUSE_ALONE + 1);
     for (guint i = 0; i < heartbeat.attempts->len; i++) {
         const reported_attempt_t *attempt =
@@ -258,7 +258,7 @@
     assert_string_equal(machines[1].machine, "m-000063");
     assert_string_equal(machines[0].address, "10.1.0.1:9000");
     assert_string_equal(machines[0].type, "g8");
-    assert_true(machines[0].spot && !machines[1].spot && machines[0].session == 31);
+    assert_true(machines[0].spot && !machines[1].spot && machines[0].worker_epoch == 31);
     assert_int_equal(machines[0].entries->len, 3);
     const record_entry_t *entries = &g_array_index(machines[0].entries, record_entry_t, 0);
     assert_string_equal(entries[0].job, "j-000412");
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -780,7 +780,7 @@
     partition_set_view(node->partition, 1);
     node->loaded = node->jobs_synced = true;
     node->jobs_proof = node->pulse = now;
-    worker->token = 1;
+    worker->fencing_token = 1;
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(worker);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     assert_int_equal(partition_handle_heartbeat(node->partition, &heartbeat, false, now, commands),
--- a/tests/test_partition.c
+++ b/tests/test_partition.c
@@ -27,7 +27,7 @@
     fixture->partition = partition_new(fixture->machine_types, fixture->teams, 30000);
     partition_set_view(fixture->partition, 7);
     fixture->worker = fake_worker_new("m-000001");
-    fixture->worker->token = 7; /* it has heard of this view */
+    fixture->worker->fencing_token = 7; /* it has heard of this view */
     fixture->commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     fixture->now = 1000;
     fixture->revision = 10;
@@ -351,10 +351,10 @@
     commit();
     exchange();
     assert_int_equal(count_commands(COMMAND_FORGET), 0);
-    assert_true(partition_wants_token(fixture->partition));
+    assert_true(partition_needs_new_fencing_token(fixture->partition));
     assert_true(fake_worker_direct(fixture->worker, 7, 1, late));
     assert_int_equal(fixture->worker->runs, 1);
-    /* With the token moved on, the copy is void and the attempt may be forgotten. */
+    /* With the fencing token moved on, the copy is void and the attempt may be forgotten. */
     partition_set_view(fixture->partition, 8);
     exchange();
     exchange();
@@ -433,7 +433,7 @@
 static void load_record(void)
 {
     page_record_t record = {.revision = 9, .machines = machine_records_new()};
-    machine_record_t machine = {.session = 1,
+    machine_record_t machine = {.worker_epoch = 1,
                                 .address = "10.1.0.1:9000",
                                 .type = "t16",
                                 .zone = "north",
@@ -448,8 +448,8 @@
     g_array_unref(record.machines);
 }
 
-/* The record of an earlier view: its attempts stand until the worker, under this view's token, says
- * otherwise; one it does not know is sent again under the same number. */
+/* The record of an earlier view: its attempts stand until the worker, under this view's fencing
+ * token, says otherwise; one it does not know is sent again under the same number. */
 static void test_new_view_takes_over_from_the_record(void **state)
 {
     (void)state;
@@ -475,7 +475,7 @@
     partition_free(earlier);
     partition_set_view(fixture->partition, 8);
     load_record();
-    fixture->worker->token = 8;
+    fixture->worker->fencing_token = 8;
     exchange();
     placement_request_t request = request_of("j-000002", 0, 200, 1);
     assert_null(partition_place(fixture->partition, &request, fixture->now));
@@ -488,13 +488,14 @@
     assert_int_equal(g_hash_table_size(fixture->partition->draining), 0);
 }
 
-/* Cancelled under an earlier view: absence proves nothing before the worker has seen this token. */
+/* Cancelled under an earlier view: absence proves nothing before the worker has seen this fencing
+ * token. */
 static void test_absence_needs_the_present_token(void **state)
 {
     (void)state;
     load_record();
     partition_end_job(fixture->partition, "j-000001");
-    fixture->worker->token = 6;
+    fixture->worker->fencing_token = 6;
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
     assert_int_equal(deliver(&heartbeat, false), HEARTBEAT_UNVERIFIED);
     fake_worker_answer(fixture->worker, 7, fixture->commands);
@@ -566,8 +567,8 @@
 {
     (void)state;
     load_record();
-    fixture->worker->token = 6;
-    fixture->worker->seq = 40;
+    fixture->worker->fencing_token = 6;
+    fixture->worker->heartbeat_sequence = 40;
     fake_worker_lose_lease(fixture->worker);
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
     assert_int_equal(deliver(&heartbeat, false), HEARTBEAT_UNVERIFIED);
@@ -587,7 +588,7 @@
 {
     (void)state;
     load_record();
-    fixture->worker->token = 6;
+    fixture->worker->fencing_token = 6;
     reported_attempt_t reported_attempt = {.job = "j-000001", .attempt = 55, .state = TASK_RUNNING};
     g_array_append_val(fixture->worker->attempts, reported_attempt);
     for (int i = 0; i < 4; i++) {
@@ -619,8 +620,8 @@
     load_record();
     partition_end_job(fixture->partition, "j-000001");
     fake_worker_t *past = fake_worker_new("m-000001");
-    past->token = 6;
-    past->seq = 40;
+    past->fencing_token = 6;
+    past->heartbeat_sequence = 40;
     worker_heartbeat_t copy = fake_worker_heartbeat(past);
     g_strlcpy(copy.address, "10.9.9.9:1", sizeof copy.address);
     fixture->now += 5000;
@@ -717,7 +718,7 @@
     assert_null(partition_place(fixture->partition, &request, fixture->now));
     /* A heartbeat from before this view is still perhaps a copy. */
     worker_heartbeat_t copy = fake_worker_heartbeat(fixture->worker);
-    copy.token = 6;
+    copy.fencing_token = 6;
     assert_int_equal(deliver(&copy, false), HEARTBEAT_UNVERIFIED);
     assert_null(partition_place(fixture->partition, &request, fixture->now));
     exchange();
@@ -756,7 +757,7 @@
     (void)state;
     placement_request_t request = request_of("j-000009", 0, 900, 4);
     load_record();
-    assert_non_null(probe(DIRECT_REFUSED)); /* another session, or a higher token */
+    assert_non_null(probe(DIRECT_REFUSED)); /* another session, or a higher fencing token */
     assert_null(partition_place(fixture->partition, &request, fixture->now));
     assert_null(probe(DIRECT_EXECUTED)); /* it is asked once */
     assert_int_equal(fixture->partition->probes_in_flight, 0);
@@ -870,7 +871,7 @@
 {
     (void)state;
     fake_worker_t *other = fake_worker_new("m-000002");
-    other->token = 7;
+    other->fencing_token = 7;
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(other);
     exchange();
     deliver(&heartbeat, false);
@@ -989,7 +990,7 @@
 
 /* A direct `run` went unanswered, and its job is cancelled. Reports without the task prove nothing
  * while the copy may still arrive; when it does, it is stopped with the next heartbeat, and
- * forgotten only under a token that voids every copy. */
+ * forgotten only under a fencing token that voids every copy. */
 static void test_a_run_that_is_out_stays_out_until_proof(void **state)
 {
     (void)state;
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -51,16 +51,20 @@
     assert_int_equal(fake_kv_store_apply(store, txn), KV_OK);
 }
 
-static void report_of(const char *id, const char *type, uint64_t seq)
+static void report_of(const char *id, const char *type, uint64_t heartbeat_sequence)
 {
-    worker_heartbeat_t heartbeat = {.session = 1, .seq = seq, .token = 1, .reclaim_in_s = -1};
+    worker_heartbeat_t heartbeat = {.worker_epoch = 1,
+                                    .heartbeat_sequence = heartbeat_sequence,
+                                    .fencing_token = 1,
+                                    .reclaim_in_s = -1};
     g_strlcpy(heartbeat.machine, id, sizeof heartbeat.machine);
     g_strlcpy(heartbeat.address, "10.1.255.254:9000", sizeof heartbeat.address);
     g_strlcpy(heartbeat.type, type, sizeof heartbeat.type);
     g_strlcpy(heartbeat.zone, "north", sizeof heartbeat.zone);
     heartbeat.attempts = g_array_new(FALSE, FALSE, sizeof(reported_attempt_t));
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    partition_handle_heartbeat(partition, &heartbeat, false, 1000 * (msec_t)seq, commands);
+    partition_handle_heartbeat(partition, &heartbeat, false, 1000 * (msec_t)heartbeat_sequence,
+                               commands);
     worker_heartbeat_clear(&heartbeat);
     g_array_unref(commands);
 }
--- a/tests/test_redirection.c
+++ b/tests/test_redirection.c
@@ -18,9 +18,11 @@
     return 0;
 }
 
-static redirection_verdict_t receive(uint64_t session, uint64_t seq, msec_t now)
+static redirection_verdict_t receive(uint64_t worker_epoch, uint64_t heartbeat_sequence, msec_t now)
 {
-    worker_heartbeat_t heartbeat = {.machine = "m-000001", .session = session, .seq = seq};
+    worker_heartbeat_t heartbeat = {.machine = "m-000001",
+                                    .worker_epoch = worker_epoch,
+                                    .heartbeat_sequence = heartbeat_sequence};
     return redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false, now);
 }
 
@@ -68,9 +70,10 @@
     assert_int_equal(receive(3, 1, 2000), REDIRECTION_RETAINED);
 }
 
-static redirection_verdict_t receive_with_loss(const char *machine, uint64_t seq, msec_t now)
+static redirection_verdict_t receive_with_loss(const char *machine, uint64_t heartbeat_sequence,
+                                               msec_t now)
 {
-    worker_heartbeat_t heartbeat = {.session = 1, .seq = seq};
+    worker_heartbeat_t heartbeat = {.worker_epoch = 1, .heartbeat_sequence = heartbeat_sequence};
     g_strlcpy(heartbeat.machine, machine, sizeof heartbeat.machine);
     return redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false,
                                         REDIRECTION_GRACE_MS + now);
@@ -107,7 +110,8 @@
     (void)state;
     assert_int_equal(receive_with_loss("m-000001", 1, 1000), REDIRECTION_TO_OWNER);
     assert_int_equal(receive_with_loss("m-000001", 2, 2000), REDIRECTION_RETAINED);
-    worker_heartbeat_t heartbeat = {.machine = "m-000002", .session = 1, .seq = 1};
+    worker_heartbeat_t heartbeat = {
+        .machine = "m-000002", .worker_epoch = 1, .heartbeat_sequence = 1};
     redirection_clear(redirection, 0, REDIRECTION_GRACE_MS + 2050);
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false,
                                                   REDIRECTION_GRACE_MS + 2100),
@@ -128,11 +132,12 @@
     receive_with_loss("m-000001", 1, 1000);
     receive_with_loss("m-000001", 2, 11000); /* hand-1 is missed */
     redirection_clear(redirection, 0, REDIRECTION_GRACE_MS + 11500);
-    worker_heartbeat_t heartbeat = {.machine = "m-000004", .session = 1, .seq = 1};
+    worker_heartbeat_t heartbeat = {
+        .machine = "m-000004", .worker_epoch = 1, .heartbeat_sequence = 1};
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false,
                                                   REDIRECTION_GRACE_MS + 12000),
                      REDIRECTION_RETAINED);
-    heartbeat.seq = 2;
+    heartbeat.heartbeat_sequence = 2;
     g_strlcpy(heartbeat.machine, "m-000005", sizeof heartbeat.machine);
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1 anew", false,
                                                   REDIRECTION_GRACE_MS + 12000),
@@ -140,7 +145,7 @@
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-2", false,
                                                   REDIRECTION_GRACE_MS + 12000),
                      REDIRECTION_DUPLICATE);
-    heartbeat.seq = 3; /* it came right back from the one that began anew */
+    heartbeat.heartbeat_sequence = 3; /* it came right back from the one that began anew */
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1 anew", false,
                                                   REDIRECTION_GRACE_MS + 20000),
                      REDIRECTION_RETAINED);
@@ -153,18 +158,21 @@
 static void test_a_copy_from_before_the_view_redirects_nobody(void **state)
 {
     (void)state;
-    worker_heartbeat_t heartbeat = {.machine = "m-000001", .session = 1, .seq = 5, .token = 6};
+    worker_heartbeat_t heartbeat = {
+        .machine = "m-000001", .worker_epoch = 1, .heartbeat_sequence = 5, .fencing_token = 6};
     redirection_clear(redirection, 7, 1000);
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false, 1100),
                      REDIRECTION_UNVERIFIED);
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false, 1200),
                      REDIRECTION_UNVERIFIED);
-    heartbeat.seq = 9;
-    heartbeat.token = 7; /* the worker: an answer, or its owner's command, brought it the token */
+    heartbeat.heartbeat_sequence = 9;
+    heartbeat.fencing_token =
+        7; /* the worker: an answer, or its owner's command, brought it the fencing token */
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false,
                                                   1100 + REDIRECT_TIMEOUT_MS),
                      REDIRECTION_TO_OWNER);
-    worker_heartbeat_t other = {.machine = "m-000002", .session = 1, .seq = 5, .token = 7};
+    worker_heartbeat_t other = {
+        .machine = "m-000002", .worker_epoch = 1, .heartbeat_sequence = 5, .fencing_token = 7};
     assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", false,
                                                   1200 + REDIRECT_TIMEOUT_MS),
                      REDIRECTION_TO_OWNER);
@@ -208,8 +216,8 @@
 {
     (void)state;
     msec_t now = REDIRECTION_GRACE_MS + 1000;
-    worker_heartbeat_t first = {.machine = "m-000001", .session = 1, .seq = 1};
-    worker_heartbeat_t second = {.machine = "m-000002", .session = 1, .seq = 1};
+    worker_heartbeat_t first = {.machine = "m-000001", .worker_epoch = 1, .heartbeat_sequence = 1};
+    worker_heartbeat_t second = {.machine = "m-000002", .worker_epoch = 1, .heartbeat_sequence = 1};
     assert_int_equal(redirection_handle_heartbeat(redirection, &first, "hand-1", true, now),
                      REDIRECTION_TO_OWNER);
     assert_int_equal(redirection_handle_heartbeat(redirection, &second, "hand-1", true, now + 100),
@@ -231,23 +239,23 @@
 {
     (void)state;
     msec_t now = REDIRECTION_GRACE_MS + 1000;
-    worker_heartbeat_t probe = {.machine = "m-000001", .session = 1, .seq = 1};
-    worker_heartbeat_t other = {.machine = "m-000002", .session = 1, .seq = 1};
+    worker_heartbeat_t probe = {.machine = "m-000001", .worker_epoch = 1, .heartbeat_sequence = 1};
+    worker_heartbeat_t other = {.machine = "m-000002", .worker_epoch = 1, .heartbeat_sequence = 1};
     assert_int_equal(redirection_handle_heartbeat(redirection, &probe, "hand-1", false, now),
                      REDIRECTION_TO_OWNER);
     assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", false, now + 100),
                      REDIRECTION_RETAINED);
-    other.seq++;
+    other.heartbeat_sequence++;
     assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", false, now + 1100),
                      REDIRECTION_RETAINED);
-    other.seq++;
+    other.heartbeat_sequence++;
     assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", true, now + 2100),
                      REDIRECTION_TO_OWNER);
-    other.seq++; /* it tried for itself in vain, and stays for the whole time */
+    other.heartbeat_sequence++; /* it tried for itself in vain, and stays for the whole time */
     assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", true,
                                                   now + 2100 + REDIRECT_TIMEOUT_MS),
                      REDIRECTION_RETAINED);
-    other.seq++;
+    other.heartbeat_sequence++;
     assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", true,
                                                   now + 3100 + REDIRECT_TIMEOUT_MS),
                      REDIRECTION_RETAINED);
