--- a/src/app/cloud.c
+++ b/src/app/cloud.c
@@ -1,5 +1,5 @@
-/* The loop of the cloud: machine types for every node; for the leader the list of machines, rentals
- * and returns. */
+/* The loop of the cloud: machine types for every node; for the leader the list of machines,
+ * scale-out requests and returns. */
 #include "app/cloud_internal.h"
 
 #include <string.h>
@@ -66,9 +66,9 @@
            election_may_act(&node->view, node->superseded, node->view_proof, clock_steady());
 }
 
-bool cloud_is_returned(const cloud_t *cloud, const char *id, msec_t now)
+bool cloud_is_recently_terminated(const cloud_t *cloud, const char *id, msec_t now)
 {
-    const msec_t *at = g_hash_table_lookup(cloud->returned, id);
+    const msec_t *at = g_hash_table_lookup(cloud->recently_terminated, id);
     return at &&
            now - *at < (msec_t)(cloud->node->settings->list_lag_s * 2 * MS_PER_S) + LEADER_GRACE_MS;
 }
@@ -91,11 +91,12 @@
 
 void *cloud_run(void *data)
 {
-    cloud_t cloud = {.node = data,
-                     .client = http_client_new(2),
-                     .listed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
-                     .failed = g_ptr_array_new_with_free_func(g_free),
-                     .returned = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free)};
+    cloud_t cloud = {
+        .node = data,
+        .client = http_client_new(2),
+        .listed_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
+        .failed_machines = g_ptr_array_new_with_free_func(g_free),
+        .recently_terminated = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free)};
     node_t *node = cloud.node;
     msec_t gap = MAX(CLOUD_GAP_MS, (msec_t)(CLOUD_ROUND_MS / node->settings->cloud_rps));
     for (;;) {
@@ -112,8 +113,8 @@
         cloud_publish_retained(&cloud, now);
         bool has_changed = false;
         if (leading) {
-            has_changed = cloud_rent(&cloud);
-            has_changed = cloud_give_back(&cloud) || has_changed;
+            has_changed = cloud_scale_out(&cloud);
+            has_changed = cloud_scale_in(&cloud) || has_changed;
         }
         msec_t quiet_gap = leading ? node_paced(node, gap) : MAX(gap, CLOUD_IDLE_GAP_MS);
         wait_for_round(node, has_changed ? gap : quiet_gap);
--- a/src/app/cloud_internal.h
+++ b/src/app/cloud_internal.h
@@ -6,13 +6,13 @@
 
 #include "app/node.h"
 
-/* A rental whose answer is still owed: repeated under its name until it is answered. */
-typedef struct charter {
-    bool open;
-    char charter[LABEL_BYTES];
-    rental_wish_t wish;
+/* A autoscaler whose answer is still owed: repeated under its name until it is answered. */
+typedef struct idempotency_key {
+    bool is_pending;
+    char idempotency_key[LABEL_BYTES];
+    scale_out_request_t request;
     uint64_t generation;
-} charter_t;
+} pending_scale_out_t;
 
 /* What the loop keeps. */
 typedef struct cloud {
@@ -22,11 +22,12 @@
     msec_t listed_at;
     msec_t retained_at;   /* when the list of retained workers was last written */
     guint retained_count; /* how many it held */
-    guint charters;
-    charter_t charter;
-    GHashTable *listed;   /* ids of the newest list */
-    GPtrArray *failed;    /* ids that it calls failed */
-    GHashTable *returned; /* id -> msec_t *: released so lately that lists may still show it */
+    guint idempotency_key_count;
+    pending_scale_out_t pending_scale_out;
+    GHashTable *listed_machines; /* ids of the newest list */
+    GPtrArray *failed_machines;  /* ids that it calls failed */
+    GHashTable
+        *recently_terminated; /* id -> msec_t *: released so lately that lists may still show it */
 } cloud_t;
 
 /* The loop (cloud.c). */
@@ -42,7 +43,7 @@
  * before it heard of the new view. */
 bool cloud_leads(const node_t *node);
 /* Whether its release was confirmed within the list's lag: asking again would only cost calls. */
-bool cloud_is_returned(const cloud_t *cloud, const char *id, msec_t now);
+bool cloud_is_recently_terminated(const cloud_t *cloud, const char *id, msec_t now);
 /* With the lock held: sends an item that names a machine to its partition. */
 void cloud_send_machine_item(node_t *node, guint partition, channel_item_kind_t kind,
                              const char *id);
@@ -55,12 +56,12 @@
 /* Rentals (cloud_rental.c). */
 
 /* Asks for the next machines that are wanted. False: there are none. */
-bool cloud_rent(cloud_t *cloud);
+bool cloud_scale_out(cloud_t *cloud);
 
 /* Releases (cloud_release.c). */
 
 /* Releases what is to go, for whatever reason. False: nothing was. */
-bool cloud_give_back(cloud_t *cloud);
+bool cloud_scale_in(cloud_t *cloud);
 
 /* Retained workers and excluded members (cloud_members.c). */
 
--- a/src/app/cloud_listing.c
+++ b/src/app/cloud_listing.c
@@ -41,28 +41,30 @@
 {
     node_t *node = cloud->node;
     GHashTable *known = known_machines(node->leader);
-    g_hash_table_remove_all(cloud->listed);
-    g_ptr_array_set_size(cloud->failed, 0);
+    g_hash_table_remove_all(cloud->listed_machines);
+    g_ptr_array_set_size(cloud->failed_machines, 0);
     for (guint i = 0; i < hosts->len; i++) {
         const host_t *host = &g_array_index(hosts, host_t, i);
-        g_hash_table_add(cloud->listed, g_strdup(host->machine));
+        g_hash_table_add(cloud->listed_machines, g_strdup(host->machine));
         if (host->state == HOST_FAILED)
-            g_ptr_array_add(cloud->failed, g_strdup(host->machine));
+            g_ptr_array_add(cloud->failed_machines, g_strdup(host->machine));
         else if (!g_hash_table_contains(known, host->machine) &&
-                 !cloud_is_returned(cloud, host->machine, now)) /* else the list lags */
-            rental_booting(node->rental, host->machine, host->type, host->zone, host->spot,
-                           MAX(now - (msec_t)(host->age_s * MS_PER_S), node->loaded_at));
+                 !cloud_is_recently_terminated(cloud, host->machine, now)) /* else the list lags */
+            autoscaler_add_booting(node->autoscaler, host->machine, host->type, host->zone,
+                                   host->spot,
+                                   MAX(now - (msec_t)(host->age_s * MS_PER_S), node->loaded_at));
     }
-    /* What was rented long enough ago to be listed and is not, was taken while it booted. */
+    /* What was scaled out long enough ago to be listed and is not, was taken while it booted. */
     GHashTableIter iter;
     gpointer key;
     gpointer value;
     msec_t lag = (msec_t)(node->settings->list_lag_s * 2 * MS_PER_S) + LEADER_GRACE_MS;
-    g_hash_table_iter_init(&iter, node->rental->boots);
+    g_hash_table_iter_init(&iter, node->autoscaler->booting_instances);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
-        const boot_t *boot = value;
+        const booting_instance_t *booting = value;
         if (g_hash_table_contains(known, key) ||
-            (now - boot->since > lag && !g_hash_table_contains(cloud->listed, key)))
+            (now - booting->requested_at > lag &&
+             !g_hash_table_contains(cloud->listed_machines, key)))
             g_hash_table_iter_remove(&iter);
     }
     g_hash_table_unref(known);
--- a/src/app/cloud_release.c
+++ b/src/app/cloud_scale_in.c
@@ -7,14 +7,15 @@
 
 static void add_once(GPtrArray *names, const char *name)
 {
-    if (names->len < RELEASE_MAX_COUNT &&
+    if (names->len < SCALE_IN_MAX_COUNT &&
         !g_ptr_array_find_with_equal_func(names, name, g_str_equal, NULL))
         g_ptr_array_add(names, g_strdup(name));
 }
 
-static void watch_zones(node_t *node, msec_t now)
+static void update_zones(node_t *node, msec_t now)
 {
-    GPtrArray *fallen = rental_watch_zones(node->rental, node->leader, cloud_lost_after(node), now);
+    GPtrArray *fallen =
+        autoscaler_update_zones(node->autoscaler, node->leader, cloud_lost_after(node), now);
     for (guint i = 0; i < fallen->len; i++)
         log_info("event=zone_unreachable zone=%s", (char *)g_ptr_array_index(fallen, i));
     g_ptr_array_unref(fallen);
@@ -22,7 +23,7 @@
 
 /* Machines to be given up for their silence, unless another controller keeps them alive. Those of
  * an unreachable zone have longer: a cut ends, and then they are there, where new ones would have
- * to be rented and booted; their tasks have missed the nearest targets either way. */
+ * to be scaled out and booted; their tasks have missed the nearest targets either way. */
 static GPtrArray *find_silent(cloud_t *cloud)
 {
     node_t *node = cloud->node;
@@ -32,7 +33,7 @@
     msec_t now = clock_steady();
     pthread_mutex_lock(&node->lock);
     if (cloud_leads(node))
-        watch_zones(node, now);
+        update_zones(node, now);
     bool listed = cloud_leads(node) && cloud->listed_at > node->loaded_at + lag;
     for (guint i = 0; cloud_leads(node) && i < node->leader->summaries->len; i++) {
         const GArray *summaries = g_ptr_array_index(node->leader->summaries, i);
@@ -40,15 +41,16 @@
             const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
             bool unlisted = listed && summary->known_ms > lag && !summary->open &&
                             summary->silent_ms > DIRECT_FRESH_MS &&
-                            !g_hash_table_contains(cloud->listed, summary->machine);
+                            !g_hash_table_contains(cloud->listed_machines, summary->machine);
             bool early = summary->silent_ms <= most ||
-                         rental_waits(node->rental, summary->zone, summary->silent_ms, most, now);
-            if ((early && !unlisted) || cloud_is_returned(cloud, summary->machine, now))
+                         autoscaler_awaits_zone(node->autoscaler, summary->zone, summary->silent_ms,
+                                                most, now);
+            if ((early && !unlisted) || cloud_is_recently_terminated(cloud, summary->machine, now))
                 continue;
             log_debug("event=silent machine=%s silent_ms=%" G_GINT64_FORMAT
                       " known_ms=%" G_GINT64_FORMAT " listed=%d",
                       summary->machine, summary->silent_ms, summary->known_ms,
-                      g_hash_table_contains(cloud->listed, summary->machine));
+                      g_hash_table_contains(cloud->listed_machines, summary->machine));
             g_ptr_array_add(silent, g_strdup(summary->machine));
         }
     }
@@ -60,10 +62,10 @@
 static void find_broken(cloud_t *cloud, GPtrArray *names, msec_t now)
 {
     const node_t *node = cloud->node;
-    for (guint i = 0; i < cloud->failed->len; i++)
-        if (!cloud_is_returned(cloud, g_ptr_array_index(cloud->failed, i), now))
-            add_once(names, g_ptr_array_index(cloud->failed, i));
-    GPtrArray *stuck = rental_stuck(node->rental, node->machine_types, now);
+    for (guint i = 0; i < cloud->failed_machines->len; i++)
+        if (!cloud_is_recently_terminated(cloud, g_ptr_array_index(cloud->failed_machines, i), now))
+            add_once(names, g_ptr_array_index(cloud->failed_machines, i));
+    GPtrArray *stuck = autoscaler_stuck_instances(node->autoscaler, node->machine_types, now);
     for (guint i = 0; i < stuck->len; i++)
         add_once(names, g_ptr_array_index(stuck, i));
     g_ptr_array_unref(stuck);
@@ -78,17 +80,17 @@
     bool informed =
         now - atomic_load(&node->kv_store.answered_at) < KV_WATCH_BLOCK_MS + KV_TIMEOUT_MS;
     if (!informed)
-        node->rental->surplus_since = 0;
+        node->autoscaler->surplus_since = 0;
     /* Views of the same leader teach it nothing new: when they came every half minute, nothing was
      * returned for minutes. */
-    bool may_return = informed && now - node->leading_since > RETURN_AFTER_MS &&
+    bool may_return = informed && now - node->leading_since > SCALE_IN_AFTER_MS &&
                       now - node->loaded_at > LEADER_GRACE_MS;
     for (guint drained = 0; may_return && drained < DRAINS_PER_ROUND_COUNT; drained++) {
-        machine_summary_t *surplus =
-            rental_surplus(node->rental, node->leader, node->machine_types, now, clock_day());
+        machine_summary_t *surplus = autoscaler_next_scale_in(
+            node->autoscaler, node->leader, node->machine_types, now, clock_day());
         if (!surplus || !cloud_find_summary(node, surplus->machine, &partition))
             break;
-        log_info("event=surplus machine=%s", surplus->machine);
+        log_info("event=scale_in_selected machine=%s", surplus->machine);
         /* No more placement requests; draining only when its partition says so. */
         surplus->open = false;
         cloud_send_machine_item(node, partition, CHANNEL_DRAIN, surplus->machine);
@@ -108,7 +110,7 @@
         for (guint k = 0; summaries && k < summaries->len; k++) {
             const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
             if (summary->draining && summary->attempts == 0 &&
-                !cloud_is_returned(cloud, summary->machine, now))
+                !cloud_is_recently_terminated(cloud, summary->machine, now))
                 add_once(names, summary->machine);
             if (!summary->draining && leader_is_quarantined(node->leader, summary->machine)) {
                 log_info("event=quarantined machine=%s", summary->machine);
@@ -121,35 +123,35 @@
 /* The release is proof for whatever the machine's record holds, also when no partition has a
  * summary of it.
  */
-static void released(node_t *node, const GPtrArray *names)
+static void terminated(node_t *node, const GPtrArray *names)
 {
-    metrics_count(node->metrics, COUNT_RELEASED, names->len);
+    metrics_count(node->metrics, COUNT_SCALED_IN, names->len);
     for (guint i = 0; i < names->len; i++) {
         const char *id = g_ptr_array_index(names, i);
         guint partition = 0;
-        log_info("event=released machine=%s", id);
-        rental_boot_over(node->rental, id);
+        log_info("event=scaled_in machine=%s", id);
+        autoscaler_remove_booting(node->autoscaler, id);
         if (cloud_find_summary(node, id, &partition))
             cloud_send_machine_item(node, partition, CHANNEL_MACHINE_GONE, id);
     }
     node_notify(node);
 }
 
-static void note_returned(cloud_t *cloud, const GPtrArray *names)
+static void record_terminated(cloud_t *cloud, const GPtrArray *names)
 {
     msec_t now = clock_steady();
     GHashTableIter iter;
     gpointer id;
-    g_hash_table_iter_init(&iter, cloud->returned);
+    g_hash_table_iter_init(&iter, cloud->recently_terminated);
     while (g_hash_table_iter_next(&iter, &id, NULL))
-        if (!cloud_is_returned(cloud, id, now))
+        if (!cloud_is_recently_terminated(cloud, id, now))
             g_hash_table_iter_remove(&iter);
     for (guint i = 0; i < names->len; i++)
-        g_hash_table_insert(cloud->returned, g_strdup(g_ptr_array_index(names, i)),
+        g_hash_table_insert(cloud->recently_terminated, g_strdup(g_ptr_array_index(names, i)),
                             g_memdup2(&now, sizeof now));
 }
 
-bool cloud_give_back(cloud_t *cloud)
+bool cloud_scale_in(cloud_t *cloud)
 {
     node_t *node = cloud->node;
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
@@ -168,14 +170,14 @@
         g_hash_table_unref(retained);
     g_ptr_array_unref(silent);
     if (names->len) {
-        json_t *body = wire_build_release(names);
+        json_t *body = wire_build_scale_in(names);
         int status = cloud_call(cloud, "POST", "/hosts/release", body, NULL);
         json_decref(body);
         pthread_mutex_lock(&node->lock);
         if (status == HTTP_OK && cloud_leads(node) && node->generation == generation) {
-            released(node, names);
-            note_returned(cloud, names);
-            g_ptr_array_set_size(cloud->failed, 0);
+            terminated(node, names);
+            record_terminated(cloud, names);
+            g_ptr_array_set_size(cloud->failed_machines, 0);
         }
         pthread_mutex_unlock(&node->lock);
     }
--- /dev/null
+++ b/src/app/cloud_scale_out.c
@@ -0,0 +1,104 @@
+/* Rentals: one at a time, repeated under its name until it is answered. */
+#include "app/cloud_internal.h"
+
+#include "io/clock.h"
+#include "io/wire.h"
+#include "log.h"
+
+/* With the lock held: a machine that is being drained is nearer than any to be scaled out. */
+static bool cancel_drain(node_t *node)
+{
+    for (guint i = 0; i < node->leader->summaries->len; i++) {
+        const GArray *summaries = g_ptr_array_index(node->leader->summaries, i);
+        for (guint k = 0; summaries && k < summaries->len; k++) {
+            const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
+            if (!summary->draining || summary->attempts == 0 ||
+                leader_is_quarantined(node->leader, summary->machine))
+                continue;
+            log_info("event=drain_cancelled machine=%s", summary->machine);
+            cloud_send_machine_item(node, i, CHANNEL_CANCEL_DRAIN, summary->machine);
+            return true;
+        }
+    }
+    return false;
+}
+
+static void choose_scale_out(cloud_t *cloud)
+{
+    node_t *node = cloud->node;
+    pthread_mutex_lock(&node->lock);
+    msec_t now = clock_steady();
+    pending_scale_out_t *pending = &cloud->pending_scale_out;
+    if (pending->is_pending && pending->generation != node->generation)
+        pending->is_pending =
+            false; /* if it was carried out, its machines will appear in the list */
+    /* Before the first view nobody scaled out: what the list shows is all there is. */
+    bool is_grace_over = now - node->loaded_at > LEADER_GRACE_MS ||
+                         (node->view.number == 1 && cloud->listed_at > node->loaded_at);
+    if (!pending->is_pending && cloud_leads(node) && is_grace_over &&
+        autoscaler_next_scale_out(node->autoscaler, node->leader, node->machine_types, now,
+                                  clock_day(), &pending->request) &&
+        !cancel_drain(node)) {
+        /* The number is this leadership's alone, so the name can never have been used. */
+        g_snprintf(pending->idempotency_key, sizeof pending->idempotency_key,
+                   "c-%" G_GUINT64_FORMAT "-%u", node->view.number, ++cloud->idempotency_key_count);
+        pending->is_pending = true;
+        pending->generation = node->generation;
+    }
+    pthread_mutex_unlock(&node->lock);
+}
+
+static void handle_scale_out_answer(cloud_t *cloud, const json_t *answer)
+{
+    node_t *node = cloud->node;
+    const scale_out_request_t *request = &cloud->pending_scale_out.request;
+    const json_t *names = json_object_get(answer, "Winches");
+    size_t i;
+    json_t *name;
+    pthread_mutex_lock(&node->lock);
+    msec_t now = clock_steady();
+    if (cloud_leads(node)) {
+        json_array_foreach(names, i, name) if (json_is_string(name))
+            autoscaler_add_booting(node->autoscaler, json_string_value(name), request->type,
+                                   request->zone, request->spot, now);
+        if (json_array_size(names) < request->count)
+            autoscaler_record_refusal(node->autoscaler, request, now + CAPACITY_MEMORY_MS);
+    }
+    pthread_mutex_unlock(&node->lock);
+    metrics_count(node->metrics, COUNT_SCALED_OUT, json_array_size(names));
+    log_info("event=scaled_out idempotency_key=%s type=%s zone=%s spot=%d asked=%u got=%zu",
+             cloud->pending_scale_out.idempotency_key, request->type, request->zone, request->spot, request->count,
+             json_array_size(names));
+}
+
+bool cloud_scale_out(cloud_t *cloud)
+{
+    choose_scale_out(cloud);
+    pending_scale_out_t *pending = &cloud->pending_scale_out;
+    if (!pending->is_pending)
+        return false;
+    json_t *answer = NULL;
+    json_t *body = wire_build_scale_out(
+        pending->idempotency_key, pending->request.type, pending->request.zone,
+        pending->request.spot, pending->request.count);
+    int status = cloud_call(cloud, "POST", "/hosts", body, &answer);
+    json_decref(body);
+    const char *error = json_string_value(json_object_get(answer, "error"));
+    if (status == HTTP_OK) {
+        handle_scale_out_answer(cloud, answer);
+        pending->is_pending = false;
+    } else if (status == HTTP_BAD_REQUEST ||
+               (status == HTTP_UNAVAILABLE && g_strcmp0(error, "no capacity") == 0)) {
+        pthread_mutex_lock(&cloud->node->lock);
+        if (cloud->node->autoscaler)
+            autoscaler_record_refusal(cloud->node->autoscaler, &pending->request,
+                                      clock_steady() + CAPACITY_MEMORY_MS);
+        pthread_mutex_unlock(&cloud->node->lock);
+        log_info("event=no_capacity type=%s zone=%s spot=%d status=%d",
+                 pending->request.type, pending->request.zone,
+                 pending->request.spot, status);
+        pending->is_pending = false;
+    }
+    json_decref(answer);
+    return true;
+}
--- a/src/app/metrics.c
+++ b/src/app/metrics.c
@@ -20,8 +20,8 @@
                                                     "direct_unanswered",
                                                     "placements",
                                                     "placements_refused",
-                                                    "machines_rented",
-                                                    "machines_released"};
+                                                    "machines_scaled_out",
+                                                    "machines_scaled_in"};
 
 static const char *const time_names[TIME_LAST] = {"commit_ms", "submit_ms", "status_ms",
                                                   "direct_ms"};
--- a/src/app/node.c
+++ b/src/app/node.c
@@ -209,8 +209,8 @@
     node->leading = view->incarnation == node->incarnation;
     if (!was_leading)
         node->leading_since = clock_steady();
-    if (!was_leading && node->leading && node->rental)
-        rental_begin(node->rental);
+    if (!was_leading && node->leading && node->autoscaler)
+        autoscaler_begin_leadership(node->autoscaler);
     node->loaded = false;
     node->generation++;
     node->own = G_MAXUINT;
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -12,7 +12,7 @@
  * - heartbeats: what the siblings told users, one thread for each sibling;
  * - sender: direct commands to workers;
  * - pulse: notices when the process stood still;
- * - cloud: types everywhere; leader: renting, returning, proof that machines are gone;
+ * - cloud: types everywhere; leader: scaling out, returning, proof that machines are gone;
  * - api: users and workers: the HTTP server's threads, and those that serve the queue of requests
  *   that may have to wait. */
 #ifndef PEPPERPULLEY_NODE_H
@@ -23,6 +23,7 @@
 
 #include "app/metrics.h"
 #include "app/settings.h"
+#include "core/autoscaler.h"
 #include "core/cancellation_log.h"
 #include "core/channel.h"
 #include "core/connectivity.h"
@@ -31,7 +32,6 @@
 #include "core/owner.h"
 #include "core/partition.h"
 #include "core/redirection.h"
-#include "core/rental.h"
 #include "core/request_queue.h"
 #include "core/summary_update.h"
 #include "io/http.h"
@@ -106,7 +106,7 @@
     GArray *machine_types;            /* machine_type_t; empty: not known yet */
     partition_t *partition;
     leader_t *leader;
-    rental_t *rental;
+    autoscaler_t *autoscaler;
     channel_t *leader_channel; /* our partition's end, towards the leader */
     GPtrArray *channels;       /* the leader's ends, a member each; NULL for its own */
     summary_replica_t summary_replicas[MEMBERS_MAX_COUNT]; /* the leader's, a member each */
--- a/src/app/node_partition.c
+++ b/src/app/node_partition.c
@@ -17,7 +17,7 @@
         machine_summary_t summary = {.spot = machine->spot,
                                      .open = partition_is_reached(node->partition, machine, now) &&
                                              machine->is_capacity_known && !machine->draining &&
-                                             !machine->reclaim_at,
+                                             !machine->interruption_at,
                                      .draining = machine->draining,
                                      .total = machine->capacity,
                                      .free = partition_free_resources(machine),
--- a/src/app/placer.c
+++ b/src/app/placer.c
@@ -134,8 +134,8 @@
 {
     partition_t *earlier = node->partition;
     g_clear_pointer(&node->leader, leader_free);
-    if (!node->rental)
-        node->rental = rental_new();
+    if (!node->autoscaler)
+        node->autoscaler = autoscaler_new();
     node->partition =
         partition_new(node->machine_types, node->settings->teams,
                       (msec_t)(tunable_value(node->policy, TUNABLE_RESERVATION_LAPSE) * MS_PER_S));
--- a/src/constants.h
+++ b/src/constants.h
@@ -53,8 +53,8 @@
     JSON_DEPTH_MAX_COUNT =
         32,               /* levels of a body: the parser calls itself, on THREAD_STACK_BYTES */
     TYPES_MAX_COUNT = 64, /* machine types that a job may name; a placement request has as many */
-    RENT_MAX_COUNT = 50,  /* machines in one rental */
-    RELEASE_MAX_COUNT = 100,  /* names in one release */
+    SCALE_OUT_MAX_COUNT = 50, /* machines in one autoscaler */
+    SCALE_IN_MAX_COUNT = 100, /* names in one release */
     LIST_PAGE_COUNT = 500,    /* machines in a page of the cloud's list */
     JOB_DIGITS_MIN_COUNT = 6, /* of a job's id after "j-" */
     JOB_DIGITS_MAX_COUNT = 18
@@ -119,8 +119,8 @@
     MEMBERSHIP_BATCH_MS = 300, /* changes of the membership within this make one view */
     VIEW_FRESH_MS = 5000,      /* a leader whose view is unconfirmed for longer leaves the cloud
                                   alone */
-    LEADER_GRACE_MS = 4000,  /* a new leader waits for reports before it judges silence or rents */
-    RETURN_AFTER_MS = 40000, /* a new leader waits so long before it returns machines: what goes
+    LEADER_GRACE_MS = 4000, /* a new leader waits for reports before it judges silence or rents */
+    SCALE_IN_AFTER_MS = 40000, /* a new leader waits so long before it returns machines: what goes
                                 back in the trough after a trouble is missed in the next wave */
     FENCING_TOKEN_GAP_MS =
         15000,          /* between moves of the fencing token made only to allow a forget */
@@ -325,17 +325,18 @@
 /* ---- Renting and returning machines ---- */
 
 enum {
-    CLOUD_TIMEOUT_MS = 10000,    /* rentals may be slow; a lost answer costs a repeat only */
+    CLOUD_TIMEOUT_MS =
+        10000, /* scale-out requests may be slow; a lost answer costs a repeat only */
     CLOUD_LIST_GAP_MS = 2500,    /* between lists; the list lags by seconds anyway */
     CLOUD_ROUND_MS = 1500,       /* over cloud.rps: three calls of a round share the limit */
     CLOUD_IDLE_GAP_MS = 1000,    /* between looks at what is to be published, where another leads */
     CLOUD_GAP_MS = 300,          /* between other calls: under 5 a second with the lists */
     MACHINE_TYPES_MS = 60000,    /* between reads of the types; prices move slowly */
     CAPACITY_MEMORY_MS = 12000,  /* a refused type, zone and kind is not asked for again sooner */
-    UNREACHABLE_ZONE_MS = 60000, /* nothing is rented for so long in a zone that went silent, after
-                                    its machines were given up */
+    UNREACHABLE_ZONE_MS = 60000, /* nothing is scaled out for so long in a zone that went silent,
+                                    after its machines were given up */
     UNREACHABLE_WAIT_MS = 60000, /* those machines are waited for: three times what a boot takes */
-    BOOT_PATIENCE_MS = 30000,    /* added to three times BootS before a boot is given up */
+    BOOT_TIMEOUT_MS = 30000,     /* added to three times BootS before a boot is given up */
     DRAINS_PER_ROUND_COUNT = 8   /* a fleet of hundreds goes back in seconds, not in minutes */
 };
 
@@ -343,11 +344,11 @@
 static const double RENT_PATIENCE_MIN_S = 15.0;
 /* Of all that is wanted: the largest machine to rent. */
 static const double RENT_LARGEST_FRACTION = 0.6;
-/* Of a machine: if no more than this is lacking, none is rented. */
+/* Of a machine: if no more than this is lacking, none is scaled out. */
 static const double RENT_ROUND_FRACTION = 0.25;
 /* Of the price, added for each machine of the same type, zone and kind. */
 static const double RENT_SPREAD_FRACTION = 0.02;
-/* Of their patience: ordinary machines go back once the queue is below it divided by this. */
+/* Of their patience: on-demand machines go back once the queue is below it divided by this. */
 static const double ORDINARY_EASED_FACTOR = 2.0;
 /* Of a drained machine's cpus: with so much free, work that can save is moved elsewhere. */
 static const double DRAIN_EMPTY_FRACTION = 0.5;
--- a/src/core/rental_balance.c
+++ b/src/core/autoscaler_balance.c
@@ -1,11 +1,11 @@
 /* The balance: what is wanted against what stands and boots. */
-#include "core/rental_internal.h"
+#include "core/autoscaler_internal.h"
 
 /* Seconds within which the waiting work of a job should be under way: the sooner it is due, the
  * more machines it deserves at once. */
 static double patience(const leader_t *leader, const job_t *job, int64_t day_ms)
 {
-    double most = tunable_for_job(leader->policy, TUNABLE_RENT_PATIENCE, &job->spec);
+    double most = tunable_for_job(leader->policy, TUNABLE_SCALE_OUT_PATIENCE, &job->spec);
     if (job->spec.deadline_s <= 0)
         return most;
     double due = (double)(job->spec.submitted_ms - day_ms) / MS_PER_S + job->spec.deadline_s -
@@ -34,7 +34,7 @@
 }
 
 /* What the teams ask for within their guarantees; *waiting: cpu seconds of all that waits. */
-static double promised_cpus(const leader_t *leader, msec_t now, double *waiting)
+static double guaranteed_cpus_asked(const leader_t *leader, msec_t now, double *waiting)
 {
     double *asked = g_new0(double, leader->teams->len + 1);
     double promised = 0;
@@ -55,11 +55,11 @@
     return promised;
 }
 
-rental_balance_t rental_balance(const rental_t *rental, const leader_t *leader,
-                                const GArray *machine_types, msec_t now, int64_t day_ms)
+autoscaler_balance_t autoscaler_balance(const autoscaler_t *autoscaler, const leader_t *leader,
+                                        const GArray *machine_types, msec_t now, int64_t day_ms)
 {
-    rental_balance_t balance = {.wanted = wanted_resources(leader, now, day_ms)};
-    balance.promised = promised_cpus(leader, now, &balance.waiting);
+    autoscaler_balance_t balance = {.wanted = wanted_resources(leader, now, day_ms)};
+    balance.guaranteed_cpus = guaranteed_cpus_asked(leader, now, &balance.waiting_cpu_s);
     for (guint i = 0; i < leader->summaries->len; i++) {
         const GArray *summaries = g_ptr_array_index(leader->summaries, i);
         for (guint k = 0; summaries && k < summaries->len; k++) {
@@ -67,29 +67,31 @@
             if (!summary->open)
                 continue;
             resources_add(&balance.standing, summary->total, 1);
-            balance.ordinary += summary->spot ? 0 : summary->total.cpus;
+            balance.on_demand_cpus += summary->spot ? 0 : summary->total.cpus;
         }
     }
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, rental->boots);
+    g_hash_table_iter_init(&iter, autoscaler->booting_instances);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const boot_t *boot = value;
-        const machine_type_t *machine_type = rental_machine_type(machine_types, boot->type);
+        const booting_instance_t *booting = value;
+        const machine_type_t *machine_type =
+            autoscaler_find_machine_type(machine_types, booting->type);
         if (!machine_type)
             continue;
         resources_add(&balance.booting, machine_type->capacity, 1);
-        balance.ordinary += boot->spot ? 0 : machine_type->capacity.cpus;
+        balance.on_demand_cpus += booting->spot ? 0 : machine_type->capacity.cpus;
     }
     return balance;
 }
 
-double rental_extra_cpus(const leader_t *leader, const rental_balance_t *balance, double patience_s)
+double autoscaler_extra_on_demand_cpus(const leader_t *leader, const autoscaler_balance_t *balance,
+                                       double patience_s)
 {
     double there = balance->standing.cpus + balance->booting.cpus;
-    double extra = MAX(balance->ordinary - balance->promised, 0);
+    double extra = MAX(balance->on_demand_cpus - balance->guaranteed_cpus, 0);
     double spot = MAX(there - extra, 0);
-    double needed = balance->waiting / MAX(patience_s, 1);
-    double most = tunable_value(leader->policy, TUNABLE_ORDINARY_SHARE) * MAX(spot, needed);
+    double needed = balance->waiting_cpu_s / MAX(patience_s, 1);
+    double most = tunable_value(leader->policy, TUNABLE_ON_DEMAND_SHARE) * MAX(spot, needed);
     return CLAMP(needed - spot, 0, most);
 }
--- a/src/core/rental_choice.c
+++ b/src/core/autoscaler_choice.c
@@ -1,10 +1,10 @@
-/* The choice: the next rental, and the machine to give back. */
-#include "core/rental_internal.h"
+/* The choice: the next autoscaler, and the machine to give back. */
+#include "core/autoscaler_internal.h"
 
 #include <math.h>
 #include <string.h>
 
-static guint count_of(const leader_t *leader, const rental_t *rental, const char *type,
+static guint count_of(const leader_t *leader, const autoscaler_t *autoscaler, const char *type,
                       const char *zone, bool spot)
 {
     guint count = 0;
@@ -18,11 +18,11 @@
     }
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, rental->boots);
+    g_hash_table_iter_init(&iter, autoscaler->booting_instances);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const boot_t *boot = value;
-        count +=
-            boot->spot == spot && strcmp(boot->type, type) == 0 && strcmp(boot->zone, zone) == 0;
+        const booting_instance_t *booting = value;
+        count += booting->spot == spot && strcmp(booting->type, type) == 0 &&
+                 strcmp(booting->zone, zone) == 0;
     }
     return count;
 }
@@ -38,7 +38,7 @@
         if (job_spec_allows(spec, machine_type->name, zone, spot) &&
             resources_fit(spec->need, machine_type->capacity) &&
             (spot || promised || !spec->spot ||
-             (presses && tunable_for_job(policy, TUNABLE_RENT_ORDINARY, spec) != 0)))
+             (presses && tunable_for_job(policy, TUNABLE_USE_ON_DEMAND, spec) != 0)))
             return true;
     }
     return false;
@@ -52,49 +52,49 @@
                        lack.memory / MAX(machine_type->capacity.memory, EPSILON));
     if (machine_type->capacity.cpus > wanted_cpus * RENT_LARGEST_FRACTION && units < 1)
         return 0;
-    return (guint)CLAMP(ceil(units - RENT_ROUND_FRACTION), 1, (double)RENT_MAX_COUNT);
+    return (guint)CLAMP(ceil(units - RENT_ROUND_FRACTION), 1, (double)SCALE_OUT_MAX_COUNT);
 }
 
-/* What a rental is chosen by, and the best one so far. */
-typedef struct rental_choice {
-    const rental_t *rental;
+/* What a autoscaler is chosen by, and the best one so far. */
+typedef struct scale_out_choice {
+    const autoscaler_t *autoscaler;
     const leader_t *leader;
-    const rental_balance_t *balance;
+    const autoscaler_balance_t *balance;
     const GArray *demand; /* demand_t */
-    double extra; /* cpus of ordinary machines for which work beyond what is promised waits */
+    double extra; /* cpus of on-demand machines for which work beyond what is promised waits */
     msec_t now;
     double cost; /* of the wish; infinite: there is none yet */
-    rental_wish_t *wish;
-} rental_choice_t;
+    scale_out_request_t *request;
+} scale_out_choice_t;
 
 /* Takes the machines for the wish if they may be had, are of use and cost least so far. */
-static void consider(rental_choice_t *choice, const machine_type_t *machine_type, const char *zone,
-                     bool spot, guint count)
+static void consider(scale_out_choice_t *choice, const machine_type_t *machine_type,
+                     const char *zone, bool spot, guint count)
 {
     double cpus = machine_type->capacity.cpus;
-    bool promised = choice->balance->ordinary + cpus <= choice->balance->promised;
-    if (rental_is_zone_unreachable(choice->rental, zone, choice->now) ||
-        rental_is_refused(choice->rental, machine_type->name, zone, spot, choice->now) ||
+    bool promised = choice->balance->on_demand_cpus + cpus <= choice->balance->guaranteed_cpus;
+    if (autoscaler_is_zone_unreachable(choice->autoscaler, zone, choice->now) ||
+        autoscaler_is_refused(choice->autoscaler, machine_type->name, zone, spot, choice->now) ||
         !is_useful(choice->leader->policy, choice->demand, machine_type, zone, spot, promised,
                    choice->extra >= cpus))
         return;
     double price = (spot ? machine_type->spot_price : machine_type->price) / MAX(cpus, EPSILON);
     /* Of equals the type and zone with the fewest, so that a wave or a cut takes less at once. */
-    guint alike = count_of(choice->leader, choice->rental, machine_type->name, zone, spot);
+    guint alike = count_of(choice->leader, choice->autoscaler, machine_type->name, zone, spot);
     double cost = price * (1 + RENT_SPREAD_FRACTION * alike);
     if (cost >= choice->cost)
         return;
     if (!spot && !promised)
         count = (guint)CLAMP(choice->extra / cpus, 1, (double)count);
     choice->cost = cost;
-    *choice->wish = (rental_wish_t){.spot = spot, .count = count};
-    g_strlcpy(choice->wish->type, machine_type->name, sizeof choice->wish->type);
-    g_strlcpy(choice->wish->zone, zone, sizeof choice->wish->zone);
+    *choice->request = (scale_out_request_t){.spot = spot, .count = count};
+    g_strlcpy(choice->request->type, machine_type->name, sizeof choice->request->type);
+    g_strlcpy(choice->request->zone, zone, sizeof choice->request->zone);
 }
 
 /* Considers each type in each zone, ordinary and spot; wanted_cpus bounds how large a type may be.
  */
-static void consider_all(rental_choice_t *choice, const GArray *machine_types, resources_t lack,
+static void consider_all(scale_out_choice_t *choice, const GArray *machine_types, resources_t lack,
                          double wanted_cpus)
 {
     for (guint i = 0; i < machine_types->len; i++) {
@@ -107,27 +107,30 @@
     }
 }
 
-bool rental_next(const rental_t *rental, const leader_t *leader, const GArray *machine_types,
-                 msec_t now, int64_t day_ms, rental_wish_t *wish)
+bool autoscaler_next_scale_out(const autoscaler_t *autoscaler, const leader_t *leader,
+                               const GArray *machine_types, msec_t now, int64_t day_ms,
+                               scale_out_request_t *request)
 {
-    rental_balance_t balance = rental_balance(rental, leader, machine_types, now, day_ms);
+    autoscaler_balance_t balance =
+        autoscaler_balance(autoscaler, leader, machine_types, now, day_ms);
     resources_t lack = {0};
-    resources_add(&lack, balance.wanted, tunable_value(leader->policy, TUNABLE_RENT_HEADROOM));
+    resources_add(&lack, balance.wanted, tunable_value(leader->policy, TUNABLE_SCALE_OUT_HEADROOM));
     resources_add(&lack, balance.standing, -1);
     resources_add(&lack, balance.booting, -1);
     if (lack.cpus <= 0 && lack.memory <= 0)
         return false;
-    double patience = tunable_value(leader->policy, TUNABLE_ORDINARY_PATIENCE);
+    double patience = tunable_value(leader->policy, TUNABLE_ON_DEMAND_PATIENCE);
     GArray *demand = leader_demand(leader, now);
-    rental_choice_t choice = {.rental = rental,
-                              .leader = leader,
-                              .balance = &balance,
-                              .demand = demand,
-                              .extra = rental_extra_cpus(leader, &balance, patience) -
-                                       MAX(balance.ordinary - balance.promised, 0),
-                              .now = now,
-                              .cost = INFINITY,
-                              .wish = wish};
+    scale_out_choice_t choice = {.autoscaler = autoscaler,
+                                 .leader = leader,
+                                 .balance = &balance,
+                                 .demand = demand,
+                                 .extra =
+                                     autoscaler_extra_on_demand_cpus(leader, &balance, patience) -
+                                     MAX(balance.on_demand_cpus - balance.guaranteed_cpus, 0),
+                                 .now = now,
+                                 .cost = INFINITY,
+                                 .request = request};
     consider_all(&choice, machine_types, lack, balance.wanted.cpus);
     if (isinf(choice.cost))
         consider_all(&choice, machine_types, lack, INFINITY);
@@ -137,23 +140,24 @@
 
 static double machine_price(const machine_summary_t *summary, const GArray *machine_types)
 {
-    const machine_type_t *machine_type = rental_machine_type(machine_types, summary->type);
+    const machine_type_t *machine_type = autoscaler_find_machine_type(machine_types, summary->type);
     if (!machine_type)
         return 0;
     return (summary->spot ? machine_type->spot_price : machine_type->price) /
            MAX(machine_type->capacity.cpus, EPSILON);
 }
 
-machine_summary_t *rental_surplus(rental_t *rental, const leader_t *leader,
-                                  const GArray *machine_types, msec_t now, int64_t day_ms)
+machine_summary_t *autoscaler_next_scale_in(autoscaler_t *autoscaler, const leader_t *leader,
+                                            const GArray *machine_types, msec_t now, int64_t day_ms)
 {
-    rental_balance_t balance = rental_balance(rental, leader, machine_types, now, day_ms);
-    double keep = tunable_value(leader->policy, TUNABLE_RENT_KEEP);
-    double extra = MAX(balance.ordinary - balance.promised, 0);
-    bool eased =
-        extra > rental_extra_cpus(leader, &balance,
-                                  tunable_value(leader->policy, TUNABLE_ORDINARY_PATIENCE) /
-                                      ORDINARY_EASED_FACTOR);
+    autoscaler_balance_t balance =
+        autoscaler_balance(autoscaler, leader, machine_types, now, day_ms);
+    double keep = tunable_value(leader->policy, TUNABLE_SCALE_IN_HEADROOM);
+    double extra = MAX(balance.on_demand_cpus - balance.guaranteed_cpus, 0);
+    bool eased = extra > autoscaler_extra_on_demand_cpus(
+                             leader, &balance,
+                             tunable_value(leader->policy, TUNABLE_ON_DEMAND_PATIENCE) /
+                                 ORDINARY_EASED_FACTOR);
     machine_summary_t *worst = NULL;
     double worst_price = 0;
     for (guint i = 0; i < leader->summaries->len; i++) {
@@ -178,12 +182,12 @@
         }
     }
     if (!worst)
-        rental->surplus_since = 0;
-    else if (rental->surplus_since == 0)
-        rental->surplus_since = now;
+        autoscaler->surplus_since = 0;
+    else if (autoscaler->surplus_since == 0)
+        autoscaler->surplus_since = now;
     if (!worst)
         return NULL;
-    double wait = tunable_for_machine(leader->policy, TUNABLE_IDLE_KEEP, worst->type, worst->zone,
-                                      worst->spot, worst->total);
-    return (double)(now - rental->surplus_since) >= wait * MS_PER_S ? worst : NULL;
+    double wait = tunable_for_machine(leader->policy, TUNABLE_SCALE_IN_DELAY, worst->type,
+                                      worst->zone, worst->spot, worst->total);
+    return (double)(now - autoscaler->surplus_since) >= wait * MS_PER_S ? worst : NULL;
 }
--- a/src/core/partition.h
+++ b/src/core/partition.h
@@ -151,7 +151,7 @@
         last_acknowledged_at; /* last sign that what we say arrives there; reports alone are none */
     msec_t first_seen_at;
     msec_t idle_since;
-    msec_t reclaim_at; /* when the cloud takes it; 0: not announced */
+    msec_t interruption_at; /* when the cloud takes it; 0: not announced */
     bool draining;
     GPtrArray *attempts; /* attempt_t, owned */
     GArray *reservations;
--- a/src/core/partition_heartbeats.c
+++ b/src/core/partition_heartbeats.c
@@ -164,7 +164,7 @@
 /* Whether starts may be sent there, as far as the machine goes. */
 static bool takes_starts(const partition_t *partition, const machine_t *machine, msec_t now)
 {
-    return partition_is_reached(partition, machine, now) && !machine->reclaim_at;
+    return partition_is_reached(partition, machine, now) && !machine->interruption_at;
 }
 
 heartbeat_verdict_t partition_handle_heartbeat(partition_t *partition,
@@ -188,9 +188,9 @@
     machine->heartbeat_sequence = heartbeat->heartbeat_sequence;
     machine->fencing_token = heartbeat->fencing_token;
     machine->receipt_count++;
-    machine->reclaim_at = heartbeat->reclaim_in_s >= 0
-                              ? MAX(now + (msec_t)(heartbeat->reclaim_in_s * MS_PER_S), 1)
-                              : 0;
+    machine->interruption_at = heartbeat->interruption_in_s >= 0
+                                   ? MAX(now + (msec_t)(heartbeat->interruption_in_s * MS_PER_S), 1)
+                                   : 0;
     take_attempts(partition, machine, heartbeat, now);
     for (guint i = 0; i < machine->attempts->len; i++) {
         const attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -80,7 +80,7 @@
     uint64_t worker_epoch;
     uint64_t heartbeat_sequence;
     uint64_t fencing_token;
-    double reclaim_in_s; /* below 0: none */
+    double interruption_in_s; /* below 0: none */
     GArray *attempts;
 } worker_heartbeat_t;
 
--- a/src/io/wire.h
+++ b/src/io/wire.h
@@ -42,9 +42,9 @@
 } host_t;
 /* Appends to array of host_t; false if malformed. */
 bool wire_parse_hosts(const json_t *body, GArray *hosts, bool *more);
-json_t *wire_build_rental(const char *charter, const char *type, const char *zone, bool spot,
-                          guint count);
-json_t *wire_build_release(const GPtrArray *machines);
+json_t *wire_build_scale_out(const char *idempotency_key, const char *type, const char *zone,
+                             bool spot, guint count);
+json_t *wire_build_scale_in(const GPtrArray *machines);
 
 json_t *wire_build_record(const page_record_t *record);
 /* value of machines/<page>; machines become the caller's */
--- a/src/io/wire_cloud.c
+++ b/src/io/wire_cloud.c
@@ -1,4 +1,4 @@
-/* The cloud's protocol: machine types, the list of machines, rentals and returns. */
+/* The cloud's protocol: machine types, the list of machines, scale-out requests and returns. */
 #include "io/wire_internal.h"
 
 static void machine_type_clear(gpointer data)
@@ -69,14 +69,14 @@
     return true;
 }
 
-json_t *wire_build_rental(const char *charter, const char *type, const char *zone, bool spot,
-                          guint count)
+json_t *wire_build_scale_out(const char *idempotency_key, const char *type, const char *zone,
+                             bool spot, guint count)
 {
-    return json_pack("{s:s,s:s,s:s,s:b,s:i}", "Charter", charter, "Hull", type, "Dock", zone,
-                     "Driftwood", spot, "Number", (int)count);
+    return json_pack("{s:s,s:s,s:s,s:b,s:i}", "Charter", idempotency_key, "Hull", type, "Dock",
+                     zone, "Driftwood", spot, "Number", (int)count);
 }
 
-json_t *wire_build_release(const GPtrArray *machines)
+json_t *wire_build_scale_in(const GPtrArray *machines)
 {
     json_t *names = json_array();
     for (guint i = 0; i < machines->len; i++)
--- a/src/io/wire_worker_heartbeat.c
+++ b/src/io/wire_worker_heartbeat.c
@@ -24,7 +24,7 @@
     FIELD_WORKER_EPOCH,
     FIELD_HEARTBEAT_SEQUENCE,
     FIELD_FENCING_TOKEN,
-    FIELD_RECLAIM,
+    FIELD_INTERRUPTION,
     FIELD_ATTEMPTS,
     HEARTBEAT_FIELDS,
     FIELD_UNKNOWN = HEARTBEAT_FIELDS
@@ -124,10 +124,10 @@
 }
 
 /* null: none was announced. */
-static int take_reclaim(heartbeat_reader_t *reader, const value_t *value, const char *name)
+static int read_interruption(heartbeat_reader_t *reader, const value_t *value, const char *name)
 {
     char number[LABEL_BYTES];
-    reader->heartbeat->reclaim_in_s = -1;
+    reader->heartbeat->interruption_in_s = -1;
     if (value->kind == VALUE_NULL)
         return READ_ON;
     if (value->kind != VALUE_NUMBER || value->length >= sizeof number)
@@ -137,7 +137,7 @@
     double amount = g_ascii_strtod(number, NULL);
     if (!isfinite(amount) || amount < 0 || amount > AMOUNT_MAX)
         return refuse(reader, name, "out of range");
-    reader->heartbeat->reclaim_in_s = amount;
+    reader->heartbeat->interruption_in_s = amount;
     return READ_ON;
 }
 
@@ -167,8 +167,8 @@
         return take_count(reader, value, name, &heartbeat->heartbeat_sequence);
     case FIELD_FENCING_TOKEN:
         return take_count(reader, value, name, &heartbeat->fencing_token);
-    case FIELD_RECLAIM:
-        return take_reclaim(reader, value, name);
+    case FIELD_INTERRUPTION:
+        return read_interruption(reader, value, name);
     case FIELD_ATTEMPTS: /* a list is no plain value */
         return value->kind == VALUE_NULL ? READ_ON : refuse(reader, name, "a list is expected");
     case FIELD_UNKNOWN:
@@ -350,7 +350,7 @@
 
 static bool has_all_fields(heartbeat_reader_t *reader)
 {
-    static const guint optional = 1U << FIELD_RECLAIM | 1U << FIELD_ATTEMPTS;
+    static const guint optional = 1U << FIELD_INTERRUPTION | 1U << FIELD_ATTEMPTS;
     guint missing = ((1U << HEARTBEAT_FIELDS) - 1) & ~optional & ~reader->seen;
     if (missing)
         refuse(reader, report_fields[g_bit_nth_lsf(missing, -1)], "missing");
@@ -370,7 +370,7 @@
                                              .yajl_start_array = read_list_start,
                                              .yajl_end_array = read_list_end};
     heartbeat_reader_t reader = {.heartbeat = heartbeat, .why = why, .field = FIELD_UNKNOWN};
-    *heartbeat = (worker_heartbeat_t){.reclaim_in_s = -1};
+    *heartbeat = (worker_heartbeat_t){.interruption_in_s = -1};
     heartbeat->attempts = g_array_new(FALSE, FALSE, sizeof(reported_attempt_t));
     if (why)
         why->text[0] = '\0';
--- a/tests/fakes/worker.c
+++ b/tests/fakes/worker.c
@@ -22,7 +22,7 @@
     worker_heartbeat_t heartbeat = {.worker_epoch = worker->worker_epoch,
                                     .heartbeat_sequence = ++worker->heartbeat_sequence,
                                     .fencing_token = worker->fencing_token,
-                                    .reclaim_in_s = -1,
+                                    .interruption_in_s = -1,
                                     .attempts = g_array_copy(worker->attempts)};
     g_strlcpy(heartbeat.machine, worker->id, sizeof heartbeat.machine);
     g_strlcpy(heartbeat.address, "10.1.0.1:9000", sizeof heartbeat.address);
--- a/tests/test_encoding_samples.c
+++ b/tests/test_encoding_samples.c
@@ -126,7 +126,7 @@
     assert_string_equal(heartbeat.address, "10.1.0.232:9000");
     assert_string_equal(heartbeat.type, "g8");
     assert_string_equal(heartbeat.zone, "north");
-    assert_true(heartbeat.spot && heartbeat.reclaim_in_s == 12.5);
+    assert_true(heartbeat.spot && heartbeat.interruption_in_s == 12.5);
     assert_int_equal(heartbeat.worker_epoch, 31);
     assert_int_equal(heartbeat.heartbeat_sequence, 88);
     assert_int_equal(heartbeat.fencing_token, 41);
@@ -167,8 +167,8 @@
     g_ptr_array_add(machines, "m-000001");
     g_ptr_array_add(machines, "m-000002");
     assert_json_is_sample("cloud_rental.json",
-                          wire_build_rental("node-1-5", "g8", "north", true, 3));
-    assert_json_is_sample("cloud_release.json", wire_build_release(machines));
+                          wire_build_scale_out("node-1-5", "g8", "north", true, 3));
+    assert_json_is_sample("cloud_release.json", wire_build_scale_in(machines));
     g_ptr_array_unref(machines);
 }
 
--- a/tests/test_leader.c
+++ b/tests/test_leader.c
@@ -1,6 +1,6 @@
 /* Tests of the leader: whose work goes first, and what counts against limits. */
+#include "core/autoscaler.h"
 #include "core/leader.h"
-#include "core/rental.h"
 #include "unit_test.h"
 
 static GArray *teams;
@@ -736,7 +736,7 @@
 
 /* silent: machines of the zone that have been silent for long, before they were given up; after: ms
  * since. */
-static bool next_rental(bool spot_allowed, guint silent, msec_t after, rental_wish_t *wish)
+static bool next_rental(bool spot_allowed, guint silent, msec_t after, scale_out_request_t *request)
 {
     static char *zones[] = {"north", NULL};
     GArray *machine_types = g_array_new(FALSE, FALSE, sizeof(machine_type_t));
@@ -749,16 +749,17 @@
     leader_free(leader);
     leader = leader_new(teams, targets, policy, 1);
     add(&spec);
-    rental_t *rental = rental_new();
+    autoscaler_t *autoscaler = autoscaler_new();
     set_summaries(silent, 9000, false);
-    GPtrArray *fallen = rental_watch_zones(rental, leader, 6000, 1000);
+    GPtrArray *fallen = autoscaler_update_zones(autoscaler, leader, 6000, 1000);
     assert_int_equal(fallen->len, silent >= LOST_MACHINES_MIN_COUNT);
     g_ptr_array_unref(fallen);
     set_summaries(0, 0, false);
-    rental_wish_t taken = {.type = "t", .zone = "north", .spot = true};
-    rental_refused(rental, &taken, G_MAXINT64);
-    bool wished = rental_next(rental, leader, machine_types, 1000 + after, 2000, wish);
-    rental_free(rental);
+    scale_out_request_t taken = {.type = "t", .zone = "north", .spot = true};
+    autoscaler_record_refusal(autoscaler, &taken, G_MAXINT64);
+    bool wished =
+        autoscaler_next_scale_out(autoscaler, leader, machine_types, 1000 + after, 2000, request);
+    autoscaler_free(autoscaler);
     g_array_unref(machine_types);
     return wished;
 }
@@ -766,16 +767,16 @@
 static void test_without_a_guarantee_spot_work_waits_for_spot(void **state)
 {
     (void)state;
-    rental_wish_t wish;
-    assert_false(next_rental(true, 0, 0, &wish));
+    scale_out_request_t request;
+    assert_false(next_rental(true, 0, 0, &request));
 }
 
 static void test_work_barred_from_spot_gets_ordinary_machines(void **state)
 {
     (void)state;
-    rental_wish_t wish;
-    assert_true(next_rental(false, 0, 0, &wish));
-    assert_false(wish.spot);
+    scale_out_request_t request;
+    assert_true(next_rental(false, 0, 0, &request));
+    assert_false(request.spot);
 }
 
 /* Ten spot machines stand, no more are to be had, and the work that waits takes so many cpu
@@ -783,8 +784,8 @@
 static guint ordinary_for(uint32_t tasks)
 {
     static char *zones[] = {"north", NULL};
-    rental_wish_t wish;
-    rental_wish_t taken = {.type = "t", .zone = "north", .spot = true};
+    scale_out_request_t request;
+    scale_out_request_t taken = {.type = "t", .zone = "north", .spot = true};
     GArray *machine_types = g_array_new(FALSE, FALSE, sizeof(machine_type_t));
     machine_type_t machine_type = {
         .name = "t", .capacity = {16, 0, 64}, .price = 3, .spot_price = 1, .zones = zones};
@@ -800,16 +801,17 @@
     job_spec_t spec = job("j-000001", "green", tasks);
     spec.spot = true;
     add(&spec);
-    rental_t *rental = rental_new();
-    rental_refused(rental, &taken, G_MAXINT64);
-    bool wished = rental_next(rental, leader, machine_types, 1000, 2000, &wish);
-    assert_true(!wished || !wish.spot);
-    rental_free(rental);
+    autoscaler_t *autoscaler = autoscaler_new();
+    autoscaler_record_refusal(autoscaler, &taken, G_MAXINT64);
+    bool wished =
+        autoscaler_next_scale_out(autoscaler, leader, machine_types, 1000, 2000, &request);
+    assert_true(!wished || !request.spot);
+    autoscaler_free(autoscaler);
     g_array_unref(machine_types);
-    return wished ? wish.count : 0;
+    return wished ? request.count : 0;
 }
 
-/* Spot machines ran out, and a queue of five minutes never drained; ordinary ones for all of it
+/* Spot machines ran out, and a queue of five minutes never drained; on-demand ones for all of it
  * cost more than they were worth. */
 static void test_work_that_waits_too_long_gets_a_share_of_ordinary_machines(void **state)
 {
@@ -820,21 +822,21 @@
     assert_int_equal(ordinary_for(3000), 7); /* a fourth of the 500 that would */
 }
 
-/* A zone went silent as a whole and its machines were given up: what was rented there at once
+/* A zone went silent as a whole and its machines were given up: what was scaled out there at once
  * booted, cost, and could not be heard either. */
 static void test_nothing_is_rented_in_an_unreachable_zone(void **state)
 {
     (void)state;
-    rental_wish_t wish;
-    assert_false(next_rental(false, 3, UNREACHABLE_ZONE_MS - 1, &wish));
-    assert_true(next_rental(false, 2, 0, &wish)); /* two may have died */
+    scale_out_request_t request;
+    assert_false(next_rental(false, 3, UNREACHABLE_ZONE_MS - 1, &request));
+    assert_true(next_rental(false, 2, 0, &request)); /* two may have died */
 }
 
 static void test_a_zone_is_unreachable_for_a_while_only(void **state)
 {
     (void)state;
-    rental_wish_t wish;
-    assert_true(next_rental(false, 3, UNREACHABLE_ZONE_MS, &wish));
+    scale_out_request_t request;
+    assert_true(next_rental(false, 3, UNREACHABLE_ZONE_MS, &request));
 }
 
 /* A cut ended after 40 s, and the zone stayed without new machines for a minute more. */
@@ -844,20 +846,20 @@
     add_team("green", 0, 0);
     leader_free(leader);
     leader = leader_new(teams, targets, policy, 1);
-    rental_t *rental = rental_new();
+    autoscaler_t *autoscaler = autoscaler_new();
     set_summaries(5, 9000, false);
-    g_ptr_array_unref(rental_watch_zones(rental, leader, 6000, 1000));
-    assert_true(rental_is_zone_unreachable(rental, "north", 1000));
-    assert_true(rental_waits(rental, "north", 40000, 20000, 1000));
-    assert_false(rental_waits(rental, "north", UNREACHABLE_WAIT_MS + 1, 20000, 1000));
+    g_ptr_array_unref(autoscaler_update_zones(autoscaler, leader, 6000, 1000));
+    assert_true(autoscaler_is_zone_unreachable(autoscaler, "north", 1000));
+    assert_true(autoscaler_awaits_zone(autoscaler, "north", 40000, 20000, 1000));
+    assert_false(autoscaler_awaits_zone(autoscaler, "north", UNREACHABLE_WAIT_MS + 1, 20000, 1000));
     set_summaries(5, 0, true);
-    g_ptr_array_unref(rental_watch_zones(rental, leader, 6000, 2000));
-    assert_false(rental_is_zone_unreachable(rental, "north", 2000));
+    g_ptr_array_unref(autoscaler_update_zones(autoscaler, leader, 6000, 2000));
+    assert_false(autoscaler_is_zone_unreachable(autoscaler, "north", 2000));
     /* Its other machines were given up the moment that the first was back. */
-    assert_true(rental_waits(rental, "north", 42000, 20000, 2500));
-    assert_false(rental_waits(rental, "north", 42000, 20000, 22001));
-    assert_false(rental_waits(rental, "south", 42000, 20000, 2500));
-    rental_free(rental);
+    assert_true(autoscaler_awaits_zone(autoscaler, "north", 42000, 20000, 2500));
+    assert_false(autoscaler_awaits_zone(autoscaler, "north", 42000, 20000, 22001));
+    assert_false(autoscaler_awaits_zone(autoscaler, "south", 42000, 20000, 2500));
+    autoscaler_free(autoscaler);
 }
 
 /* Both teams are at their limits with work on machines that can't be asked. One job was cancelled
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -737,8 +737,8 @@
     abort_job(0, "j-000001", "cancelled");
 }
 
-/* A controller leads, is replaced, and leads again minutes later. What it rented at first is up by
- * then and works for other partitions, whose machine summaries it has yet to receive: taken for
+/* A controller leads, is replaced, and leads again minutes later. What it scaled out at first is up
+ * by then and works for other partitions, whose machine summaries it has yet to receive: taken for
  * boots that came to nothing, such machines were returned, work and all. */
 static void test_a_leader_anew_knows_no_boots_of_before(void **state)
 {
@@ -747,22 +747,22 @@
     fixture = g_new0(fixture_t, 1);
     fixture->services = services_new();
     node_t *node = node_new(settings_of(0, peers, 2), policy_default());
-    node->rental = rental_new();
+    node->autoscaler = autoscaler_new();
     view_t own = {.number = 1, .revision = 10, .incarnation = node->incarnation};
     view_t other = {.number = 3, .revision = 30, .incarnation = node->incarnation + 1};
     pthread_mutex_lock(&node->lock);
     node_adopt(node, &own);
-    rental_booting(node->rental, "m-000001", "t16", "north", true, 1000);
+    autoscaler_add_booting(node->autoscaler, "m-000001", "t16", "north", true, 1000);
     own.number = 2;
     own.revision = 20;
     node_adopt(node, &own); /* the same leadership: it boots on */
-    assert_int_equal(g_hash_table_size(node->rental->boots), 1);
+    assert_int_equal(g_hash_table_size(node->autoscaler->booting_instances), 1);
     node_adopt(node, &other);
     own.number = 4;
     own.revision = 40;
     node_adopt(node, &own);
-    GPtrArray *stuck =
-        rental_stuck(node->rental, node->machine_types, 1000 + 10 * BOOT_PATIENCE_MS);
+    GPtrArray *stuck = autoscaler_stuck_instances(node->autoscaler, node->machine_types,
+                                                  1000 + 10 * BOOT_TIMEOUT_MS);
     assert_int_equal(stuck->len, 0);
     g_ptr_array_unref(stuck);
     pthread_mutex_unlock(&node->lock);
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -56,7 +56,7 @@
     worker_heartbeat_t heartbeat = {.worker_epoch = 1,
                                     .heartbeat_sequence = heartbeat_sequence,
                                     .fencing_token = 1,
-                                    .reclaim_in_s = -1};
+                                    .interruption_in_s = -1};
     g_strlcpy(heartbeat.machine, id, sizeof heartbeat.machine);
     g_strlcpy(heartbeat.address, "10.1.255.254:9000", sizeof heartbeat.address);
     g_strlcpy(heartbeat.type, type, sizeof heartbeat.type);
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -98,7 +98,7 @@
     worker_heartbeat_t heartbeat;
     assert_true(wire_parse_worker_heartbeat(report_text, strlen(report_text), &heartbeat, NULL));
     assert_int_equal(heartbeat.fencing_token, 41);
-    assert_true(heartbeat.reclaim_in_s < 0);
+    assert_true(heartbeat.interruption_in_s < 0);
     assert_int_equal(heartbeat.attempts->len, 2);
     assert_int_equal(g_array_index(heartbeat.attempts, reported_attempt_t, 0).task, 3);
     assert_int_equal(g_array_index(heartbeat.attempts, reported_attempt_t, 1).cause, CAUSE_DONE);
