--- a/src/app/api_jobs.c
+++ b/src/app/api_jobs.c
@@ -33,14 +33,14 @@
 
 /* An array runs as its team's limit permits, a task at a time if need be; any other job as a whole.
  */
-static bool is_above_limit(const job_spec_t *spec, const team_t *team)
+static bool exceeds_quota(const job_spec_t *spec, const team_t *team)
 {
     double tasks = spec->kind == KIND_ARRAY ? 1 : spec->tasks;
-    return (team->cpus_max > 0 && tasks * spec->need.cpus > team->cpus_max + EPSILON) ||
-           (team->gpus_max > 0 && tasks * spec->need.gpus > team->gpus_max + EPSILON);
+    return (team->max_cpus > 0 && tasks * spec->need.cpus > team->max_cpus + EPSILON) ||
+           (team->max_gpus > 0 && tasks * spec->need.gpus > team->max_gpus + EPSILON);
 }
 
-static const char *never_runs(node_t *node, const job_spec_t *spec, bool *undecided)
+static const char *find_quota_violation(node_t *node, const job_spec_t *spec, bool *undecided)
 {
     const char *why = "unknown team";
     pthread_mutex_lock(&node->lock);
@@ -48,7 +48,7 @@
     for (guint i = 0; i < node->settings->teams->len; i++) {
         const team_t *team = &g_array_index(node->settings->teams, team_t, i);
         if (strcmp(team->name, spec->team) == 0)
-            why = is_above_limit(spec, team) ? "it needs more than the team's limit" : NULL;
+            why = exceeds_quota(spec, team) ? "it needs more than the team's limit" : NULL;
     }
     if (!why && !job_spec_fits_some(spec, node->machine_types))
         why = "a task fits no allowed machine type";
@@ -81,7 +81,7 @@
 {
     node_t *node = request->node;
     bool undecided = false;
-    const char *never = never_runs(node, spec, &undecided);
+    const char *never = find_quota_violation(node, spec, &undecided);
     if (undecided)
         return reject(request, spec->id,
                       api_refuse(HTTP_UNAVAILABLE, "the machine types are not known yet", 1));
--- a/src/app/cloud_scale_in.c
+++ b/src/app/cloud_scale_in.c
@@ -23,7 +23,7 @@
 
 /* Machines to be given up for their silence, unless another controller keeps them alive. Those of
  * an unreachable zone have longer: a cut ends, and then they are there, where new ones would have
- * to be scaled out and booted; their tasks have missed the nearest targets either way. */
+ * to be scaled out and booted; their tasks have missed the nearest SLOs either way. */
 static GPtrArray *find_silent(cloud_t *cloud)
 {
     node_t *node = cloud->node;
--- a/src/app/cloud_scale_out.c
+++ b/src/app/cloud_scale_out.c
@@ -67,8 +67,8 @@
     pthread_mutex_unlock(&node->lock);
     metrics_count(node->metrics, COUNT_SCALED_OUT, json_array_size(names));
     log_info("event=scaled_out idempotency_key=%s type=%s zone=%s spot=%d asked=%u got=%zu",
-             cloud->pending_scale_out.idempotency_key, request->type, request->zone, request->spot, request->count,
-             json_array_size(names));
+             cloud->pending_scale_out.idempotency_key, request->type, request->zone, request->spot,
+             request->count, json_array_size(names));
 }
 
 bool cloud_scale_out(cloud_t *cloud)
@@ -78,9 +78,9 @@
     if (!pending->is_pending)
         return false;
     json_t *answer = NULL;
-    json_t *body = wire_build_scale_out(
-        pending->idempotency_key, pending->request.type, pending->request.zone,
-        pending->request.spot, pending->request.count);
+    json_t *body =
+        wire_build_scale_out(pending->idempotency_key, pending->request.type, pending->request.zone,
+                             pending->request.spot, pending->request.count);
     int status = cloud_call(cloud, "POST", "/hosts", body, &answer);
     json_decref(body);
     const char *error = json_string_value(json_object_get(answer, "error"));
@@ -94,9 +94,8 @@
             autoscaler_record_refusal(cloud->node->autoscaler, &pending->request,
                                       clock_steady() + CAPACITY_MEMORY_MS);
         pthread_mutex_unlock(&cloud->node->lock);
-        log_info("event=no_capacity type=%s zone=%s spot=%d status=%d",
-                 pending->request.type, pending->request.zone,
-                 pending->request.spot, status);
+        log_info("event=no_capacity type=%s zone=%s spot=%d status=%d", pending->request.type,
+                 pending->request.zone, pending->request.spot, status);
         pending->is_pending = false;
     }
     json_decref(answer);
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -145,7 +145,7 @@
 guint node_owner(const node_t *node, const char *machine, const char *zone);
 /* What a partition sums up: of ours, now. */
 GArray *node_summaries(const node_t *node, msec_t now);
-GArray *node_yielding(const node_t *node);
+GArray *node_cpus_being_preempted(const node_t *node);
 /* The leader's side: an attempt's result that a partition sent; an item for a partition (taken
  * over). */
 void node_handle_result(node_t *node, guint partition, const attempt_result_t *result, msec_t now);
--- a/src/app/node_partition.c
+++ b/src/app/node_partition.c
@@ -33,12 +33,12 @@
     return summaries;
 }
 
-GArray *node_yielding(const node_t *node)
+GArray *node_cpus_being_preempted(const node_t *node)
 {
     GArray *list = g_array_new(FALSE, FALSE, sizeof(double));
     for (guint i = 0; i < node->settings->teams->len; i++) {
-        double cpus = partition_yielding(node->partition,
-                                         g_array_index(node->settings->teams, team_t, i).name);
+        double cpus = partition_cpus_being_preempted(
+            node->partition, g_array_index(node->settings->teams, team_t, i).name);
         g_array_append_val(list, cpus);
     }
     return list;
--- a/src/app/peer_exchange.c
+++ b/src/app/peer_exchange.c
@@ -30,7 +30,8 @@
     }
     if (summaries) {
         message.summaries = *summaries;
-        message.yielding = summaries->summaries ? node_yielding(node) : NULL;
+        message.cpus_being_preempted =
+            summaries->summaries ? node_cpus_being_preempted(node) : NULL;
     }
     GByteArray *frame = peer_encode(&message);
     peer_message_clear(&message);
--- a/src/app/peer_server.c
+++ b/src/app/peer_server.c
@@ -40,7 +40,8 @@
     if (message->ack != channel->sent)
         return false;
     leader_set_summaries(node->leader, index, g_array_copy(replica->summaries));
-    leader_set_yielding(node->leader, index, g_steal_pointer(&message->yielding));
+    leader_set_cpus_being_preempted(node->leader, index,
+                                    g_steal_pointer(&message->cpus_being_preempted));
     bool has_changed = node->summaries_wait[index];
     node->summaries_wait[index] = false;
     return has_changed;
--- a/src/app/placer.c
+++ b/src/app/placer.c
@@ -148,8 +148,8 @@
     if (node->settings->pace > 1)
         partition_delay_probes(node->partition, node->settings->heartbeat_interval_s);
     if (node->leading) {
-        node->leader = leader_new(node->settings->teams, node->settings->targets, node->policy,
-                                  node->view.count);
+        node->leader =
+            leader_new(node->settings->teams, node->settings->slos, node->policy, node->view.count);
         leader_set_view(node->leader, node->view.number);
         arc4random_buf(&node->leader->counts_epoch, sizeof node->leader->counts_epoch);
         load_jobs(node, listing->jobs);
@@ -221,7 +221,7 @@
 static void send_placement_requests(node_t *node, msec_t now, guint most)
 {
     leader_set_summaries(node->leader, node->own, node_summaries(node, now));
-    leader_set_yielding(node->leader, node->own, node_yielding(node));
+    leader_set_cpus_being_preempted(node->leader, node->own, node_cpus_being_preempted(node));
     GArray *requests = leader_schedule(node->leader, now, clock_day(), most);
     for (guint i = 0; i < requests->len; i++) {
         const leader_request_t *made = &g_array_index(requests, leader_request_t, i);
--- a/src/app/settings.c
+++ b/src/app/settings.c
@@ -112,32 +112,32 @@
     {
         team_t team = {0};
         read_text(reader, item, "name", team.name, sizeof team.name);
-        team.cpus = read_number(reader, item, "cpus", 0);
-        team.cpus_max = read_number(reader, item, "cpus_max", 0);
-        team.gpus = read_number(reader, item, "gpus", 0);
-        team.gpus_max = read_number(reader, item, "gpus_max", 0);
+        team.guaranteed_cpus = read_number(reader, item, "cpus", 0);
+        team.max_cpus = read_number(reader, item, "cpus_max", 0);
+        team.guaranteed_gpus = read_number(reader, item, "gpus", 0);
+        team.max_gpus = read_number(reader, item, "gpus_max", 0);
         g_array_append_val(settings->teams, team);
     }
 }
 
-static void targets_free(gpointer data)
+static void slo_free(gpointer data)
 {
-    targets_t *targets = data;
-    g_array_unref(targets->times);
-    g_array_unref(targets->within);
-    g_free(targets);
+    slo_t *slos = data;
+    g_array_unref(slos->deadline_multiples);
+    g_array_unref(slos->within_s);
+    g_free(slos);
 }
 
-static targets_t *targets_of(settings_t *settings, const char *class_name)
+static slo_t *slo_of_class(settings_t *settings, const char *class_name)
 {
-    targets_t *targets = g_hash_table_lookup(settings->targets, class_name);
-    if (!targets) {
-        targets = g_new(targets_t, 1);
-        targets->times = g_array_new(FALSE, FALSE, sizeof(double));
-        targets->within = g_array_new(FALSE, FALSE, sizeof(double));
-        g_hash_table_insert(settings->targets, g_strdup(class_name), targets);
+    slo_t *slos = g_hash_table_lookup(settings->slos, class_name);
+    if (!slos) {
+        slos = g_new(slo_t, 1);
+        slos->deadline_multiples = g_array_new(FALSE, FALSE, sizeof(double));
+        slos->within_s = g_array_new(FALSE, FALSE, sizeof(double));
+        g_hash_table_insert(settings->slos, g_strdup(class_name), slos);
     }
-    return targets;
+    return slos;
 }
 
 static gint compare_doubles(gconstpointer left, gconstpointer right)
@@ -166,11 +166,12 @@
         const char *class_name = json_string_value(json_object_get(item, "class"));
         if (!kind || !class_name)
             continue;
-        targets_t *targets = targets_of(settings, class_name);
+        slo_t *slos = slo_of_class(settings, class_name);
         if (strcmp(kind, "finished") == 0)
-            insert_sorted(targets->within, json_number_value(json_object_get(item, "within_s")));
+            insert_sorted(slos->within_s, json_number_value(json_object_get(item, "within_s")));
         else if (strcmp(kind, "deadline") == 0)
-            insert_sorted(targets->times, json_number_value(json_object_get(item, "times")));
+            insert_sorted(slos->deadline_multiples,
+                          json_number_value(json_object_get(item, "times")));
     }
 }
 
@@ -237,7 +238,7 @@
         return;
     g_array_unref(settings->siblings);
     g_array_unref(settings->teams);
-    g_hash_table_unref(settings->targets);
+    g_hash_table_unref(settings->slos);
     g_free(settings);
 }
 
@@ -255,7 +256,7 @@
     settings_t *settings = g_new0(settings_t, 1);
     settings->siblings = g_array_new(FALSE, TRUE, sizeof(sibling_t));
     settings->teams = g_array_new(FALSE, TRUE, sizeof(team_t));
-    settings->targets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, targets_free);
+    settings->slos = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, slo_free);
     if (!json_is_object(root)) {
         fault(&reader, "top level", "an object is expected");
     } else {
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -17,9 +17,9 @@
     char peer_listen[ADDRESS_BYTES];
     char cloud_address[ADDRESS_BYTES];
     char kv_store_address[ADDRESS_BYTES];
-    GArray *siblings;    /* sibling_t */
-    GArray *teams;       /* team_t */
-    GHashTable *targets; /* class -> targets_t *: when its jobs should be finished */
+    GArray *siblings; /* sibling_t */
+    GArray *teams;    /* team_t */
+    GHashTable *slos; /* class -> slo_t *: when its jobs should be finished */
     double heartbeat_interval_s;
     double lease_s;
     double cancel_s;
--- a/src/core/autoscaler_balance.c
+++ b/src/core/autoscaler_balance.c
@@ -48,7 +48,7 @@
     }
     for (guint i = 0; i < leader->teams->len; i++) {
         const team_state_t *state = &g_array_index(leader->teams, team_state_t, i);
-        promised += MIN(state->cpus + asked[i], state->team.cpus);
+        promised += MIN(state->outstanding_cpus + asked[i], state->team.guaranteed_cpus);
     }
     g_array_unref(demand);
     g_free(asked);
--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -23,7 +23,7 @@
         g_array_unref(data);
 }
 
-leader_t *leader_new(const GArray *teams, GHashTable *targets, const policy_t *policy,
+leader_t *leader_new(const GArray *teams, GHashTable *slos, const policy_t *policy,
                      guint partitions)
 {
     leader_t *leader = g_new0(leader_t, 1);
@@ -34,17 +34,17 @@
         team_state_t state = {.team = g_array_index(teams, team_t, i)};
         g_array_append_val(leader->teams, state);
     }
-    leader->targets = targets;
+    leader->slos = slos;
     leader->policy = policy;
     leader->failure_records = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     leader->machine_claims = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     const double once = 1;
-    leader->single_target = g_array_new(FALSE, FALSE, sizeof(double));
-    g_array_append_val(leader->single_target, once);
+    leader->deadline_slo = g_array_new(FALSE, FALSE, sizeof(double));
+    g_array_append_val(leader->deadline_slo, once);
     leader->summaries = g_ptr_array_new_with_free_func(leader_array_free);
     g_ptr_array_set_size(leader->summaries, (gint)partitions);
-    leader->yielding = g_ptr_array_new_with_free_func(leader_array_free);
-    g_ptr_array_set_size(leader->yielding, (gint)partitions);
+    leader->cpus_being_preempted = g_ptr_array_new_with_free_func(leader_array_free);
+    g_ptr_array_set_size(leader->cpus_being_preempted, (gint)partitions);
     return leader;
 }
 
@@ -54,8 +54,8 @@
     g_hash_table_unref(leader->outstanding);
     g_array_unref(leader->teams);
     g_ptr_array_unref(leader->summaries);
-    g_ptr_array_unref(leader->yielding);
-    g_array_unref(leader->single_target);
+    g_ptr_array_unref(leader->cpus_being_preempted);
+    g_array_unref(leader->deadline_slo);
     g_hash_table_unref(leader->failure_records);
     g_hash_table_unref(leader->machine_claims);
     g_free(leader);
@@ -108,8 +108,8 @@
     outstanding->partition = partition;
     team_state_t *state = leader_team_find(leader, team, &outstanding->team);
     if (state) {
-        state->cpus += need.cpus;
-        state->gpus += need.gpus;
+        state->outstanding_cpus += need.cpus;
+        state->outstanding_gpus += need.gpus;
     } else {
         outstanding->team =
             G_MAXUINT; /* the team left the settings; its work still ends normally */
@@ -131,8 +131,8 @@
         return NULL;
     if (outstanding->team < leader->teams->len) {
         team_state_t *state = &g_array_index(leader->teams, team_state_t, outstanding->team);
-        state->cpus -= outstanding->need.cpus;
-        state->gpus -= outstanding->need.gpus;
+        state->outstanding_cpus -= outstanding->need.cpus;
+        state->outstanding_gpus -= outstanding->need.gpus;
     }
     job_t *job = g_hash_table_lookup(leader->jobs, outstanding->ref.job);
     if (job)
@@ -181,17 +181,17 @@
     g_ptr_array_index(leader->summaries, partition) = summaries;
 }
 
-void leader_set_yielding(leader_t *leader, guint partition, GArray *cpus)
+void leader_set_cpus_being_preempted(leader_t *leader, guint partition, GArray *cpus)
 {
-    leader_array_free(g_ptr_array_index(leader->yielding, partition));
-    g_ptr_array_index(leader->yielding, partition) = cpus;
+    leader_array_free(g_ptr_array_index(leader->cpus_being_preempted, partition));
+    g_ptr_array_index(leader->cpus_being_preempted, partition) = cpus;
     for (guint team = 0; team < leader->teams->len; team++) {
         double sum = 0;
-        for (guint i = 0; i < leader->yielding->len; i++) {
-            const GArray *list = g_ptr_array_index(leader->yielding, i);
+        for (guint i = 0; i < leader->cpus_being_preempted->len; i++) {
+            const GArray *list = g_ptr_array_index(leader->cpus_being_preempted, i);
             sum += list && team < list->len ? g_array_index(list, double, team) : 0;
         }
-        g_array_index(leader->teams, team_state_t, team).yielding = sum;
+        g_array_index(leader->teams, team_state_t, team).cpus_being_preempted = sum;
     }
 }
 
--- a/src/core/leader.h
+++ b/src/core/leader.h
@@ -61,9 +61,9 @@
 
 typedef struct team_state {
     team_t team;
-    double cpus; /* out */
-    double gpus;
-    double yielding; /* cpus of its work that is being stopped for others */
+    double outstanding_cpus; /* out */
+    double outstanding_gpus;
+    double cpus_being_preempted; /* cpus of its work that is being stopped for others */
 } team_state_t;
 
 typedef struct outstanding {
@@ -109,21 +109,21 @@
     GHashTable *jobs;            /* id -> job_t, owned */
     GHashTable *outstanding;     /* task_ref_t -> outstanding_t, owned */
     GArray *teams;               /* team_state_t */
-    GHashTable *targets;         /* class -> targets_t, from the aims; borrowed */
+    GHashTable *slos;            /* class -> slo_t, from the aims; borrowed */
     const policy_t *policy;      /* borrowed */
     GHashTable *failure_records; /* machine -> failure_record_t, owned: where work failed lately */
     GHashTable *machine_claims;  /* machine -> machine_claim_t, owned: claimed of late for work too
                                     large to fit */
-    GArray *single_target;       /* the target of a deadline that no aim names */
+    GArray *deadline_slo;        /* the SLO of a deadline that no aim names */
     GPtrArray *summaries;        /* partition -> GArray of machine_summary_t, owned */
-    GPtrArray *yielding;         /* partition -> GArray of double, a team each, owned */
-    uint64_t counts_epoch;       /* set by the creator; 0: no replica is served */
+    GPtrArray *cpus_being_preempted; /* partition -> GArray of double, a team each, owned */
+    uint64_t counts_epoch;           /* set by the creator; 0: no replica is served */
     uint64_t counts_version;
     guint preempting; /* requests of this round that may stop others */
     leader_round_t round;
 } leader_t;
 
-leader_t *leader_new(const GArray *teams, GHashTable *targets, const policy_t *policy,
+leader_t *leader_new(const GArray *teams, GHashTable *slos, const policy_t *policy,
                      guint partitions);
 void leader_free(leader_t *leader);
 void leader_set_view(leader_t *leader, uint64_t view);
@@ -138,7 +138,7 @@
 /* Hands over a partition's machine summaries; takes ownership. */
 void leader_set_summaries(leader_t *leader, guint partition, GArray *summaries);
 /* Cpus of each team's work that the partition is stopping for others; takes ownership. */
-void leader_set_yielding(leader_t *leader, guint partition, GArray *cpus);
+void leader_set_cpus_being_preempted(leader_t *leader, guint partition, GArray *cpus);
 /* Placement requests for what can be placed now; now in steady milliseconds, day_ms the time of
  * day. Returns an array of leader_request_t, at most `most`. */
 GArray *leader_schedule(leader_t *leader, msec_t now, int64_t day_ms, guint most);
--- a/src/core/leader_claims.c
+++ b/src/core/leader_claims.c
@@ -59,13 +59,15 @@
     return true;
 }
 
-void leader_claim_machines(leader_t *leader, const team_state_t *state, const queued_t *queued,
+void leader_claim_machines(leader_t *leader, const team_state_t *state, const queued_job_t *queued,
                            msec_t now)
 {
     const job_t *job = queued->job;
-    priority_t below = queued->owed ? MAX(PRIORITY_HIGH, job->spec.priority) : job->spec.priority;
-    guint wanted = queued->owed ? queued->owed - job->outstanding_count
-                                : MIN(leader_job_pending(job), CLAIMED_MACHINES_PER_JOB_COUNT);
+    priority_t below =
+        queued->starvation_minimum ? MAX(PRIORITY_HIGH, job->spec.priority) : job->spec.priority;
+    guint wanted = queued->starvation_minimum
+                       ? queued->starvation_minimum - job->outstanding_count
+                       : MIN(leader_job_pending(job), CLAIMED_MACHINES_PER_JOB_COUNT);
     if (!leader_team_admits(state, job->spec.need))
         return;
     while (below > PRIORITY_LOW && wanted > 0 && claim_machine(leader, job, below, now))
--- a/src/core/leader_internal.h
+++ b/src/core/leader_internal.h
@@ -29,13 +29,13 @@
 /* Team queues and quota (leader_queues.c). */
 
 /* A job in its team's queue. */
-typedef struct queued {
+typedef struct queued_job {
     job_t *job;
-    uint32_t owed; /* outstanding tasks that it must get for its long wait, whatever goes first; 0:
-                      a job's ordinary place */
-    double work;   /* cpu seconds not yet outstanding */
-    double start;  /* latest start for the next target, time of day in ms; infinite: none left */
-} queued_t;
+    uint32_t starvation_minimum; /* outstanding tasks that it must get for its long wait, whatever
+                      goes first; 0: a job's ordinary place */
+    double work;                 /* cpu seconds not yet outstanding */
+    double latest_start_ms; /* latest start for the next SLO, time of day in ms; infinite: none left */
+} queued_job_t;
 
 /* The team of this name; NULL: the settings have none. at (may be NULL): its index. */
 team_state_t *leader_team_find(const leader_t *leader, const char *name, guint *at);
@@ -45,18 +45,19 @@
 uint32_t leader_job_pending(const job_t *job);
 /* Whether none of the job's tasks may be placed now: it backs off, or is about to end. */
 bool leader_is_job_blocked(const job_t *job, msec_t now);
-/* The team's jobs that wait, first one first: array of queued_t, the caller's. */
+/* The team's jobs that wait, first one first: array of queued_job_t, the caller's. */
 GArray *leader_team_queue(leader_t *leader, guint team, msec_t now, int64_t day_ms);
 /* What one task of the job takes of a team's turn, in cpus. */
-double leader_task_cost(const queued_t *queued);
+double leader_task_cost(const queued_job_t *queued);
 /* The team whose turn it is, of those with work left in queues from at[team] on; the number of
  * teams: none. */
-guint leader_poorest_team(const leader_t *leader, const GPtrArray *queues, const guint *at);
+guint leader_next_team_by_fair_share(const leader_t *leader, const GPtrArray *queues,
+                                     const guint *at);
 
 /* Machine claims (leader_claims.c). */
 
 /* Claims machines for a job that nothing fits: until it fits, they take no work below it. */
-void leader_claim_machines(leader_t *leader, const team_state_t *state, const queued_t *queued,
+void leader_claim_machines(leader_t *leader, const team_state_t *state, const queued_job_t *queued,
                            msec_t now);
 /* A new round: what it knows of all machines, and every claim is made anew or not at all. */
 void leader_begin_round(leader_t *leader);
--- a/src/core/leader_schedule.c
+++ b/src/core/leader_schedule.c
@@ -105,7 +105,8 @@
     uint64_t mask = 0;
     for (guint i = 0; i < leader->teams->len && i < TEAMS_MASK_BITS; i++) {
         const team_state_t *other = &g_array_index(leader->teams, team_state_t, i);
-        if (other != state && other->cpus - other->yielding > other->team.cpus + EPSILON)
+        if (other != state && other->outstanding_cpus - other->cpus_being_preempted >
+                                  other->team.guaranteed_cpus + EPSILON)
             mask |= 1ULL << i;
     }
     return mask;
@@ -119,13 +120,14 @@
     if (leader->preempting >= tunable_value(leader->policy, TUNABLE_PREEMPTIONS_PER_ROUND) ||
         job->spec.same_zone || job->spec.spread || job->spec.kind == KIND_GANG)
         return false;
-    request->victims = borrowers(leader, state);
-    request->claims_guarantee = state->cpus + job->spec.need.cpus <= state->team.cpus + EPSILON;
+    request->preemptible_teams = borrowers(leader, state);
+    request->claims_guarantee =
+        state->outstanding_cpus + job->spec.need.cpus <= state->team.guaranteed_cpus + EPSILON;
     /* Measured: stopping low work for every normal task threw away more than it brought forward. */
     bool wanted = tunable_for_job(leader->policy, TUNABLE_PREEMPT, &job->spec) != 0;
-    request->preempt = wanted || (request->claims_guarantee && request->victims);
-    leader->preempting += request->preempt;
-    return request->preempt;
+    request->may_preempt = wanted || (request->claims_guarantee && request->preemptible_teams);
+    leader->preempting += request->may_preempt;
+    return request->may_preempt;
 }
 
 /* The partition with most resources that the job may use, whoever has them now; G_MAXUINT: none has
@@ -239,13 +241,13 @@
 {
     double spent = 0;
     while (*at < queue->len && requests->len < most) {
-        const queued_t *queued = &g_array_index(queue, queued_t, *at);
+        const queued_job_t *queued = &g_array_index(queue, queued_job_t, *at);
         job_t *job = queued->job;
         double cost = leader_task_cost(queued);
         if (spent + cost > allowance + EPSILON)
             break;
         bool gang = job->spec.kind == KIND_GANG;
-        if (queued->owed && job->outstanding_count >= queued->owed) {
+        if (queued->starvation_minimum && job->outstanding_count >= queued->starvation_minimum) {
             (*at)++;
         } else if (leader_is_job_blocked(job, G_MAXINT64 - 1) ||
                    !(gang ? request_gang : request_one)(leader, state, job, requests)) {
@@ -270,16 +272,18 @@
     /* What stays within a guarantee waits for no other team. */
     for (guint i = 0; i < teams; i++) {
         team_state_t *state = &g_array_index(leader->teams, team_state_t, i);
-        double left = state->team.cpus - state->cpus;
+        double left = state->team.guaranteed_cpus - state->outstanding_cpus;
         if (left > 0)
             serve_turn(leader, state, g_ptr_array_index(queues, i), &at[i], left, requests, most,
                        now);
     }
     /* The rest goes a task at a time to the team that holds least for its weight. */
-    for (guint i; requests->len < most && (i = leader_poorest_team(leader, queues, at)) < teams;) {
+    for (guint i; requests->len < most &&
+                  (i = leader_next_team_by_fair_share(leader, queues, at)) < teams;) {
         GArray *queue = g_ptr_array_index(queues, i);
         serve_turn(leader, &g_array_index(leader->teams, team_state_t, i), queue, &at[i],
-                   leader_task_cost(&g_array_index(queue, queued_t, at[i])), requests, most, now);
+                   leader_task_cost(&g_array_index(queue, queued_job_t, at[i])), requests, most,
+                   now);
     }
     g_free(at);
     g_ptr_array_unref(queues);
--- a/src/core/partition.c
+++ b/src/core/partition.c
@@ -226,7 +226,7 @@
             partition, machine, &g_array_index(record->entries, record_entry_t, i));
         attempt->phase = ATTEMPT_RECORDED;
         attempt->worker_epoch = record->worker_epoch;
-        attempt->in_record = true;
+        attempt->is_in_record = true;
         reservation_add(machine->reservations, attempt->reservation_id, attempt->entry.need, 0,
                         now);
     }
--- a/src/core/partition.h
+++ b/src/core/partition.h
@@ -33,10 +33,10 @@
     double save_s;
     double checkpoint_s;
     uint64_t job_revision; /* of jobs/<id>, which the start's commit requires unchanged */
-    bool preempt;          /* where no resources are free, work of lower priority may be stopped */
+    bool may_preempt;      /* where no resources are free, work of lower priority may be stopped */
     bool claims_guarantee; /* the team claims its guarantee: any priority of the teams below may go
                             */
-    uint64_t victims;      /* whose work may be stopped, a bit for each team of the settings */
+    uint64_t preemptible_teams; /* whose work may be stopped, a bit for each team of the settings */
     uint32_t task;
     uint64_t attempt;
 } placement_request_t;
@@ -115,17 +115,17 @@
     attempt_phase_t phase;
     uint64_t job_revision;
     uint64_t worker_epoch;                            /* under which it was recorded */
-    bool in_record;                                   /* the durable record has it */
+    bool is_in_record;                                /* the durable record has it */
     enum { BATCH_NONE, BATCH_ADD, BATCH_DROP } batch; /* what a commit under way does to it */
     bool is_listed;
     task_state_t state;
     cause_t cause;
     bool is_done_reported; /* the leader was told; it stays recorded until acknowledged */
-    bool acknowledged;
-    bool waits; /* for the resources of work that is being stopped */
-    bool preempted;
-    bool stop;        /* wanted: gone */
-    msec_t stop_kill; /* from then on without time to save */
+    bool is_acknowledged;
+    bool waits_for_preempted; /* for the resources of work that is being stopped */
+    bool is_preempted;
+    bool is_stop_requested; /* wanted: gone */
+    msec_t kill_at;         /* from then on without time to save */
     msec_t listed_since_at;
 } attempt_t;
 
@@ -191,7 +191,7 @@
     uint64_t turns; /* of urgent pages */
     uint64_t last_reservation_id;
     const GArray *machine_types;
-    const GArray *teams; /* team_t, in the order of placement_request_t.victims */
+    const GArray *teams; /* team_t, in the order of placement_request_t.preempted attempts */
     GArray *results;     /* attempt_result_t, drained by the caller */
     uint64_t changes;    /* grows with whatever a round of placing or a commit should look at:
                             results, records to write, machines that open or close */
@@ -222,7 +222,7 @@
 /* Chooses a machine by the score and reserves; NULL: none has enough free. */
 machine_t *partition_place(partition_t *partition, const placement_request_t *request, msec_t now);
 /* Cpus of a team's work that is being stopped for others. */
-double partition_yielding(const partition_t *partition, const char *team);
+double partition_cpus_being_preempted(const partition_t *partition, const char *team);
 /* Takes back what was placed: dropped and told if it is not recorded yet, else stopped. */
 void partition_withdraw(partition_t *partition, const task_ref_t *ref, msec_t now);
 /* Resources that neither reports nor reservations take. */
--- a/src/core/partition_attempts.c
+++ b/src/core/partition_attempts.c
@@ -57,7 +57,7 @@
     if (cause == CAUSE_DONE) {
         attempt->is_done_reported = true;
         partition_add_result(partition, attempt);
-        attempt->machine->page->lazy |= attempt->acknowledged;
+        attempt->machine->page->lazy |= attempt->is_acknowledged;
     } else {
         partition_touch(partition, attempt->machine);
     }
@@ -65,12 +65,12 @@
 
 void partition_stop(partition_t *partition, attempt_t *attempt, msec_t now)
 {
-    if (attempt->stop)
+    if (attempt->is_stop_requested)
         return;
-    attempt->stop = true;
-    attempt->stop_kill = attempt->entry.checkpoint_s > 0
-                             ? now + (msec_t)(attempt->entry.save_s * 2 * MS_PER_S) + MS_PER_S
-                             : 0;
+    attempt->is_stop_requested = true;
+    attempt->kill_at = attempt->entry.checkpoint_s > 0
+                           ? now + (msec_t)(attempt->entry.save_s * 2 * MS_PER_S) + MS_PER_S
+                           : 0;
     partition_want_direct(partition, attempt->machine);
 }
 
@@ -92,11 +92,11 @@
         attempt_t *attempt = value;
         if (strcmp(attempt->entry.job, job) != 0)
             continue;
-        attempt->stop = true;
-        attempt->stop_kill = 0; /* nobody wants what it would save */
-        attempt->acknowledged = true;
+        attempt->is_stop_requested = true;
+        attempt->kill_at = 0; /* nobody wants what it would save */
+        attempt->is_acknowledged = true;
         partition_want_direct(partition, attempt->machine);
-        if (attempt->in_record)
+        if (attempt->is_in_record)
             attempt->machine->page->lazy = true;
         else
             partition_touch(partition, attempt->machine);
@@ -108,6 +108,6 @@
     attempt_t *attempt = find_ref(partition, ref);
     if (!attempt)
         return;
-    attempt->acknowledged = true;
+    attempt->is_acknowledged = true;
     attempt->machine->page->lazy = true;
 }
--- a/src/core/partition_commands.c
+++ b/src/core/partition_commands.c
@@ -21,9 +21,9 @@
 {
     /* A task without checkpoints has nothing to save; one that is already saving is cut off only
      * when its time is over. */
-    if (attempt->entry.checkpoint_s <= 0 || attempt->stop_kill <= now)
+    if (attempt->entry.checkpoint_s <= 0 || attempt->kill_at <= now)
         return 0;
-    return (double)(attempt->stop_kill - now) / MS_PER_S;
+    return (double)(attempt->kill_at - now) / MS_PER_S;
 }
 
 /* Resources free on the machine once the stops that give no time have been executed. */
@@ -33,7 +33,7 @@
     for (guint i = 0; i < machine->attempts->len; i++) {
         const attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
         if (attempt->phase == ATTEMPT_RECORDED && attempt->is_listed &&
-            !(attempt->stop && stop_grace(attempt, now) <= 0))
+            !(attempt->is_stop_requested && stop_grace(attempt, now) <= 0))
             resources_add(&resources, attempt->entry.need, -1);
     }
     return resources;
@@ -41,7 +41,7 @@
 
 static bool is_sent_here(const machine_t *machine, const attempt_t *attempt)
 {
-    return attempt->phase == ATTEMPT_RECORDED && attempt->in_record &&
+    return attempt->phase == ATTEMPT_RECORDED && attempt->is_in_record &&
            attempt->worker_epoch == machine->worker_epoch;
 }
 
@@ -51,7 +51,7 @@
     for (guint i = 0; i < machine->attempts->len; i++) {
         const attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
         const record_entry_t *entry = &attempt->entry;
-        if (!is_sent_here(machine, attempt) || !attempt->stop || !attempt->is_listed)
+        if (!is_sent_here(machine, attempt) || !attempt->is_stop_requested || !attempt->is_listed)
             continue;
         double grace = stop_grace(attempt, now);
         if (attempt->state != TASK_SAVING || grace <= 0)
@@ -62,9 +62,9 @@
     for (guint i = 0; !partition->starts_paused && i < machine->attempts->len; i++) {
         const attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
         const record_entry_t *entry = &attempt->entry;
-        if (!is_sent_here(machine, attempt) || attempt->stop || attempt->is_listed)
+        if (!is_sent_here(machine, attempt) || attempt->is_stop_requested || attempt->is_listed)
             continue;
-        if (attempt->waits && !resources_fit(entry->need, resources))
+        if (attempt->waits_for_preempted && !resources_fit(entry->need, resources))
             continue;
         resources_add(&resources, entry->need, -1);
         partition_command_add(commands, COMMAND_RUN, entry->job, entry->task, entry->attempt, 0);
--- a/src/core/partition_heartbeats.c
+++ b/src/core/partition_heartbeats.c
@@ -101,7 +101,7 @@
         return;
     for (guint i = 0; i < machine->attempts->len; i++) {
         attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
-        if (attempt->phase == ATTEMPT_RECORDED && attempt->stop && !attempt->is_listed)
+        if (attempt->phase == ATTEMPT_RECORDED && attempt->is_stop_requested && !attempt->is_listed)
             partition_attempt_over(partition, attempt, CAUSE_STOPPED);
     }
 }
@@ -194,7 +194,8 @@
     take_attempts(partition, machine, heartbeat, now);
     for (guint i = 0; i < machine->attempts->len; i++) {
         const attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
-        if (attempt->waits && attempt->phase == ATTEMPT_RECORDED && !attempt->is_listed)
+        if (attempt->waits_for_preempted && attempt->phase == ATTEMPT_RECORDED &&
+            !attempt->is_listed)
             partition_want_direct(partition, machine);
     }
     if (!direct) {
--- a/src/core/partition_internal.h
+++ b/src/core/partition_internal.h
@@ -69,8 +69,8 @@
 
 /* Stops work of the machine where that loses least, and returns the machine; NULL: there is none.
  */
-machine_t *partition_choose_preempting(partition_t *partition, const placement_request_t *request,
-                                       msec_t now);
+machine_t *partition_preempt_for(partition_t *partition, const placement_request_t *request,
+                                 msec_t now);
 /* Stops what can save on a machine that is being drained, once most of it is empty. */
 void partition_empty_drained(partition_t *partition, machine_t *machine, msec_t now);
 
--- a/src/core/partition_placement.c
+++ b/src/core/partition_placement.c
@@ -87,9 +87,9 @@
 machine_t *partition_place(partition_t *partition, const placement_request_t *request, msec_t now)
 {
     machine_t *best = choose_free(partition, request, now);
-    bool waits = !best && request->preempt;
+    bool waits = !best && request->may_preempt;
     if (waits)
-        best = partition_choose_preempting(partition, request, now);
+        best = partition_preempt_for(partition, request, now);
     if (!best)
         return NULL;
     record_entry_t entry = {.need = request->need,
@@ -105,7 +105,7 @@
     attempt->phase = ATTEMPT_PLACED;
     attempt->job_revision = request->job_revision;
     attempt->worker_epoch = best->worker_epoch;
-    attempt->waits = waits;
+    attempt->waits_for_preempted = waits;
     reservation_add(best->reservations, attempt->reservation_id, request->need, best->receipt_count,
                     now);
     partition_touch(partition, best);
--- a/src/core/partition_records.c
+++ b/src/core/partition_records.c
@@ -18,7 +18,8 @@
 /* Whether the attempt is to leave the record. */
 static bool leaves(const attempt_t *attempt)
 {
-    return attempt->phase == ATTEMPT_OVER && (!attempt->is_done_reported || attempt->acknowledged);
+    return attempt->phase == ATTEMPT_OVER &&
+           (!attempt->is_done_reported || attempt->is_acknowledged);
 }
 
 /* What never got into the record goes without a commit. */
@@ -26,8 +27,8 @@
 {
     for (guint i = machine->attempts->len; i-- > 0;) {
         attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
-        if (attempt->in_record || attempt->batch != BATCH_NONE ||
-            (attempt->phase != ATTEMPT_OVER && !attempt->stop))
+        if (attempt->is_in_record || attempt->batch != BATCH_NONE ||
+            (attempt->phase != ATTEMPT_OVER && !attempt->is_stop_requested))
             continue;
         attempt->cause = CAUSE_NONE;
         partition_add_result(partition, attempt);
@@ -42,7 +43,7 @@
         const machine_t *machine = g_ptr_array_index(page->machines, i);
         for (guint k = 0; k < machine->attempts->len; k++) {
             const attempt_t *attempt = g_ptr_array_index(machine->attempts, k);
-            if (leaves(attempt) || !attempt->in_record)
+            if (leaves(attempt) || !attempt->is_in_record)
                 return true;
         }
     }
@@ -102,7 +103,7 @@
         attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
         if (leaves(attempt))
             attempt->batch = BATCH_DROP;
-        else if (attempt->in_record)
+        else if (attempt->is_in_record)
             write_attempt(writer, attempt, record);
     }
 }
@@ -111,7 +112,7 @@
 {
     for (guint i = 0; i < machine->attempts->len; i++) {
         attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
-        if (attempt->in_record || leaves(attempt) || !admit_start(writer, attempt))
+        if (attempt->is_in_record || leaves(attempt) || !admit_start(writer, attempt))
             continue;
         attempt->batch = BATCH_ADD;
         g_hash_table_insert(writer->batch->jobs, g_strdup(attempt->entry.job),
@@ -252,7 +253,7 @@
     for (guint i = 0; i < page->machines->len; i++) {
         const machine_t *machine = g_ptr_array_index(page->machines, i);
         for (guint k = 0; k < machine->attempts->len; k++)
-            fresh += !((const attempt_t *)g_ptr_array_index(machine->attempts, k))->in_record;
+            fresh += !((const attempt_t *)g_ptr_array_index(machine->attempts, k))->is_in_record;
     }
     gsize each = RECORD_ATTEMPT_BYTES + RECORD_MACHINE_BYTES + RECORD_JOB_BYTES + 4 * LABEL_BYTES;
     return page->size ? MIN(value_max, page->size + fresh * each) : value_max;
@@ -311,7 +312,7 @@
         attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
         changed = changed || attempt->batch != BATCH_NONE;
         if (attempt->batch == BATCH_ADD) {
-            attempt->in_record = true;
+            attempt->is_in_record = true;
             /* It may have been proved over while the commit was under way: then it is not sent, and
              * leaves with the next one. */
             if (attempt->phase == ATTEMPT_PLACED)
@@ -325,7 +326,7 @@
                 partition_add_result(partition, attempt);
             partition_attempt_drop(partition, attempt);
             continue;
-        } else if (!attempt->in_record) {
+        } else if (!attempt->is_in_record) {
             partition_touch(partition, machine); /* left out, or placed since */
         }
         attempt->batch = BATCH_NONE;
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -107,18 +107,18 @@
 
 /* When the jobs of a class should be finished, each list ascending: in multiples of the deadline
  * and in seconds. Arrays of double, owned. */
-typedef struct targets {
-    GArray *times;
-    GArray *within;
-} targets_t;
+typedef struct slos {
+    GArray *deadline_multiples;
+    GArray *within_s;
+} slo_t;
 
 /* A team as the settings describe it. */
 typedef struct team {
     char name[LABEL_BYTES];
-    double cpus;
-    double cpus_max;
-    double gpus;
-    double gpus_max;
+    double guaranteed_cpus;
+    double max_cpus;
+    double guaranteed_gpus;
+    double max_gpus;
 } team_t;
 
 /* One attempt at one task. A task has one attempt at a time, so maps go by job and task alone; the
--- a/src/io/peer_protocol.c
+++ b/src/io/peer_protocol.c
@@ -38,9 +38,9 @@
                                    .save_s = request->save_s,
                                    .checkpoint_s = request->checkpoint_s,
                                    .job_revision = request->job_revision,
-                                   .preempt = request->preempt,
+                                   .preempt = request->may_preempt,
                                    .claims_guarantee = request->claims_guarantee,
-                                   .victims = request->victims};
+                                   .preemptible_teams = request->preemptible_teams};
     to->ref = ref_to_xdr(&ref);
     to->ref.job = (char *)request->job;
     to->types.types_len = request->types ? g_strv_length(request->types) : 0;
@@ -56,9 +56,9 @@
                                      .save_s = from->save_s,
                                      .checkpoint_s = from->checkpoint_s,
                                      .job_revision = from->job_revision,
-                                     .preempt = from->preempt,
+                                     .may_preempt = from->preempt,
                                      .claims_guarantee = from->claims_guarantee,
-                                     .victims = from->victims,
+                                     .preemptible_teams = from->preemptible_teams,
                                      .task = from->ref.task,
                                      .attempt = from->ref.attempt};
     g_strlcpy(request->job, from->ref.job, sizeof request->job);
@@ -156,7 +156,7 @@
 {
     g_clear_pointer(&message->items, g_array_unref);
     summary_update_clear(&message->summaries);
-    g_clear_pointer(&message->yielding, g_array_unref);
+    g_clear_pointer(&message->cpus_being_preempted, g_array_unref);
     cancellation_update_clear(&message->update);
     job_counts_update_clear(&message->counts);
 }
@@ -233,9 +233,11 @@
         wire.departed.departed_len = message->summaries.departed->len;
         wire.departed.departed_val = (peer_name *)message->summaries.departed->pdata;
     }
-    wire.yielding.yielding_len = message->yielding ? message->yielding->len : 0;
-    wire.yielding.yielding_val =
-        message->yielding ? (double *)(void *)message->yielding->data : NULL;
+    wire.cpus_being_preempted.cpus_being_preempted_len =
+        message->cpus_being_preempted ? message->cpus_being_preempted->len : 0;
+    wire.cpus_being_preempted.cpus_being_preempted_val =
+        message->cpus_being_preempted ? (double *)(void *)message->cpus_being_preempted->data
+                                      : NULL;
     if (message->update.jobs) {
         wire.update.jobs.jobs_len = message->update.jobs->len;
         wire.update.jobs.jobs_val = (peer_name *)message->update.jobs->pdata;
@@ -275,9 +277,10 @@
     update->departed = g_ptr_array_new_with_free_func(g_free);
     for (u_int i = 0; i < wire->departed.departed_len; i++)
         g_ptr_array_add(update->departed, g_strdup(wire->departed.departed_val[i]));
-    message->yielding = g_array_new(FALSE, FALSE, sizeof(double));
-    g_array_append_vals(message->yielding, wire->yielding.yielding_val,
-                        wire->yielding.yielding_len);
+    message->cpus_being_preempted = g_array_new(FALSE, FALSE, sizeof(double));
+    g_array_append_vals(message->cpus_being_preempted,
+                        wire->cpus_being_preempted.cpus_being_preempted_val,
+                        wire->cpus_being_preempted.cpus_being_preempted_len);
 }
 
 static void take_message(const peer_message *wire, peer_message_t *message)
--- a/src/io/peer_protocol.h
+++ b/src/io/peer_protocol.h
@@ -25,7 +25,7 @@
     GArray *items;                /* channel_item_t */
     summary_update_t summaries;   /* of a call: its summaries NULL: none are told; of an answer:
                                      only the version, which the leader has */
-    GArray *yielding;             /* double, a team each; NULL without summaries */
+    GArray *cpus_being_preempted; /* double, a team each; NULL without summaries */
 } peer_message_t;
 
 void peer_message_clear(peer_message_t *message);
--- a/src/io/peer_protocol.x
+++ b/src/io/peer_protocol.x
@@ -35,7 +35,7 @@
     unsigned hyper job_revision;
     bool preempt;
     bool claims_guarantee;
-    unsigned hyper victims;
+    unsigned hyper preemptible_teams;
 };
 
 struct peer_attempt_result {
@@ -119,5 +119,5 @@
     unsigned hyper summaries_version; /* a call: of what follows; an answer: of what was taken */
     peer_machine_summary summaries<PEER_SUMMARIES_MAX>;
     peer_name departed<PEER_SUMMARIES_MAX>; /* machines of the base that are not there any more */
-    double yielding<64>;
+    double cpus_being_preempted<64>;
 };
--- a/tests/test_channel.c
+++ b/tests/test_channel.c
@@ -64,7 +64,7 @@
                                             .task = 4,
                                             .attempt = 1ULL << 40,
                                             .job_revision = 9,
-                                            .preempt = true};
+                                            .may_preempt = true};
     request.request.types = g_strdupv(types);
     channel_item_t result = {.kind = CHANNEL_ATTEMPT_RESULT};
     result.result.ref = task_ref("j-000002", 1, 8);
@@ -88,7 +88,7 @@
     const placement_request_t *got = &g_array_index(decoded.items, channel_item_t, 0).request;
     assert_string_equal(got->types[1], "t32");
     assert_int_equal(got->attempt, 1ULL << 40);
-    assert_true(got->preempt);
+    assert_true(got->may_preempt);
     assert_int_equal(g_array_index(decoded.items, channel_item_t, 1).result.cause, CAUSE_DONE);
     assert_true(g_array_index(decoded.summaries.summaries, machine_summary_t, 0).free.memory > 6.9);
     assert_true(decoded.counts.epoch == 6 && decoded.counts.version == 1ULL << 33);
--- a/tests/test_leader.c
+++ b/tests/test_leader.c
@@ -4,13 +4,13 @@
 #include "unit_test.h"
 
 static GArray *teams;
-static GHashTable *targets;
+static GHashTable *slos;
 static policy_t *policy;
 static leader_t *leader;
 
 static void add_team(const char *name, double cpus, double cpus_max)
 {
-    team_t team = {.cpus = cpus, .cpus_max = cpus_max};
+    team_t team = {.guaranteed_cpus = cpus, .max_cpus = cpus_max};
     g_strlcpy(team.name, name, sizeof team.name);
     g_array_append_val(teams, team);
 }
@@ -19,11 +19,11 @@
 {
     (void)state;
     teams = g_array_new(FALSE, FALSE, sizeof(team_t));
-    targets = g_hash_table_new(g_str_hash, g_str_equal);
+    slos = g_hash_table_new(g_str_hash, g_str_equal);
     policy = policy_default();
     add_team("red", 8, 24);
     add_team("blue", 24, 0);
-    leader = leader_new(teams, targets, policy, 2);
+    leader = leader_new(teams, slos, policy, 2);
     leader_set_view(leader, 3);
     return 0;
 }
@@ -34,7 +34,7 @@
     leader_free(leader);
     policy_free(policy);
     g_array_unref(teams);
-    g_hash_table_unref(targets);
+    g_hash_table_unref(slos);
     return 0;
 }
 
@@ -147,7 +147,7 @@
     g_array_index(unguaranteed, team_t, 0) = (team_t){.name = "red"};
     g_array_index(unguaranteed, team_t, 1) = (team_t){.name = "blue"};
     leader_free(leader);
-    leader = leader_new(unguaranteed, targets, policy, 2);
+    leader = leader_new(unguaranteed, slos, policy, 2);
     leader_set_view(leader, 3);
     g_array_unref(unguaranteed);
 }
@@ -649,7 +649,7 @@
     assert_false(first->end);
     for (uint64_t view = 4; view < 6; view++) {
         leader_free(leader);
-        leader = leader_new(teams, targets, policy, 2);
+        leader = leader_new(teams, slos, policy, 2);
         leader_set_view(leader, view);
         set_resources(0, "north", 20);
         add(&spec);
@@ -747,7 +747,7 @@
     spec.spot = spot_allowed;
     add_team("green", 0, 0);
     leader_free(leader);
-    leader = leader_new(teams, targets, policy, 1);
+    leader = leader_new(teams, slos, policy, 1);
     add(&spec);
     autoscaler_t *autoscaler = autoscaler_new();
     set_summaries(silent, 9000, false);
@@ -796,7 +796,7 @@
     for (guint i = 0; i < 10; i++)
         g_array_append_val(summaries, summary);
     leader_free(leader);
-    leader = leader_new(teams, targets, policy, 1);
+    leader = leader_new(teams, slos, policy, 1);
     leader_set_summaries(leader, 0, summaries);
     job_spec_t spec = job("j-000001", "green", tasks);
     spec.spot = true;
@@ -845,7 +845,7 @@
     (void)state;
     add_team("green", 0, 0);
     leader_free(leader);
-    leader = leader_new(teams, targets, policy, 1);
+    leader = leader_new(teams, slos, policy, 1);
     autoscaler_t *autoscaler = autoscaler_new();
     set_summaries(5, 9000, false);
     g_ptr_array_unref(autoscaler_update_zones(autoscaler, leader, 6000, 1000));
@@ -868,9 +868,9 @@
 static void test_limits_hold_over_a_change_of_leader_with_cancellations(void **state)
 {
     (void)state;
-    g_array_index(teams, team_t, 1).cpus_max = 24;
+    g_array_index(teams, team_t, 1).max_cpus = 24;
     leader_free(leader);
-    leader = leader_new(teams, targets, policy, 2);
+    leader = leader_new(teams, slos, policy, 2);
     leader_set_view(leader, 4);
     job_spec_t cancelled_later = job("j-000001", "red", 12);
     add(&cancelled_later);
--- a/tests/test_message_samples.c
+++ b/tests/test_message_samples.c
@@ -52,9 +52,9 @@
                                        .save_s = 4,
                                        .checkpoint_s = 30,
                                        .job_revision = 61,
-                                       .preempt = true,
+                                       .may_preempt = true,
                                        .claims_guarantee = !any_type,
-                                       .victims = 1ULL << 63 | 5,
+                                       .preemptible_teams = 1ULL << 63 | 5,
                                        .task = 3,
                                        .attempt = 1ULL << 40}};
     if (!any_type)
@@ -133,9 +133,9 @@
     assert_int_equal(request->priority, PRIORITY_HIGH);
     assert_true(request->save_s == 4 && request->checkpoint_s == 30);
     assert_int_equal(request->job_revision, 61);
-    assert_true(request->preempt && request->claims_guarantee);
+    assert_true(request->may_preempt && request->claims_guarantee);
     assert_false(items[1].request.claims_guarantee);
-    assert_true(request->victims == (1ULL << 63 | 5));
+    assert_true(request->preemptible_teams == (1ULL << 63 | 5));
     assert_int_equal(request->task, 3);
     assert_true(request->attempt == 1ULL << 40);
     peer_message_clear(&message);
@@ -210,7 +210,7 @@
 static void test_machine_summaries_are_written_as_sampled(void **state)
 {
     (void)state;
-    const double yielding[] = {2.5, 0.75};
+    const double cpus_being_preempted[] = {2.5, 0.75};
     const machine_summary_t summaries[] = {{"m-000001",
                                             "g8",
                                             "north",
@@ -242,8 +242,9 @@
     g_array_append_vals(message.summaries.summaries, summaries, G_N_ELEMENTS(summaries));
     message.summaries.departed = g_ptr_array_new_with_free_func(g_free);
     g_ptr_array_add(message.summaries.departed, g_strdup("m-000003"));
-    message.yielding = g_array_new(FALSE, FALSE, sizeof(double));
-    g_array_append_vals(message.yielding, yielding, G_N_ELEMENTS(yielding));
+    message.cpus_being_preempted = g_array_new(FALSE, FALSE, sizeof(double));
+    g_array_append_vals(message.cpus_being_preempted, cpus_being_preempted,
+                        G_N_ELEMENTS(cpus_being_preempted));
     assert_message_is_sample("peer_summaries.hex", message);
 }
 
@@ -270,8 +271,8 @@
     assert_int_equal(summaries[0].known_ms, 73);
     assert_int_equal(message.summaries.departed->len, 1);
     assert_string_equal(g_ptr_array_index(message.summaries.departed, 0), "m-000003");
-    assert_int_equal(message.yielding->len, 2);
-    assert_true(g_array_index(message.yielding, double, 1) == 0.75);
+    assert_int_equal(message.cpus_being_preempted->len, 2);
+    assert_true(g_array_index(message.cpus_being_preempted, double, 1) == 0.75);
     peer_message_clear(&message);
 }
 
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -49,9 +49,9 @@
     g_snprintf(settings->kv_store_address, ADDRESS_BYTES, "127.0.0.1:%u",
                fixture->services->state_ports[index]);
     settings->teams = g_array_new(FALSE, FALSE, sizeof(team_t));
-    team_t team = {.name = "red", .cpus = 8, .cpus_max = 64};
+    team_t team = {.name = "red", .guaranteed_cpus = 8, .max_cpus = 64};
     g_array_append_val(settings->teams, team);
-    settings->targets = g_hash_table_new(g_str_hash, g_str_equal);
+    settings->slos = g_hash_table_new(g_str_hash, g_str_equal);
     settings->siblings = g_array_new(FALSE, FALSE, sizeof(sibling_t));
     for (guint i = 0; i < count; i++) {
         sibling_t sibling = {.zone = "north"};
--- a/tests/test_partition.c
+++ b/tests/test_partition.c
@@ -907,7 +907,7 @@
     placement_request_t urgent = request_of("j-000002", 0, 200, 4);
     urgent.priority = PRIORITY_HIGH;
     assert_null(partition_place(fixture->partition, &urgent, fixture->now));
-    urgent.preempt = true;
+    urgent.may_preempt = true;
     assert_non_null(partition_place(fixture->partition, &urgent, fixture->now));
     commit();
     exchange();
@@ -925,7 +925,7 @@
     (void)state;
     fill_machine();
     placement_request_t equal = request_of("j-000002", 0, 200, 4);
-    equal.preempt = true;
+    equal.may_preempt = true;
     assert_null(partition_place(fixture->partition, &equal, fixture->now));
 }
 
@@ -976,7 +976,7 @@
     exchange();
     placement_request_t normal = request_of("j-000002", 0, 200, 4);
     normal.priority = PRIORITY_NORMAL;
-    normal.preempt = true;
+    normal.may_preempt = true;
     assert_non_null(partition_place(fixture->partition, &normal, fixture->now));
     commit();
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -68,7 +68,7 @@
     peer_message_t message = {.items = channel_items_new(),
                               .summaries.summaries =
                                   g_array_new(FALSE, FALSE, sizeof(machine_summary_t)),
-                              .yielding = g_array_new(FALSE, FALSE, sizeof(double))};
+                              .cpus_being_preempted = g_array_new(FALSE, FALSE, sizeof(double))};
     for (guint i = 0; i < machines; i++) {
         machine_summary_t summary = {.total = {16, 0, 128},
                                      .free = {(double)(i % 8) * 2, 0, 11.3 + (double)i * 0.37},
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -43,9 +43,9 @@
     assert_non_null(settings);
     assert_string_equal(settings->name, "hand-0");
     assert_int_equal(settings->siblings->len, 1);
-    const targets_t *targets = g_hash_table_lookup(settings->targets, "c");
-    assert_int_equal(targets->within->len, 2);
-    assert_true(g_array_index(targets->within, double, 0) == 250.0);
+    const slo_t *slos = g_hash_table_lookup(settings->slos, "c");
+    assert_int_equal(slos->within_s->len, 2);
+    assert_true(g_array_index(slos->within_s, double, 0) == 250.0);
     settings_free(settings);
 }
 
