--- a/src/app/api_internal.h
+++ b/src/app/api_internal.h
@@ -62,7 +62,7 @@
 kv_result_t api_commit(request_t *request, const kv_txn_t *txn, GPtrArray *failed);
 /* Every road on which a user can be told a final state begins here: it is known to the other
  * threads, and noted for the siblings, before it can be told. */
-job_state_t api_remember_ended(node_t *node, const char *id, bool done);
+job_state_t api_record_terminal_state(node_t *node, const char *id, bool done);
 /* Reads <prefix>/<id>. entry: api_entry_clear it. KV_NOT_EXECUTED also where the deadline has
  * passed.
  */
--- a/src/app/api_jobs.c
+++ b/src/app/api_jobs.c
@@ -62,7 +62,8 @@
     kv_result_t result = api_commit(request, &txn, NULL);
     kv_txn_free(&txn);
     if (result == KV_OK)
-        log_info("event=accept job=%s class=%s tasks=%u", spec->id, spec->class_name, spec->tasks);
+        log_info("event=job_accepted job=%s class=%s tasks=%u", spec->id, spec->class_name,
+                 spec->tasks);
     if (result == KV_OK)
         return (reply_t){.status = HTTP_CREATED,
                          .body = wire_build_status(spec->id, "queued", 0, 0)};
@@ -159,8 +160,8 @@
         result = commit_abort(request, id, entry.revision, tasks);
         api_entry_clear(&entry);
         if (result == KV_OK) {
-            log_info("event=abort job=%s", id);
-            return api_status_reply(node, id, api_remember_ended(node, id, false), HTTP_OK);
+            log_info("event=job_cancelled job=%s", id);
+            return api_status_reply(node, id, api_record_terminal_state(node, id, false), HTTP_OK);
         }
         if (result != KV_CONFLICT && result != KV_INDETERMINATE)
             return api_come_back();
--- a/src/app/api_state.c
+++ b/src/app/api_state.c
@@ -47,10 +47,10 @@
     return kv_commit(&node->kv_store, request->client, txn, timeout_ms, NULL, failed);
 }
 
-job_state_t api_remember_ended(node_t *node, const char *id, bool done)
+job_state_t api_record_terminal_state(node_t *node, const char *id, bool done)
 {
     pthread_mutex_lock(&node->lock);
-    node_remember(node, id, done);
+    node_record_terminal_state(node, id, done);
     pthread_mutex_unlock(&node->lock);
     return done ? JOB_DONE : JOB_CANCELLED;
 }
@@ -73,7 +73,7 @@
     *entry = (kv_entry_t){0};
 }
 
-static job_state_t read_ended(request_t *request, const char *id)
+static job_state_t read_terminal_state(request_t *request, const char *id)
 {
     kv_entry_t entry = {0};
     kv_result_t result = api_read_key(request, "ended", id, &entry);
@@ -84,7 +84,7 @@
     const char *state = json_string_value(json_object_get(entry.value, "Trim"));
     bool done = g_strcmp0(state, "done") == 0;
     api_entry_clear(&entry);
-    return api_remember_ended(request->node, id, done);
+    return api_record_terminal_state(request->node, id, done);
 }
 
 static job_state_t read_live(request_t *request, const char *id)
@@ -97,19 +97,22 @@
 
 job_state_t api_look_up(request_t *request, const char *id, bool likely_live)
 {
-    job_state_t state = likely_live ? JOB_NEVER : read_ended(request, id);
+    job_state_t state = likely_live ? JOB_NEVER : read_terminal_state(request, id);
     if (state == JOB_NEVER)
         state = read_live(request, id);
     if (state == JOB_NEVER)
-        state = read_ended(request, id);
+        state = read_terminal_state(request, id);
     return state;
 }
 
 job_state_t api_known_state(node_t *node, const char *id, bool *likely_live)
 {
     pthread_mutex_lock(&node->lock);
-    ended_t ended = (ended_t)GPOINTER_TO_INT(g_hash_table_lookup(node->ended, id));
+    terminal_state_t ended =
+        (terminal_state_t)GPOINTER_TO_INT(g_hash_table_lookup(node->terminal_states, id));
     *likely_live = g_hash_table_contains(node->jobs, id);
     pthread_mutex_unlock(&node->lock);
-    return ended == ENDED_UNKNOWN ? JOB_UNKNOWN : ended == ENDED_DONE ? JOB_DONE : JOB_CANCELLED;
+    return ended == TERMINAL_UNKNOWN ? JOB_UNKNOWN
+           : ended == TERMINAL_DONE  ? JOB_DONE
+                                     : JOB_CANCELLED;
 }
--- a/src/app/api_status.c
+++ b/src/app/api_status.c
@@ -9,7 +9,7 @@
 /* With the lock held: for display, as the leader counts now or counted a moment ago. */
 static job_counts_t job_counts(const node_t *node, const char *id)
 {
-    if (!node->leading || !node->loaded)
+    if (!node->is_leader || !node->is_loaded)
         return job_counts_replica_get(&node->job_counts, id);
     const job_t *job = g_hash_table_lookup(node->leader->jobs, id);
     return job ? (job_counts_t){.done = job->done_count, .outstanding = job->outstanding_count}
--- a/src/app/api_worker_heartbeats.c
+++ b/src/app/api_worker_heartbeats.c
@@ -36,7 +36,7 @@
     if (verdict == REDIRECTION_TO_OWNER)
         return (reply_t){.status = HTTP_MISDIRECTED,
                          .body = json_pack("{s:s}", "Bosun", owner->name)};
-    log_debug("event=retained machine=%s", heartbeat->machine);
+    log_debug("event=worker_retained machine=%s", heartbeat->machine);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     redirection_stop_ended(heartbeat, node->jobs, commands);
     reply_t reply = {.status = HTTP_OK, .body = wire_build_commands(node->view.number, commands)};
@@ -53,7 +53,7 @@
     heartbeat_verdict_t verdict = HEARTBEAT_UNVERIFIED;
     reply_t reply;
     uint64_t changes = node->partition ? node->partition->changes : 0;
-    if (node->loaded) {
+    if (node->is_loaded) {
         partition_pause_starts(node->partition, !node_may_start(node, now));
         verdict = partition_handle_heartbeat(node->partition, heartbeat, false, now, commands);
     }
@@ -82,18 +82,18 @@
     /* A higher fencing token is out: this node's view is old, and a 200 from it would be dropped
      * while it holds the worker here. Silence about aborts ends the answers as well. */
     if (node->view.count == 0 ||
-        MAX(heartbeat->fencing_token, node->superseded) > node->view.number)
+        MAX(heartbeat->fencing_token, node->highest_view_seen) > node->view.number)
         return api_refuse(HTTP_UNAVAILABLE, "not entitled now", 0);
     if (!node_may_renew(node, now)) {
         /* It lives, though its lease may not be renewed: after an outage, machines that were only
          * refused must not be taken for dead. */
-        if (node->loaded)
+        if (node->is_loaded)
             partition_record_unanswered_heartbeat(node->partition, heartbeat, now);
         return api_refuse(HTTP_UNAVAILABLE, "not entitled now", 0);
     }
     guint owner = node_owner(node, heartbeat->machine, heartbeat->zone);
-    metrics_count(node->metrics, COUNT_WORKER_HEARTBEATS_NOT_OWNED, owner != node->own);
-    if (owner != node->own)
+    metrics_count(node->metrics, COUNT_WORKER_HEARTBEATS_NOT_OWNED, owner != node->own_index);
+    if (owner != node->own_index)
         return redirect_worker(node, heartbeat, &node->view.members[owner], now);
     return answer_own(node, heartbeat, now);
 }
--- a/src/app/cloud.c
+++ b/src/app/cloud.c
@@ -62,8 +62,9 @@
 
 bool cloud_leads(const node_t *node)
 {
-    return node->loaded && node->leading &&
-           election_may_act(&node->view, node->superseded, node->view_proof, clock_steady());
+    return node->is_loaded && node->is_leader &&
+           election_may_act(&node->view, node->highest_view_seen, node->views_complete_until,
+                            clock_steady());
 }
 
 bool cloud_is_recently_terminated(const cloud_t *cloud, const char *id, msec_t now)
@@ -104,19 +105,19 @@
         if (cloud.machine_types_at == 0 || now - cloud.machine_types_at > MACHINE_TYPES_MS)
             refresh_machine_types(&cloud);
         pthread_mutex_lock(&node->lock);
-        bool leading = cloud_leads(node);
+        bool is_leader = cloud_leads(node);
         pthread_mutex_unlock(&node->lock);
-        if (leading && now - cloud.listed_at > CLOUD_LIST_GAP_MS) {
+        if (is_leader && now - cloud.listed_at > CLOUD_LIST_GAP_MS) {
             cloud_refresh_hosts(&cloud);
             cloud_exclude_members(&cloud, now);
         }
         cloud_publish_retained(&cloud, now);
         bool has_changed = false;
-        if (leading) {
+        if (is_leader) {
             has_changed = cloud_scale_out(&cloud);
             has_changed = cloud_scale_in(&cloud) || has_changed;
         }
-        msec_t quiet_gap = leading ? node_paced(node, gap) : MAX(gap, CLOUD_IDLE_GAP_MS);
+        msec_t quiet_gap = is_leader ? node_paced(node, gap) : MAX(gap, CLOUD_IDLE_GAP_MS);
         wait_for_round(node, has_changed ? gap : quiet_gap);
     }
     return NULL;
--- a/src/app/cloud_members.c
+++ b/src/app/cloud_members.c
@@ -80,7 +80,8 @@
             msec_t until = now + EXCLUDED_MS;
             pthread_mutex_lock(&node->lock);
             if (node->generation == generation) {
-                log_info("event=excluded member=%s machines=%u", node->view.members[i].name, alive);
+                log_info("event=member_excluded member=%s machines=%u", node->view.members[i].name,
+                         alive);
                 g_hash_table_insert(node->election.excluded, g_strdup(node->view.members[i].name),
                                     g_memdup2(&until, sizeof until));
                 pthread_cond_broadcast(&node->members);
--- a/src/app/cloud_scale_in.c
+++ b/src/app/cloud_scale_in.c
@@ -47,7 +47,7 @@
                                                 most, now);
             if ((early && !unlisted) || cloud_is_recently_terminated(cloud, summary->machine, now))
                 continue;
-            log_debug("event=silent machine=%s silent_ms=%" G_GINT64_FORMAT
+            log_debug("event=machine_unresponsive machine=%s silent_ms=%" G_GINT64_FORMAT
                       " known_ms=%" G_GINT64_FORMAT " listed=%d",
                       summary->machine, summary->silent_ms, summary->known_ms,
                       g_hash_table_contains(cloud->listed_machines, summary->machine));
@@ -83,7 +83,7 @@
         node->autoscaler->surplus_since = 0;
     /* Views of the same leader teach it nothing new: when they came every half minute, nothing was
      * returned for minutes. */
-    bool may_return = informed && now - node->leading_since > SCALE_IN_AFTER_MS &&
+    bool may_return = informed && now - node->leader_since_at > SCALE_IN_AFTER_MS &&
                       now - node->loaded_at > LEADER_GRACE_MS;
     for (guint drained = 0; may_return && drained < DRAINS_PER_ROUND_COUNT; drained++) {
         machine_summary_t *surplus = autoscaler_next_scale_in(
@@ -113,7 +113,7 @@
                 !cloud_is_recently_terminated(cloud, summary->machine, now))
                 add_once(names, summary->machine);
             if (!summary->draining && leader_is_quarantined(node->leader, summary->machine)) {
-                log_info("event=quarantined machine=%s", summary->machine);
+                log_info("event=machine_quarantined machine=%s", summary->machine);
                 cloud_send_machine_item(node, i, CHANNEL_DRAIN, summary->machine);
             }
         }
@@ -132,7 +132,7 @@
         log_info("event=scaled_in machine=%s", id);
         autoscaler_remove_booting(node->autoscaler, id);
         if (cloud_find_summary(node, id, &partition))
-            cloud_send_machine_item(node, partition, CHANNEL_MACHINE_GONE, id);
+            cloud_send_machine_item(node, partition, CHANNEL_MACHINE_TERMINATED, id);
     }
     node_notify(node);
 }
--- a/src/app/job_watch.c
+++ b/src/app/job_watch.c
@@ -14,7 +14,7 @@
         log_error("event=bad_job key=%s why=\"%s\"", entry->key, why.text);
         return;
     }
-    node_job_set(node, &spec, entry->revision);
+    node_add_job(node, &spec, entry->revision);
     job_spec_clear(&spec);
 }
 
@@ -31,16 +31,16 @@
         g_hash_table_add(listed, (gpointer)id_of(entry->key));
         take_set(node, entry);
     }
-    GPtrArray *gone = g_ptr_array_new_with_free_func(g_free);
+    GPtrArray *terminal = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter iter;
     gpointer key;
     g_hash_table_iter_init(&iter, node->jobs);
     while (g_hash_table_iter_next(&iter, &key, NULL))
         if (!g_hash_table_contains(listed, key))
-            g_ptr_array_add(gone, g_strdup(key));
-    for (guint i = 0; i < gone->len; i++)
-        node_job_gone(node, g_ptr_array_index(gone, i));
-    g_ptr_array_unref(gone);
+            g_ptr_array_add(terminal, g_strdup(key));
+    for (guint i = 0; i < terminal->len; i++)
+        node_remove_job(node, g_ptr_array_index(terminal, i));
+    g_ptr_array_unref(terminal);
     g_hash_table_unref(listed);
 }
 
@@ -53,8 +53,8 @@
     if (listed) {
         pthread_mutex_lock(&node->lock);
         take_all(node, entries);
-        node->jobs_synced = true;
-        node->jobs_proof = sent;
+        node->is_jobs_synced = true;
+        node->jobs_complete_until = sent;
         pthread_mutex_unlock(&node->lock);
     }
     g_array_unref(entries);
@@ -75,9 +75,9 @@
             if (entry->value)
                 take_set(node, entry);
             else
-                node_job_gone(node, id_of(entry->key));
+                node_remove_job(node, id_of(entry->key));
         }
-        node->jobs_proof = sent;
+        node->jobs_complete_until = sent;
         pthread_mutex_unlock(&node->lock);
     }
     g_array_unref(changes);
--- a/src/app/main.c
+++ b/src/app/main.c
@@ -101,8 +101,8 @@
     signal(SIGPIPE, SIG_IGN);
     http_start();
     node_t *node = node_new(settings, policy);
-    log_info("event=start version=%s host=%s incarnation=%" G_GUINT64_FORMAT, PEPPERPULLEY_VERSION,
-             settings->name, node->incarnation);
+    log_info("event=process_started version=%s host=%s incarnation=%" G_GUINT64_FORMAT,
+             PEPPERPULLEY_VERSION, settings->name, node->incarnation);
     if (!node_start(node))
         return EXIT_FAULT;
     for (;;)
--- a/src/app/member.c
+++ b/src/app/member.c
@@ -62,7 +62,7 @@
 static bool is_displaced(const member_loop_t *loop, msec_t now)
 {
     const node_t *node = loop->node;
-    return node->view_synced && loop->lease && now - loop->written > MEMBER_RECHECK_MS &&
+    return node->is_view_synced && loop->lease && now - loop->written > MEMBER_RECHECK_MS &&
            election_is_displaced(&node->election);
 }
 
@@ -108,7 +108,7 @@
     if (taken)
         return;
     if (view_change(node, loop->client, &next, revision, loop->lease, lease_revision) == KV_OK)
-        log_info("event=lead view=%" G_GUINT64_FORMAT, next.number);
+        log_info("event=leader_elected view=%" G_GUINT64_FORMAT, next.number);
     else
         node_sleep(ELECT_SPREAD_MS);
 }
@@ -147,13 +147,13 @@
         keep_lease(&loop, now);
         pthread_mutex_lock(&node->lock);
         if (is_displaced(&loop, now)) {
-            log_info("event=displaced host=%s", node->settings->name);
+            log_info("event=member_key_conflict host=%s", node->settings->name);
             loop.lease = 0;
         }
-        bool vacant = node->view_synced && loop.lease && election_is_vacant(&node->election);
+        bool vacant = node->is_view_synced && loop.lease && election_is_vacant(&node->election);
         view_t next = node->view;
         election_members(&node->election, &next, now);
-        bool is_pending = node->leading && !election_same_members(&next, &node->view);
+        bool is_pending = node->is_leader && !election_same_members(&next, &node->view);
         bool changed = is_pending && now - node->election.present_since > MEMBERSHIP_BATCH_MS;
         if (!vacant && !changed)
             node_wait(node, &node->members, member_wait(&loop, is_pending, clock_steady()));
--- a/src/app/node.c
+++ b/src/app/node.c
@@ -21,7 +21,7 @@
                           settings->kv_rps * MIN(CORE_RPS_FRACTION, CORES_RPS_FRACTION / members));
     rate_limiter_set_rate(&node->core_write,
                           settings->kv_write_rps *
-                              (node->leading ? LEADER_WRITE_FRACTION : partition_share));
+                              (node->is_leader ? LEADER_WRITE_FRACTION : partition_share));
     rate_limiter_set_rate(&node->api_rps,
                           settings->kv_rps * MIN(API_RPS_FRACTION, APIS_RPS_FRACTION / members));
     rate_limiter_set_rate(&node->api_write,
@@ -84,13 +84,13 @@
     node->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, known_job_free);
     job_counts_replica_init(&node->job_counts);
     node->machine_types = g_array_new(FALSE, FALSE, sizeof(machine_type_t));
-    node->ended = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    node->terminal_states = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     node->channels = g_ptr_array_new();
-    node->own = G_MAXUINT;
-    node->pulse = now;
+    node->own_index = G_MAXUINT;
+    node->last_observed_at = now;
     node->redirection = redirection_new();
-    node->gone = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    node->gone_order = g_queue_new();
+    node->terminal_jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    node->terminal_job_order = g_queue_new();
     pthread_mutex_init(&node->requests_lock, NULL);
     pthread_cond_init(&node->requests_come, NULL);
     request_queue_init(&node->requests, REQUESTS_WAITING_COUNT);
@@ -105,7 +105,7 @@
     threads_start("peer_server", peer_server_run, node);
     threads_start("relay", relay_run, node);
     peer_heartbeat_start(node);
-    threads_start("pulse", pulse_run, node);
+    threads_start("stall_detector", stall_detector_run, node);
     threads_start("job_watch", job_watch_run, node);
     threads_start("placer", placer_run, node);
     threads_start("cloud", cloud_run, node);
@@ -119,7 +119,7 @@
 
 void node_notify_senders(node_t *node)
 {
-    if (!node->loaded)
+    if (!node->is_loaded)
         return;
     uint32_t slots = partition_direct_slots(node->partition, clock_steady());
     uint32_t chosen = slots & node->idle_senders;
@@ -194,7 +194,7 @@
     job_counts_update_clear(&all);
 }
 
-void node_adopt(node_t *node, const view_t *view)
+void node_install_view(node_t *node, const view_t *view)
 {
     if (view->revision <= node->view.revision)
         return;
@@ -202,33 +202,34 @@
      * leader takes a machine that nobody hears for dead. */
     if (view->incarnation != node->view.incarnation || !election_same_members(view, &node->view))
         redirection_clear(node->redirection, view->number, clock_steady());
-    if (node->leading && node->loaded)
+    if (node->is_leader && node->is_loaded)
         keep_own_counts(node);
     node->view = *view;
-    bool was_leading = node->leading;
-    node->leading = view->incarnation == node->incarnation;
+    bool was_leading = node->is_leader;
+    node->is_leader = view->incarnation == node->incarnation;
     if (!was_leading)
-        node->leading_since = clock_steady();
-    if (!was_leading && node->leading && node->autoscaler)
+        node->leader_since_at = clock_steady();
+    if (!was_leading && node->is_leader && node->autoscaler)
         autoscaler_begin_leadership(node->autoscaler);
-    node->loaded = false;
+    node->is_loaded = false;
     node->generation++;
-    node->own = G_MAXUINT;
+    node->own_index = G_MAXUINT;
     node->leader_index = 0;
     drop_channels(node);
     for (guint i = 0; i < view->count; i++) {
         if (view->members[i].incarnation == node->incarnation)
-            node->own = i;
+            node->own_index = i;
         if (view->members[i].incarnation == view->incarnation)
             node->leader_index = i;
-        node->received_at[i] = clock_steady();
-        g_ptr_array_add(node->channels, node->leading ? channel_new() : NULL);
+        node->member_received_at[i] = clock_steady();
+        g_ptr_array_add(node->channels, node->is_leader ? channel_new() : NULL);
     }
     node->leader_channel = channel_new();
     share_rate_limits(node, MAX(view->count, 1));
     metrics_count(node->metrics, COUNT_VIEWS, 1);
-    log_info("event=view view=%" G_GUINT64_FORMAT " leader=%s members=%u own=%d", view->number,
-             view->leader, view->count, node->own == G_MAXUINT ? -1 : (int)node->own);
+    log_info("event=view_installed view=%" G_GUINT64_FORMAT " leader=%s members=%u own=%d",
+             view->number, view->leader, view->count,
+             node->own_index == G_MAXUINT ? -1 : (int)node->own_index);
     node_notify(node);
     pthread_cond_broadcast(&node->members);
     pthread_cond_broadcast(&node->peer_work);
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -52,7 +52,7 @@
 } inquiry_t;
 
 /* A final state. */
-typedef enum { ENDED_UNKNOWN, ENDED_DONE, ENDED_CANCELLED } ended_t;
+typedef enum { TERMINAL_UNKNOWN, TERMINAL_DONE, TERMINAL_CANCELLED } terminal_state_t;
 
 typedef struct node {
     const settings_t *settings;
@@ -80,28 +80,28 @@
     pthread_cond_t relay;        /* for the relay loop: the data of a view were loaded */
     guint api_clients_free;      /* clients [0, api_clients_free) are free */
     view_t view;
-    bool view_synced;
-    msec_t view_proof; /* every view made before it is known here */
+    bool is_view_synced;
+    msec_t views_complete_until; /* every view made before it is known here */
     msec_t
         siblings_kv_answered_at; /* when the key-value store last answered a sibling, as it said */
     msec_t sibling_message_at;   /* when a sibling's last message came */
-    uint64_t superseded;         /* the highest view number that another node spoke of */
+    uint64_t highest_view_seen;  /* the highest view number that another node spoke of */
     election_t election;
-    bool leading;         /* the view is ours */
-    msec_t leading_since; /* without a break, over however many views */
-    bool loaded;          /* the partition (and the leader's data) of this view stand */
-    guint own;            /* our index among the members; G_MAXUINT: not a member */
+    bool is_leader;         /* the view is ours */
+    msec_t leader_since_at; /* without a break, over however many views */
+    bool is_loaded;         /* the partition (and the leader's data) of this view stand */
+    guint own_index;        /* our index among the members; G_MAXUINT: not a member */
     guint leader_index;
     uint64_t generation; /* of partition and leader: grows with each load */
     msec_t loaded_at;
     GHashTable *jobs;                /* live jobs: id -> known_job_t, owned */
     job_counts_replica_t job_counts; /* of another leader, or as it was when we last led */
-    bool jobs_synced;
-    GHashTable *gone;                 /* ids of jobs that are over, owned; bounded */
-    GQueue *gone_order;               /* the same, borrowed; oldest first */
-    msec_t jobs_proof;                /* every abort accepted before it is known here */
-    msec_t pulse;                     /* when the time was noticed last */
-    msec_t woken;                     /* when the process was last found to have stood still */
+    bool is_jobs_synced;
+    GHashTable *terminal_jobs;        /* ids of jobs that are over, owned; bounded */
+    GQueue *terminal_job_order;       /* the same, borrowed; oldest first */
+    msec_t jobs_complete_until;       /* every abort accepted before it is known here */
+    msec_t last_observed_at;          /* when the time was noticed last */
+    msec_t last_stall_at;             /* when the process was last found to have stood still */
     cancellation_log_t cancellations; /* what this node and its siblings told users */
     GArray *machine_types;            /* machine_type_t; empty: not known yet */
     partition_t *partition;
@@ -111,8 +111,8 @@
     GPtrArray *channels;       /* the leader's ends, a member each; NULL for its own */
     summary_replica_t summary_replicas[MEMBERS_MAX_COUNT]; /* the leader's, a member each */
     bool summaries_wait[MEMBERS_MAX_COUNT]; /* changes of a replica that the leader has not got */
-    msec_t received_at[MEMBERS_MAX_COUNT];  /* when each member last called by socket */
-    GHashTable *ended;                      /* id -> ended_t; a bounded cache */
+    msec_t member_received_at[MEMBERS_MAX_COUNT]; /* when each member last called by socket */
+    GHashTable *terminal_states;                  /* id -> terminal_state_t; a bounded cache */
     redirection_t *redirection;
     owner_health_t sibling_health[MEMBERS_MAX_COUNT]; /* as the settings list the siblings */
     msec_t worker_heartbeat_at;    /* when a worker of ours last reported to us */
@@ -134,13 +134,13 @@
 void node_notify(node_t *node);
 /* Wakes the senders of machines that want commands; for one that is busy, another. */
 void node_notify_senders(node_t *node);
-void node_job_set(node_t *node, const job_spec_t *spec, uint64_t revision);
+void node_add_job(node_t *node, const job_spec_t *spec, uint64_t revision);
 /* The job is over for good: no older list of jobs brings it back. */
-void node_job_gone(node_t *node, const char *id);
+void node_remove_job(node_t *node, const char *id);
 /* A user is about to be told that the job is done or cancelled, or a sibling told one. */
-void node_remember(node_t *node, const char *id, bool done);
+void node_record_terminal_state(node_t *node, const char *id, bool done);
 /* Takes over a newer view; everything of the older one is void. */
-void node_adopt(node_t *node, const view_t *view);
+void node_install_view(node_t *node, const view_t *view);
 /* Index of the machine's owner in the view; the view must have members. */
 guint node_owner(const node_t *node, const char *machine, const char *zone);
 /* What a partition sums up: of ours, now. */
@@ -159,11 +159,11 @@
  * none is sent until it is known what was cancelled up to its waking. */
 bool node_may_start(node_t *node, msec_t now);
 /* Takes notice of the time. */
-void node_pulse(node_t *node, msec_t now);
+void node_observe_time(node_t *node, msec_t now);
 /* Commands that were taken at `taken` are about to leave. False: their sender has stood still
  * since, and what they say may be out of date (a cancelled job's start among them); they are given
  * back to be judged anew. */
-bool node_may_send(node_t *node, const char *machine, uint64_t generation, const GArray *commands,
+bool node_may_push(node_t *node, const char *machine, uint64_t generation, const GArray *commands,
                    msec_t taken, msec_t now);
 void node_wait(node_t *node, pthread_cond_t *cond, msec_t ms);
 /* The pause as it is on the share of a processor that the settings grant. */
@@ -190,7 +190,7 @@
  * needed.
  */
 void sender_notify(node_t *node, guint slot);
-void *pulse_run(void *data);
+void *stall_detector_run(void *data);
 void *cloud_run(void *data);
 bool api_start(node_t *node);
 
--- a/src/app/node_partition.c
+++ b/src/app/node_partition.c
@@ -12,13 +12,13 @@
     g_hash_table_iter_init(&iter, node->partition->machines);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const machine_t *machine = value;
-        if (machine->gone)
+        if (machine->is_terminated)
             continue;
         machine_summary_t summary = {.spot = machine->spot,
                                      .open = partition_is_reached(node->partition, machine, now) &&
-                                             machine->is_capacity_known && !machine->draining &&
+                                             machine->is_capacity_known && !machine->is_draining &&
                                              !machine->interruption_at,
-                                     .draining = machine->draining,
+                                     .draining = machine->is_draining,
                                      .total = machine->capacity,
                                      .free = partition_free_resources(machine),
                                      .attempts = machine->attempts->len,
@@ -46,7 +46,7 @@
 
 void node_send(node_t *node, guint partition, channel_item_t item)
 {
-    if (partition == node->own) {
+    if (partition == node->own_index) {
         node_handle_item(node, &item, clock_steady());
         g_strfreev(item.request.types);
     } else if (partition < node->channels->len && g_ptr_array_index(node->channels, partition)) {
@@ -69,12 +69,13 @@
 
 void node_handle_result(node_t *node, guint partition, const attempt_result_t *result, msec_t now)
 {
-    log_debug("event=over task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s cause=%d",
+    log_debug("event=attempt_terminated task=%s/%u attempt=%" G_GUINT64_FORMAT
+              " machine=%s cause=%d",
               result->ref.job, result->ref.task, result->ref.attempt, result->machine,
               (int)result->cause);
     if (result->cause == CAUSE_ERROR || result->cause == CAUSE_UNKNOWN)
-        log_info("event=failed task=%s/%u machine=%s cause=%d", result->ref.job, result->ref.task,
-                 result->machine, (int)result->cause);
+        log_info("event=attempt_failed task=%s/%u machine=%s cause=%d", result->ref.job,
+                 result->ref.task, result->machine, (int)result->cause);
     const job_t *job = g_hash_table_lookup(node->leader->jobs, result->ref.job);
     bool refused = job && job->spec.kind == KIND_GANG && result->cause == CAUSE_FULL;
     leader_handle_result(node->leader, partition, result, now);
@@ -87,8 +88,8 @@
 {
     attempt_result_t refused = {.ref = task_ref(request->job, request->task, request->attempt),
                                 .cause = CAUSE_FULL};
-    if (node->leading)
-        node_handle_result(node, node->own, &refused, now);
+    if (node->is_leader)
+        node_handle_result(node, node->own_index, &refused, now);
     else
         channel_push(node->leader_channel,
                      (channel_item_t){.kind = CHANNEL_ATTEMPT_RESULT, .result = refused});
@@ -102,7 +103,7 @@
         refuse_placement(node, request, now);
         return;
     }
-    log_debug("event=place task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s", request->job,
+    log_debug("event=task_placed task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s", request->job,
               request->task, request->attempt, machine->id);
     node_notify(node);
 }
@@ -127,8 +128,8 @@
     case CHANNEL_CANCEL_DRAIN:
         partition_set_draining(node->partition, item->machine, false);
         break;
-    case CHANNEL_MACHINE_GONE:
-        partition_machine_gone(node->partition, item->machine);
+    case CHANNEL_MACHINE_TERMINATED:
+        partition_machine_terminated(node->partition, item->machine);
         node_notify(node);
         break;
     case CHANNEL_ATTEMPT_RESULT:
--- a/src/app/node_permission.c
+++ b/src/app/node_permission.c
@@ -12,10 +12,10 @@
                             .has_no_siblings = node->settings->siblings->len == 0};
 }
 
-static msec_t known_until(const node_t *node)
+static msec_t cancellations_complete_until(const node_t *node)
 {
-    return cancellation_log_known_until(&node->cancellations, node->settings->siblings->len,
-                                        node->jobs_proof);
+    return cancellation_log_complete_until(&node->cancellations, node->settings->siblings->len,
+                                           node->jobs_complete_until);
 }
 
 bool node_may_renew(const node_t *node, msec_t now)
@@ -28,44 +28,44 @@
      * answer: so answers end this long after the last moment up to which all that users were told
      * is known. */
     double spare = node->settings->cancel_s - node->settings->lease_s;
-    return node->jobs_synced &&
-           now - known_until(node) < (msec_t)(spare * MS_PER_S) - CANCEL_MARGIN_MS;
+    return node->is_jobs_synced &&
+           now - cancellations_complete_until(node) < (msec_t)(spare * MS_PER_S) - CANCEL_MARGIN_MS;
 }
 
-void node_pulse(node_t *node, msec_t now)
+void node_observe_time(node_t *node, msec_t now)
 {
-    if (now - node->pulse > STALL_MS) {
-        log_info("event=woken stall_ms=%" G_GINT64_FORMAT, now - node->pulse);
-        node->woken = now;
+    if (now - node->last_observed_at > STALL_MS) {
+        log_info("event=process_stalled stall_ms=%" G_GINT64_FORMAT, now - node->last_observed_at);
+        node->last_stall_at = now;
     }
-    node->pulse = MAX(node->pulse, now);
+    node->last_observed_at = MAX(node->last_observed_at, now);
 }
 
 bool node_may_start(node_t *node, msec_t now)
 {
-    node_pulse(node, now);
-    msec_t known = known_until(node);
-    return node->jobs_synced && known >= node->woken && now - known < START_KNOWN_MS;
+    node_observe_time(node, now);
+    msec_t known = cancellations_complete_until(node);
+    return node->is_jobs_synced && known >= node->last_stall_at && now - known < START_WATERMARK_MS;
 }
 
-bool node_may_send(node_t *node, const char *machine, uint64_t generation, const GArray *commands,
+bool node_may_push(node_t *node, const char *machine, uint64_t generation, const GArray *commands,
                    msec_t taken, msec_t now)
 {
     if (now - taken <= STALL_MS)
         return true;
-    if (node->generation == generation && node->loaded)
-        partition_direct_done(node->partition, machine, commands, 0, DIRECT_WITHHELD);
+    if (node->generation == generation && node->is_loaded)
+        partition_direct_done(node->partition, machine, commands, 0, DIRECT_DISCARDED);
     return false;
 }
 
-void *pulse_run(void *data)
+void *stall_detector_run(void *data)
 {
     node_t *node = data;
     for (;;) {
         pthread_mutex_lock(&node->lock);
-        node_pulse(node, clock_steady());
+        node_observe_time(node, clock_steady());
         pthread_mutex_unlock(&node->lock);
-        node_sleep(PULSE_MS);
+        node_sleep(STALL_CHECK_MS);
     }
     return NULL;
 }
--- a/src/app/peer_client.c
+++ b/src/app/peer_client.c
@@ -9,7 +9,7 @@
 void peer_client_receive(node_t *node, const peer_message_t *message)
 {
     peer_exchange_receive_any(node, message);
-    if (!node->loaded || message->view != node->view.number ||
+    if (!node->is_loaded || message->view != node->view.number ||
         message->incarnation != node->view.incarnation)
         return;
     channel_ack(node->leader_channel, message->ack);
@@ -94,7 +94,8 @@
     node_t *node = peer->node;
     GByteArray *frame = NULL;
     pthread_mutex_lock(&node->lock);
-    if (!node->leading && node->loaded && node->own != G_MAXUINT && leader_endpoint(node)) {
+    if (!node->is_leader && node->is_loaded && node->own_index != G_MAXUINT &&
+        leader_endpoint(node)) {
         g_strlcpy(peer->endpoint, leader_endpoint(node), sizeof peer->endpoint);
         summary_update_t summaries = next_summaries(peer);
         frame = peer_exchange_compose(node, node->leader_channel, &summaries);
--- a/src/app/peer_exchange.c
+++ b/src/app/peer_exchange.c
@@ -40,7 +40,7 @@
 
 void peer_exchange_receive_any(node_t *node, const peer_message_t *message)
 {
-    node->superseded = MAX(node->superseded, message->view);
+    node->highest_view_seen = MAX(node->highest_view_seen, message->view);
     node->sibling_message_at = clock_steady();
     node->siblings_kv_answered_at =
         MAX(node->siblings_kv_answered_at, clock_steady() - message->kv_answer_age_ms);
--- a/src/app/peer_heartbeat.c
+++ b/src/app/peer_heartbeat.c
@@ -53,7 +53,7 @@
     answer.hold_ms = hold;
     answer.update = cancellation_log_update(&node->cancellations, message->acknowledged_incarnation,
                                             message->acknowledged_index, clock_steady());
-    if (node->leading && node->loaded)
+    if (node->is_leader && node->is_loaded)
         answer.counts = leader_counts(node->leader, message->counts.epoch, message->counts.version,
                                       JOB_COUNTS_BATCH_COUNT);
     pthread_mutex_unlock(&node->lock);
@@ -68,7 +68,7 @@
     job_counts_replica_apply(&node->job_counts, update);
     for (guint i = 0; i < update->jobs->len; i++) {
         const char *id = g_array_index(update->jobs, job_counts_t, i).job;
-        if (g_hash_table_contains(node->gone, id))
+        if (g_hash_table_contains(node->terminal_jobs, id))
             job_counts_replica_remove(&node->job_counts, id);
     }
 }
@@ -83,9 +83,9 @@
         .answered_at = asked, .worker_heartbeat_at = asked - message->worker_heartbeat_age_ms};
     for (guint i = 0; i < message->update.jobs->len; i++) {
         const char *id = g_ptr_array_index(message->update.jobs, i);
-        if (!g_hash_table_contains(node->gone, id))
+        if (!g_hash_table_contains(node->terminal_jobs, id))
             log_info("event=cancellation_update job=%s from=%s", id, message->sender);
-        node_remember(node, id, false);
+        node_record_terminal_state(node, id, false);
     }
     cancellation_log_apply(&node->cancellations, index, &message->update, asked, clock_steady());
     if (message->view == node->view.number && message->incarnation == node->view.incarnation)
--- a/src/app/peer_relay.c
+++ b/src/app/peer_relay.c
@@ -66,11 +66,11 @@
 static msec_t relay_due(const node_t *node)
 {
     msec_t due = G_MAXINT64;
-    if (!node->leading || !node->loaded)
+    if (!node->is_leader || !node->is_loaded)
         return due;
     for (guint i = 0; i < node->view.count; i++)
-        if (i != node->own)
-            due = MIN(due, MAX(node->received_at[i], node->loaded_at) + RELAY_AFTER_MS);
+        if (i != node->own_index)
+            due = MIN(due, MAX(node->member_received_at[i], node->loaded_at) + RELAY_AFTER_MS);
     return due;
 }
 
--- a/src/app/peer_server.c
+++ b/src/app/peer_server.c
@@ -36,7 +36,7 @@
     if (!message->summaries.summaries || !summary_replica_apply(replica, &message->summaries, now))
         return false;
     node->summaries_wait[index] |=
-        message->summaries.summaries->len > 0 || message->summaries.departed->len > 0;
+        message->summaries.summaries->len > 0 || message->summaries.terminated->len > 0;
     if (message->ack != channel->sent)
         return false;
     leader_set_summaries(node->leader, index, g_array_copy(replica->summaries));
@@ -52,8 +52,8 @@
     guint index = 0;
     msec_t now = clock_steady();
     peer_exchange_receive_any(node, message);
-    if (!node->leading || !node->loaded || message->view != node->view.number ||
-        !is_member(node, message, &index) || index == node->own)
+    if (!node->is_leader || !node->is_loaded || message->view != node->view.number ||
+        !is_member(node, message, &index) || index == node->own_index)
         return NULL;
     channel_t *channel = g_ptr_array_index(node->channels, index);
     channel_ack(channel, message->ack);
@@ -79,7 +79,7 @@
     channel_t *channel = peer_server_receive(node, message);
     guint index = 0;
     if (channel && is_member(node, message, &index))
-        node->received_at[index] = clock_steady();
+        node->member_received_at[index] = clock_steady();
     msec_t delay = node_paced(node, PEER_ANSWER_DELAY_MS);
     msec_t until = clock_steady() + delay;
     while (channel && !channel_busy(channel) && clock_steady() < until) {
--- a/src/app/placer.c
+++ b/src/app/placer.c
@@ -26,13 +26,14 @@
     GArray *jobs;
 } listing_t;
 
-static bool read_listing(placer_t *placer, listing_t *listing, bool leading)
+static bool read_listing(placer_t *placer, listing_t *listing, bool is_leader)
 {
     kv_store_t *kv_store = &placer->node->kv_store;
-    rate_limiter_charge(&placer->node->core_rps, leading ? 3 : 2, clock_steady());
+    rate_limiter_charge(&placer->node->core_rps, is_leader ? 3 : 2, clock_steady());
     /* Jobs last: a job listed then has its finished bits at hand, and one that is not, is over. */
     return kv_list(kv_store, placer->client, "machines/", listing->machines, NULL) == KV_OK &&
-           (!leading || kv_list(kv_store, placer->client, "done/", listing->done, NULL) == KV_OK) &&
+           (!is_leader ||
+            kv_list(kv_store, placer->client, "done/", listing->done, NULL) == KV_OK) &&
            kv_list(kv_store, placer->client, "jobs/", listing->jobs, NULL) == KV_OK;
 }
 
@@ -43,7 +44,7 @@
         job_spec_t spec;
         if (!wire_parse_job(entry->value, true, &spec, NULL))
             continue;
-        if (!g_hash_table_contains(node->gone, spec.id))
+        if (!g_hash_table_contains(node->terminal_jobs, spec.id))
             leader_add_job(node->leader, &spec, entry->revision);
         job_spec_clear(&spec);
     }
@@ -70,9 +71,9 @@
 {
     for (guint k = 0; k < record->entries->len; k++) {
         const record_entry_t *attempt = &g_array_index(record->entries, record_entry_t, k);
-        if (node->leading)
+        if (node->is_leader)
             leader_load_attempt(node->leader, attempt, record->zone, owner);
-        if (owner == node->own && !g_hash_table_contains(live_jobs, attempt->job))
+        if (owner == node->own_index && !g_hash_table_contains(live_jobs, attempt->job))
             partition_end_job(node->partition, attempt->job);
     }
 }
@@ -84,7 +85,7 @@
         return;
     const machine_record_t *first = &g_array_index(record->machines, machine_record_t, 0);
     guint owner = node_owner(node, first->machine, first->zone);
-    if (owner == node->own)
+    if (owner == node->own_index)
         partition_load(node->partition, record, now);
     for (guint i = 0; i < record->machines->len; i++)
         load_machine(node, &g_array_index(record->machines, machine_record_t, i), owner, live_jobs);
@@ -101,7 +102,7 @@
         char *id = g_array_index(listing->jobs, kv_entry_t, i).key + strlen("jobs/");
         /* It may have been cancelled since it was listed, and its tasks must stop: that was told to
          * the data of the view before, and nobody tells it again. */
-        if (!g_hash_table_contains(node->gone, id))
+        if (!g_hash_table_contains(node->terminal_jobs, id))
             g_hash_table_add(live_jobs, id);
     }
     for (guint i = 0; i < listing->machines->len; i++) {
@@ -147,7 +148,7 @@
     partition_set_heartbeat_interval(node->partition, node->settings->heartbeat_interval_s);
     if (node->settings->pace > 1)
         partition_delay_probes(node->partition, node->settings->heartbeat_interval_s);
-    if (node->leading) {
+    if (node->is_leader) {
         node->leader =
             leader_new(node->settings->teams, node->settings->slos, node->policy, node->view.count);
         leader_set_view(node->leader, node->view.number);
@@ -155,7 +156,7 @@
         load_jobs(node, listing->jobs);
         load_done(node, listing->done);
     }
-    node->loaded = load_machines(node, listing, now);
+    node->is_loaded = load_machines(node, listing, now);
     node->generation++;
     node->loaded_at = now;
     pthread_cond_broadcast(&node->peer_work);
@@ -169,16 +170,16 @@
     node_t *node = placer->node;
     pthread_mutex_lock(&node->lock);
     uint64_t number = node->view.number;
-    bool leading = node->leading;
+    bool is_leader = node->is_leader;
     pthread_mutex_unlock(&node->lock);
     listing_t listing = {kv_entries_new(), kv_entries_new(), kv_entries_new()};
-    bool read = read_listing(placer, &listing, leading);
+    bool read = read_listing(placer, &listing, is_leader);
     pthread_mutex_lock(&node->lock);
     if (read && node->view.number == number) {
         load_all(node, &listing, clock_steady());
-        log_info("event=loaded view=%" G_GUINT64_FORMAT
-                 " leading=%d jobs=%u machines=%u attempts=%u",
-                 number, leading, listing.jobs->len, g_hash_table_size(node->partition->machines),
+        log_info("event=records_loaded view=%" G_GUINT64_FORMAT
+                 " is_leader=%d jobs=%u machines=%u attempts=%u",
+                 number, is_leader, listing.jobs->len, g_hash_table_size(node->partition->machines),
                  g_hash_table_size(node->partition->attempts));
     }
     pthread_mutex_unlock(&node->lock);
@@ -194,9 +195,9 @@
 {
     node_t *node = placer->node;
     metrics_count(node->metrics, COUNT_RELOADS, 1);
-    log_info("event=reload why=%s", why);
+    log_info("event=records_reload why=%s", why);
     pthread_mutex_lock(&node->lock);
-    node->loaded = false;
+    node->is_loaded = false;
     node->generation++;
     pthread_mutex_unlock(&node->lock);
     while (!view_advance_fencing_token(node, placer->client))
@@ -209,8 +210,8 @@
     GArray *results = node->partition->results;
     for (guint i = 0; i < results->len; i++) {
         const attempt_result_t *result = &g_array_index(results, attempt_result_t, i);
-        if (node->leading)
-            node_handle_result(node, node->own, result, now);
+        if (node->is_leader)
+            node_handle_result(node, node->own_index, result, now);
         else
             channel_push(node->leader_channel,
                          (channel_item_t){.kind = CHANNEL_ATTEMPT_RESULT, .result = *result});
@@ -220,8 +221,8 @@
 
 static void send_placement_requests(node_t *node, msec_t now, guint most)
 {
-    leader_set_summaries(node->leader, node->own, node_summaries(node, now));
-    leader_set_cpus_being_preempted(node->leader, node->own, node_cpus_being_preempted(node));
+    leader_set_summaries(node->leader, node->own_index, node_summaries(node, now));
+    leader_set_cpus_being_preempted(node->leader, node->own_index, node_cpus_being_preempted(node));
     GArray *requests = leader_schedule(node->leader, now, clock_day(), most);
     for (guint i = 0; i < requests->len; i++) {
         const leader_request_t *made = &g_array_index(requests, leader_request_t, i);
@@ -256,10 +257,10 @@
     }
     for (guint i = 0; batch->progress && i < batch->progress->len; i++) {
         const progress_t *progress = &g_array_index(batch->progress, progress_t, i);
-        if (!progress->end)
+        if (!progress->is_job_end)
             continue;
-        log_info("event=done job=%s tasks=%u", progress->job, progress->done);
-        node_job_gone(node, progress->job);
+        log_info("event=job_done job=%s tasks=%u", progress->job, progress->done);
+        node_remove_job(node, progress->job);
     }
     g_array_unref(acknowledged);
     node_notify_senders(node);
@@ -283,7 +284,7 @@
             return "condition_failed";
     }
     for (guint i = 0; i < failed->len; i++)
-        node_job_gone(node, (char *)g_ptr_array_index(failed, i) + strlen("jobs/"));
+        node_remove_job(node, (char *)g_ptr_array_index(failed, i) + strlen("jobs/"));
     return failed->len ? NULL : "condition_failed";
 }
 
@@ -339,7 +340,7 @@
     guint full = MIN((guint)node->core_write.rate, node->settings->txn_ops);
     batch->usage =
         (kv_txn_usage_t){.max_ops = most, .full_ops = full, .max_bytes = KV_TXN_VALUES_BYTES / 2};
-    if (node->leading) {
+    if (node->is_leader) {
         send_placement_requests(
             node, now, (guint)tunable_value(node->policy, TUNABLE_PLACEMENT_REQUESTS_PER_ROUND));
         batch->progress = leader_progress_new();
@@ -351,7 +352,7 @@
     /* Records that took each write as the rate limit gives it would leave none for the end of a
      * job, which takes several at once. */
     partition_limits_t limits = {
-        .ops = batch->usage.end_waits ? 0 : most - MIN(most, batch->usage.ops),
+        .ops = batch->usage.has_waiting_end ? 0 : most - MIN(most, batch->usage.ops),
         .jobs = conditions - MIN(conditions, spoken_for),
         .value_max =
             MIN((gsize)(node->settings->value_kb * BYTES_PER_KIB), (gsize)KV_TXN_VALUES_BYTES / 3),
@@ -360,7 +361,7 @@
     batch->usage.ops += batch->machines->records->len;
     batch->usage.bytes += batch->machines->bytes;
     batch->usage.max_bytes = KV_TXN_VALUES_BYTES;
-    if (node->leading)
+    if (node->is_leader)
         leader_progress_take(node->leader, now, PROGRESS_GAP_MS, batch->progress, &batch->usage);
     take_results(node, now);
     return batch->usage.ops > 0;
@@ -373,15 +374,15 @@
     for (;;) {
         pthread_mutex_lock(&node->lock);
         node_wait(node, &node->work, node_paced(node, TICK_MS));
-        if (!node->loaded) {
-            bool member = node->own != G_MAXUINT;
+        if (!node->is_loaded) {
+            bool member = node->own_index != G_MAXUINT;
             pthread_mutex_unlock(&node->lock);
             if (member)
                 load(&placer);
             continue;
         }
         msec_t now = clock_steady();
-        node_pulse(node, now);
+        node_observe_time(node, now);
         batch_t batch = {0};
         bool changes = tick(node, &batch, now);
         bool wants_token = partition_needs_new_fencing_token(node->partition) &&
--- a/src/app/sender.c
+++ b/src/app/sender.c
@@ -37,12 +37,12 @@
                                  ? DIRECT_REFUSED
                              : status == HTTP_NOT_SENT ? DIRECT_NOT_SENT
                                                        : DIRECT_UNANSWERED;
-    log_debug("event=direct machine=%s commands=%u status=%d", exchange->machine, commands->len,
-              status);
+    log_debug("event=commands_pushed machine=%s commands=%u status=%d", exchange->machine,
+              commands->len, status);
     pthread_mutex_lock(&node->lock);
     /* A view loaded meanwhile has its own data and a higher fencing token, under which this one is
      * void. */
-    if (node->generation == exchange->generation && node->loaded) {
+    if (node->generation == exchange->generation && node->is_loaded) {
         partition_direct_done(node->partition, exchange->machine, commands, exchange->fencing_token,
                               result);
         msec_t now = clock_steady();
@@ -59,15 +59,15 @@
     worker_heartbeat_clear(&heartbeat);
 }
 
-static bool may_leave(node_t *node, const exchange_t *exchange, const GArray *commands,
-                      msec_t taken)
+static bool may_push(node_t *node, const exchange_t *exchange, const GArray *commands, msec_t taken)
 {
     pthread_mutex_lock(&node->lock);
-    bool may = node_may_send(node, exchange->machine, exchange->generation, commands, taken,
+    bool may = node_may_push(node, exchange->machine, exchange->generation, commands, taken,
                              clock_steady());
     pthread_mutex_unlock(&node->lock);
     if (!may)
-        log_info("event=withheld machine=%s commands=%u", exchange->machine, commands->len);
+        log_info("event=commands_discarded machine=%s commands=%u", exchange->machine,
+                 commands->len);
     return may;
 }
 
@@ -101,7 +101,7 @@
 static machine_t *take_commands(const sender_t *sender, msec_t now, GArray *commands)
 {
     node_t *node = sender->node;
-    if (!node->loaded)
+    if (!node->is_loaded)
         return NULL;
     partition_pause_starts(node->partition, !node_may_start(node, now));
     uint32_t slots = 1U << sender->slot | ~node->idle_senders;
@@ -132,7 +132,7 @@
         g_snprintf(exchange.url, sizeof exchange.url, "http://%s/do", machine->address);
         pthread_mutex_unlock(&node->lock);
         json_t *body = wire_build_direct(exchange.fencing_token, exchange.worker_epoch, commands);
-        if (!may_leave(node, &exchange, commands, now)) {
+        if (!may_push(node, &exchange, commands, now)) {
             json_decref(body);
             continue;
         }
--- a/src/app/view.c
+++ b/src/app/view.c
@@ -19,7 +19,7 @@
     g_strlcpy(member->name, name, sizeof member->name);
     g_strlcpy(member->zone, zone, sizeof member->zone);
     member->incarnation = (uint64_t)json_integer_value(json_object_get(value, "Incarnation"));
-    member->excluded = json_is_true(json_object_get(value, "Aside"));
+    member->is_excluded = json_is_true(json_object_get(value, "Aside"));
     return true;
 }
 
@@ -58,7 +58,7 @@
     if (kv_get(&node->kv_store, client, "view/number", KV_TIMEOUT_MS, &entry) == KV_OK &&
         view_parse(entry.value, entry.revision, &view)) {
         pthread_mutex_lock(&node->lock);
-        node_adopt(node, &view);
+        node_install_view(node, &view);
         pthread_mutex_unlock(&node->lock);
     }
     g_free(entry.key);
@@ -88,7 +88,7 @@
             /* Known before the follow tells: else the lease would look free, and be taken again. */
             election_take_lease(&node->election, next->leader, next->incarnation, next->revision);
         }
-        node_adopt(node, next);
+        node_install_view(node, next);
         pthread_mutex_unlock(&node->lock);
     } else if (result != KV_NOT_EXECUTED) {
         view_refresh(node, client); /* another was quicker, or the answer was lost */
@@ -116,7 +116,7 @@
     view_t view;
     if (strcmp(entry->key, "view/number") == 0) {
         if (entry->value && view_parse(entry->value, entry->revision, &view))
-            node_adopt(node, &view);
+            node_install_view(node, &view);
     } else if (strcmp(entry->key, "view/lease") == 0) {
         election_take_lease(
             &node->election, json_string_value(json_object_get(entry->value, "Name")),
@@ -140,8 +140,8 @@
         election_clear(&node->election);
         for (guint i = 0; i < entries->len; i++)
             take_entry(node, &g_array_index(entries, kv_entry_t, i));
-        node->view_synced = true;
-        node->view_proof = sent;
+        node->is_view_synced = true;
+        node->views_complete_until = sent;
         pthread_cond_broadcast(&node->members);
         pthread_mutex_unlock(&node->lock);
     }
@@ -160,9 +160,9 @@
     for (guint i = 0; result == KV_OK && i < changes->len; i++)
         take_entry(node, &g_array_index(changes, kv_entry_t, i));
     if (result == KV_OK)
-        node->view_proof = sent;
+        node->views_complete_until = sent;
     if (result == KV_COMPACTED)
-        node->view_synced = false;
+        node->is_view_synced = false;
     if (changes->len)
         pthread_cond_broadcast(&node->members);
     pthread_mutex_unlock(&node->lock);
--- a/src/constants.h
+++ b/src/constants.h
@@ -141,11 +141,11 @@
                                slow, a hundred a second at one controller */
     REQUESTS_WAITING_COUNT = 256, /* requests in the queue; further ones get a 503 */
     REQUEST_PATH_BYTES = 128,     /* path of a request that is queued: a job's id has under 40 */
-    ENDED_CACHE_COUNT = 4096,     /* final states in memory, about 60 bytes each */
-    GONE_JOBS_COUNT = 8192,       /* ids of ended jobs, which an older list of jobs must not bring
-                                     back; a list is seconds old at most, and a hundred may end in
-                                     that time */
-    SHUT_OUT_MS = 3000            /* /ready is 503 after so long without the key-value store */
+    TERMINAL_STATE_CACHE_COUNT = 4096, /* final states in memory, about 60 bytes each */
+    TERMINAL_JOBS_COUNT = 8192, /* ids of ended jobs, which an older list of jobs must not bring
+                               back; a list is seconds old at most, and a hundred may end in
+                               that time */
+    SHUT_OUT_MS = 3000          /* /ready is 503 after so long without the key-value store */
 };
 
 /* ---- Connections, threads and memory ---- */
@@ -239,11 +239,11 @@
     SERVE_ALONE_MS =
         8000, /* without key-value store and siblings, workers are answered so long: their
                  new owner, there after 5 s, waits 15 s before it gives them up */
-    CANCEL_MARGIN_MS = 3000, /* kept below cancel_s - lease_s for a heartbeat on its way */
-    START_KNOWN_MS = 6000,   /* no start is sent while cancellations are unknown for longer:
-                                answers to a follow come every 2 s, slow ones later */
-    STALL_MS = 1000,         /* a process that took no notice of the time for so long stood still */
-    PULSE_MS = 500,          /* between its notices, where no other thread takes notice */
+    CANCEL_MARGIN_MS = 3000,   /* kept below cancel_s - lease_s for a heartbeat on its way */
+    START_WATERMARK_MS = 6000, /* no start is sent while cancellations are unknown for longer:
+                              answers to a follow come every 2 s, slow ones later */
+    STALL_MS = 1000,      /* a process that took no notice of the time for so long stood still */
+    STALL_CHECK_MS = 500, /* between its notices, where no other thread takes notice */
     CANCELLATION_LOG_COUNT = 2048,   /* entries kept for siblings that have not fetched them: a
                                         minute or more of what the rate limits let through */
     CANCELLATION_UPDATE_COUNT = 256, /* entries in one message, 6 KB; the rest goes in the next */
--- a/src/core/cancellation_log.h
+++ b/src/core/cancellation_log.h
@@ -25,24 +25,24 @@
     uint64_t incarnation; /* of the node that keeps the log */
     uint64_t after_index;
     uint64_t last_index;
-    bool whole;      /* nothing else was told before this was put together */
-    msec_t base_age; /* of the moment since when nothing was dropped; at most since its start */
-    GPtrArray *jobs; /* ids, owned */
+    bool is_complete; /* nothing else was told before this was put together */
+    msec_t base_age;  /* of the moment since when nothing was dropped; at most since its start */
+    GPtrArray *jobs;  /* ids, owned */
 } cancellation_update_t;
 
 typedef struct cancellation_replica {
     uint64_t incarnation; /* of which the rest holds; 0: never heard */
     uint64_t last_index;  /* all it told from `base` on, up to this number, is here */
-    msec_t base;
-    msec_t until; /* all that it told from `base` to then is here */
+    msec_t complete_since;
+    msec_t complete_until; /* all that it told from `base` to then is here */
 } cancellation_replica_t;
 
 typedef struct cancellation_log {
     uint64_t incarnation;
-    GQueue *entries;    /* job ids, owned; oldest first */
-    GHashTable *listed; /* those, borrowed */
-    uint64_t newest;    /* number of the last; they are numbered from 1 without gaps */
-    msec_t base;        /* nothing told since then was dropped */
+    GQueue *entries;       /* job ids, owned; oldest first */
+    GHashTable *listed;    /* those, borrowed */
+    uint64_t newest;       /* number of the last; they are numbered from 1 without gaps */
+    msec_t complete_since; /* nothing told since then was dropped */
     cancellation_replica_t siblings[MEMBERS_MAX_COUNT];
 } cancellation_log_t;
 
@@ -61,7 +61,7 @@
                             const cancellation_update_t *update, msec_t asked, msec_t now);
 /* The moment up to which every cancellation told anywhere is known, given that of the jobs
  * followed. siblings: all others that the settings name, in the view or not. */
-msec_t cancellation_log_known_until(const cancellation_log_t *cancellations, guint siblings,
-                                    msec_t jobs_complete_until);
+msec_t cancellation_log_complete_until(const cancellation_log_t *cancellations, guint siblings,
+                                       msec_t jobs_complete_until);
 
 #endif
--- a/src/core/channel.h
+++ b/src/core/channel.h
@@ -14,7 +14,7 @@
     CHANNEL_ACKNOWLEDGE,
     CHANNEL_WITHDRAW,
     CHANNEL_DRAIN,
-    CHANNEL_MACHINE_GONE,
+    CHANNEL_MACHINE_TERMINATED,
     CHANNEL_CANCEL_DRAIN,  /* no longer to be drained */
     CHANNEL_ATTEMPT_RESULT /* partition to leader */
 } channel_item_kind_t;
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -72,7 +72,7 @@
     }
     for (guint i = 0; i < view->count; i++) {
         const msec_t *until = g_hash_table_lookup(election->excluded, view->members[i].name);
-        view->members[i].excluded = until && now < *until;
+        view->members[i].is_excluded = until && now < *until;
     }
     qsort(view->members, view->count, sizeof(member_t), compare_members);
 }
@@ -83,15 +83,16 @@
         return false;
     for (guint i = 0; i < left->count; i++)
         if (left->members[i].incarnation != right->members[i].incarnation ||
-            left->members[i].excluded != right->members[i].excluded ||
+            left->members[i].is_excluded != right->members[i].is_excluded ||
             strcmp(left->members[i].name, right->members[i].name) != 0)
             return false;
     return true;
 }
 
-bool election_may_act(const view_t *view, uint64_t superseded, msec_t proof, msec_t now)
+bool election_may_act(const view_t *view, uint64_t highest_view_seen, msec_t complete_until,
+                      msec_t now)
 {
-    return superseded <= view->number && now - proof < VIEW_FRESH_MS;
+    return highest_view_seen <= view->number && now - complete_until < VIEW_FRESH_MS;
 }
 
 bool election_is_displaced(const election_t *election)
--- a/src/core/election.h
+++ b/src/core/election.h
@@ -48,7 +48,8 @@
 /* Whether the leader of the view may act for all outside the key-value store, where nothing checks
  * its number: `proof`: all views made before it are known; `superseded`: the highest number heard
  * of. */
-bool election_may_act(const view_t *view, uint64_t superseded, msec_t proof, msec_t now);
+bool election_may_act(const view_t *view, uint64_t highest_view_seen, msec_t complete_until,
+                      msec_t now);
 /* Our member's key is not ours. */
 bool election_is_displaced(const election_t *election);
 
--- a/src/core/leader.h
+++ b/src/core/leader.h
@@ -166,7 +166,7 @@
 /* Progress to make durable. */
 typedef struct progress {
     char job[ID_BYTES];
-    bool end; /* every task is done: jobs/<id> and the chunks go, ended/<id> comes */
+    bool is_job_end; /* every task is done: jobs/<id> and the chunks go, ended/<id> comes */
     uint32_t done;
     uint64_t job_revision;
     guint chunk;
@@ -183,7 +183,7 @@
     guint full_ops; /* the most that max_ops grows to while nothing is written */
     gsize bytes;    /* of values */
     gsize max_bytes;
-    bool end_waits; /* an end needs more ops than there are yet: leave them to it */
+    bool has_waiting_end; /* an end needs more ops than there are yet: leave them to it */
 } kv_txn_usage_t;
 /* Appends the ends of jobs, then, unless an end waits, progress that has waited for min_age, within
  * the room. */
--- a/src/core/leader_internal.h
+++ b/src/core/leader_internal.h
@@ -34,7 +34,8 @@
     uint32_t starvation_minimum; /* outstanding tasks that it must get for its long wait, whatever
                       goes first; 0: a job's ordinary place */
     double work;                 /* cpu seconds not yet outstanding */
-    double latest_start_ms; /* latest start for the next SLO, time of day in ms; infinite: none left */
+    double
+        latest_start_ms; /* latest start for the next SLO, time of day in ms; infinite: none left */
 } queued_job_t;
 
 /* The team of this name; NULL: the settings have none. at (may be NULL): its index. */
--- a/src/core/leader_progress.c
+++ b/src/core/leader_progress.c
@@ -51,7 +51,8 @@
 
 static void progress_end(job_t *job, GArray *batch, kv_txn_usage_t *usage)
 {
-    progress_t progress = {.end = true, .done = job->done_count, .job_revision = job->revision};
+    progress_t progress = {
+        .is_job_end = true, .done = job->done_count, .job_revision = job->revision};
     g_strlcpy(progress.job, job->spec.id, sizeof progress.job);
     progress.old_revisions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     g_array_append_vals(progress.old_revisions, job->chunk_revisions->data,
@@ -108,7 +109,7 @@
         progress_end(job, batch, usage);
         progress_taken(job);
     }
-    usage->end_waits = left_out && usage->ops == 0;
+    usage->has_waiting_end = left_out && usage->ops == 0;
 }
 
 static gint compare_dirty(gconstpointer left, gconstpointer right)
@@ -157,7 +158,7 @@
                           kv_txn_usage_t *usage)
 {
     take_ends(leader, batch, usage);
-    if (!usage->end_waits)
+    if (!usage->has_waiting_end)
         take_chunks(leader, now - min_age, batch, usage);
 }
 
@@ -174,7 +175,7 @@
             g_array_unref(job->acknowledging);
             job->acknowledging = NULL;
         }
-        if (progress->end)
+        if (progress->is_job_end)
             g_hash_table_remove(leader->jobs, progress->job);
         else
             g_array_index(job->chunk_revisions, uint64_t, progress->chunk) = revision;
@@ -189,7 +190,7 @@
         if (!job)
             continue;
         job->ending = false;
-        job->dirty_chunks |= progress->end ? 1U : 1U << progress->chunk;
+        job->dirty_chunks |= progress->is_job_end ? 1U : 1U << progress->chunk;
         if (job->acknowledging) {
             g_array_append_vals(job->unacknowledged, job->acknowledging->data,
                                 job->acknowledging->len);
--- a/src/core/owner.c
+++ b/src/core/owner.c
@@ -42,11 +42,11 @@
     uint64_t highest = 0;
     shard_of(machine, zone, shard, sizeof shard);
     for (guint i = 0; i < count; i++)
-        any = any || !members[i].excluded;
+        any = any || !members[i].is_excluded;
     for (guint i = 0; i < count; i++)
-        local = local || ((!any || !members[i].excluded) && strcmp(members[i].zone, zone) == 0);
+        local = local || ((!any || !members[i].is_excluded) && strcmp(members[i].zone, zone) == 0);
     for (guint i = 0; i < count; i++) {
-        if ((any && members[i].excluded) || (local && strcmp(members[i].zone, zone) != 0))
+        if ((any && members[i].is_excluded) || (local && strcmp(members[i].zone, zone) != 0))
             continue;
         uint64_t seed = XXH64(members[i].name, strlen(members[i].name), 0);
         uint64_t weight = XXH64(shard, strlen(shard), seed);
--- a/src/core/owner.h
+++ b/src/core/owner.h
@@ -19,7 +19,7 @@
     char name[ID_BYTES];
     char zone[LABEL_BYTES];
     uint64_t incarnation;
-    bool excluded; /* workers can't reach it: it owns no machines */
+    bool is_excluded; /* workers can't reach it: it owns no machines */
 } member_t;
 
 /* The shard of a machine; every controller finds the same. */
--- a/src/core/partition.c
+++ b/src/core/partition.c
@@ -31,7 +31,7 @@
     partition_t *partition = g_new0(partition_t, 1);
     partition->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, machine_free);
     partition->shards = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, shard_free);
-    partition->departed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    partition->terminated_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     partition->draining = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     partition->wanted = g_queue_new();
     partition->attempts = g_hash_table_new(task_ref_hash, task_ref_equal);
@@ -48,7 +48,7 @@
     g_hash_table_unref(partition->attempts);
     g_hash_table_unref(partition->machines);
     g_hash_table_unref(partition->shards);
-    g_hash_table_unref(partition->departed);
+    g_hash_table_unref(partition->terminated_machines);
     g_hash_table_unref(partition->draining);
     g_queue_free(partition->wanted);
     g_array_unref(partition->results);
@@ -100,9 +100,9 @@
 void partition_set_draining(partition_t *partition, const char *id, bool is_draining)
 {
     machine_t *machine = g_hash_table_lookup(partition->machines, id);
-    if (!machine || machine->gone)
+    if (!machine || machine->is_terminated)
         return;
-    machine->draining = is_draining;
+    machine->is_draining = is_draining;
     if (is_draining)
         g_hash_table_add(partition->draining, g_strdup(id));
     else
@@ -196,7 +196,7 @@
     machine->images = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     machine->first_seen_at = machine->last_heartbeat_at = machine->last_acknowledged_at =
         machine->idle_since = now;
-    machine->draining = g_hash_table_contains(partition->draining, id);
+    machine->is_draining = g_hash_table_contains(partition->draining, id);
     g_hash_table_insert(partition->machines, machine->id, machine);
     return machine;
 }
@@ -206,7 +206,7 @@
     g_ptr_array_remove(machine->page->machines, machine);
     if (machine->direct_wanted)
         g_queue_remove(partition->wanted, machine);
-    g_hash_table_add(partition->departed, g_strdup(machine->id));
+    g_hash_table_add(partition->terminated_machines, g_strdup(machine->id));
     g_hash_table_remove(partition->machines, machine->id);
 }
 
@@ -257,17 +257,17 @@
            now - machine->last_acknowledged_at < partition->acknowledgement_timeout;
 }
 
-void partition_machine_gone(partition_t *partition, const char *id)
+void partition_machine_terminated(partition_t *partition, const char *id)
 {
     machine_t *machine = g_hash_table_lookup(partition->machines, id);
     if (!machine)
         return;
-    machine->draining = true;
+    machine->is_draining = true;
     g_hash_table_remove(partition->draining, id);
     for (guint i = 0; i < machine->attempts->len; i++)
-        partition_attempt_over(partition, g_ptr_array_index(machine->attempts, i), CAUSE_NONE);
+        partition_terminate_attempt(partition, g_ptr_array_index(machine->attempts, i), CAUSE_NONE);
     machine->has_responded = false;
-    machine->gone = true;
+    machine->is_terminated = true;
     partition_touch(partition, machine);
 }
 
--- a/src/core/partition.h
+++ b/src/core/partition.h
@@ -76,10 +76,11 @@
 GArray *machine_records_new(void);
 
 typedef enum {
-    ATTEMPT_PLACED,   /* reserved, not in the record yet */
-    ATTEMPT_RECORDED, /* `run` may go out */
-    ATTEMPT_OVER, /* proved over; leaves the record with the next commit (done: when acknowledged)
-                   */
+    ATTEMPT_PLACED,     /* reserved, not in the record yet */
+    ATTEMPT_RECORDED,   /* `run` may go out */
+    ATTEMPT_TERMINATED, /* proved over; leaves the record with the next commit (done: when
+                         * acknowledged)
+                         */
 } attempt_phase_t;
 
 typedef struct machine machine_t;
@@ -152,7 +153,7 @@
     msec_t first_seen_at;
     msec_t idle_since;
     msec_t interruption_at; /* when the cloud takes it; 0: not announced */
-    bool draining;
+    bool is_draining;
     GPtrArray *attempts; /* attempt_t, owned */
     GArray *reservations;
     GHashTable *images; /* seen in use here, so probably in its cache */
@@ -164,7 +165,7 @@
     bool crowded;  /* alone in its page, and that is full: no more starts for now */
     bool doubtful; /* a direct command did not get through since it was last reached: one machine
                       that hangs must not hold up those that don't */
-    bool gone;     /* the cloud confirmed it; the struct goes with its last attempt */
+    bool is_terminated; /* the cloud confirmed it; the struct goes with its last attempt */
     bool direct_busy;
     guint slot; /* of the sender that serves it, unless that is busy */
     bool direct_wanted;
@@ -184,9 +185,10 @@
     uint64_t view;
     GHashTable *machines; /* id -> machine_t, owned */
     GHashTable *shards;   /* name -> shard_t, owned */
-    GHashTable *departed; /* ids of machines that are gone, owned: their names never come back */
-    GHashTable *draining; /* ids of machines that are to be emptied, owned */
-    GHashTable *attempts; /* task_ref_t -> attempt_t, borrowed from the machines */
+    GHashTable *
+        terminated_machines; /* ids of machines that are gone, owned: their names never come back */
+    GHashTable *draining;    /* ids of machines that are to be emptied, owned */
+    GHashTable *attempts;    /* task_ref_t -> attempt_t, borrowed from the machines */
     GQueue *wanted; /* machines that want direct commands, borrowed; first come first served */
     uint64_t turns; /* of urgent pages */
     uint64_t last_reservation_id;
@@ -265,7 +267,7 @@
 /* The leader has the finished bit durable. */
 void partition_acknowledge(partition_t *partition, const task_ref_t *ref);
 /* The cloud confirmed that the machine is gone. */
-void partition_machine_gone(partition_t *partition, const char *id);
+void partition_machine_terminated(partition_t *partition, const char *id);
 /* Lapses reservations, empties what is being drained; once a tick. */
 void partition_tick(partition_t *partition, msec_t now);
 
@@ -303,7 +305,7 @@
 typedef enum {
     DIRECT_EXECUTED,
     DIRECT_REFUSED,
-    DIRECT_WITHHELD, /* its sender stood still before it left: judged anew */
+    DIRECT_DISCARDED, /* its sender stood still before it left: judged anew */
     DIRECT_NOT_SENT,
     DIRECT_UNANSWERED
 } direct_result_t;
--- a/src/core/partition_attempts.c
+++ b/src/core/partition_attempts.c
@@ -47,11 +47,11 @@
     partition->changes++;
 }
 
-void partition_attempt_over(partition_t *partition, attempt_t *attempt, cause_t cause)
+void partition_terminate_attempt(partition_t *partition, attempt_t *attempt, cause_t cause)
 {
-    if (attempt->phase == ATTEMPT_OVER)
+    if (attempt->phase == ATTEMPT_TERMINATED)
         return;
-    attempt->phase = ATTEMPT_OVER;
+    attempt->phase = ATTEMPT_TERMINATED;
     attempt->cause = cause;
     reservation_free(attempt->machine->reservations, attempt->reservation_id);
     if (cause == CAUSE_DONE) {
--- a/src/core/partition_commands.c
+++ b/src/core/partition_commands.c
@@ -137,7 +137,7 @@
     if (!machine)
         return;
     machine->direct_busy = false;
-    if (result == DIRECT_WITHHELD) {
+    if (result == DIRECT_DISCARDED) {
         partition_want_direct(partition, machine);
         return;
     }
--- a/src/core/partition_heartbeats.c
+++ b/src/core/partition_heartbeats.c
@@ -13,7 +13,7 @@
     for (guint i = 0; i < machine->attempts->len; i++) {
         attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
         if (attempt->worker_epoch < heartbeat->worker_epoch)
-            partition_attempt_over(partition, attempt, CAUSE_NONE);
+            partition_terminate_attempt(partition, attempt, CAUSE_NONE);
     }
     machine->worker_epoch = heartbeat->worker_epoch;
     machine->unanswered_fencing_token = 0;
@@ -46,18 +46,18 @@
     machine->starting = machine->running = 0;
     for (guint i = 0; i < machine->attempts->len; i++) {
         attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
-        attempt->is_listed = attempt->is_listed && attempt->phase == ATTEMPT_OVER;
+        attempt->is_listed = attempt->is_listed && attempt->phase == ATTEMPT_TERMINATED;
     }
     for (guint i = 0; i < heartbeat->attempts->len; i++) {
         const reported_attempt_t *reported_attempt =
             &g_array_index(heartbeat->attempts, reported_attempt_t, i);
         attempt_t *attempt = partition_find_attempt(partition, reported_attempt, machine);
-        if (!attempt || attempt->phase == ATTEMPT_OVER)
+        if (!attempt || attempt->phase == ATTEMPT_TERMINATED)
             continue;
         attempt->is_listed = true;
         attempt->state = reported_attempt->state;
         if (reported_attempt->state == TASK_EXITED) {
-            partition_attempt_over(partition, attempt, reported_attempt->cause);
+            partition_terminate_attempt(partition, attempt, reported_attempt->cause);
             continue;
         }
         if (reported_attempt->state == TASK_FETCHING)
@@ -102,7 +102,7 @@
     for (guint i = 0; i < machine->attempts->len; i++) {
         attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
         if (attempt->phase == ATTEMPT_RECORDED && attempt->is_stop_requested && !attempt->is_listed)
-            partition_attempt_over(partition, attempt, CAUSE_STOPPED);
+            partition_terminate_attempt(partition, attempt, CAUSE_STOPPED);
     }
 }
 
@@ -135,7 +135,7 @@
 static heartbeat_verdict_t judge_heartbeat(partition_t *partition, machine_t *machine,
                                            const worker_heartbeat_t *heartbeat, bool direct)
 {
-    if (machine->gone || heartbeat->worker_epoch < machine->worker_epoch)
+    if (machine->is_terminated || heartbeat->worker_epoch < machine->worker_epoch)
         return HEARTBEAT_DUPLICATE;
     if (!direct && !machine->has_heartbeat && heartbeat->fencing_token < partition->view)
         return HEARTBEAT_UNVERIFIED;
@@ -172,7 +172,7 @@
                                                msec_t now, GArray *commands)
 {
     /* A late copy would bring a machine that is gone back to life, with all its resources free. */
-    if (g_hash_table_contains(partition->departed, heartbeat->machine))
+    if (g_hash_table_contains(partition->terminated_machines, heartbeat->machine))
         return HEARTBEAT_DUPLICATE;
     machine_t *machine = g_hash_table_lookup(partition->machines, heartbeat->machine);
     if (!machine)
--- a/src/core/partition_internal.h
+++ b/src/core/partition_internal.h
@@ -42,7 +42,7 @@
 /* Appends the attempt's result to those that the leader is to get. */
 void partition_add_result(partition_t *partition, const attempt_t *attempt);
 /* Proof stands: the attempt is over. One not yet recorded leaves with its batch's end. */
-void partition_attempt_over(partition_t *partition, attempt_t *attempt, cause_t cause);
+void partition_terminate_attempt(partition_t *partition, attempt_t *attempt, cause_t cause);
 
 /* Commands (partition_commands.c). */
 
--- a/src/core/partition_placement.c
+++ b/src/core/partition_placement.c
@@ -10,7 +10,7 @@
                        const placement_request_t *request, msec_t now)
 {
     if (!partition_is_reached(partition, machine, now) || !machine->is_capacity_known ||
-        machine->draining || machine->interruption_at || machine->crowded)
+        machine->is_draining || machine->interruption_at || machine->crowded)
         return false;
     if (request->zone[0] && strcmp(request->zone, machine->zone) != 0)
         return false;
--- a/src/core/partition_preemption.c
+++ b/src/core/partition_preemption.c
@@ -138,7 +138,7 @@
  */
 void partition_empty_drained(partition_t *partition, machine_t *machine, msec_t now)
 {
-    if (!machine->draining || machine->gone ||
+    if (!machine->is_draining || machine->is_terminated ||
         partition_free_resources(machine).cpus < machine->capacity.cpus * DRAIN_EMPTY_FRACTION)
         return;
     for (guint i = 0; i < machine->attempts->len; i++) {
--- a/src/core/partition_records.c
+++ b/src/core/partition_records.c
@@ -18,7 +18,7 @@
 /* Whether the attempt is to leave the record. */
 static bool leaves(const attempt_t *attempt)
 {
-    return attempt->phase == ATTEMPT_OVER &&
+    return attempt->phase == ATTEMPT_TERMINATED &&
            (!attempt->is_done_reported || attempt->is_acknowledged);
 }
 
@@ -28,7 +28,7 @@
     for (guint i = machine->attempts->len; i-- > 0;) {
         attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
         if (attempt->is_in_record || attempt->batch != BATCH_NONE ||
-            (attempt->phase != ATTEMPT_OVER && !attempt->is_stop_requested))
+            (attempt->phase != ATTEMPT_TERMINATED && !attempt->is_stop_requested))
             continue;
         attempt->cause = CAUSE_NONE;
         partition_add_result(partition, attempt);
@@ -231,12 +231,12 @@
     return due;
 }
 
-static void drop_idle_gone(partition_t *partition, page_t *page)
+static void drop_idle_terminated(partition_t *partition, page_t *page)
 {
     for (guint i = page->machines->len; i-- > 0;) {
         machine_t *machine = g_ptr_array_index(page->machines, i);
         drop_unrecorded(partition, machine);
-        if (machine->gone && machine->attempts->len == 0)
+        if (machine->is_terminated && machine->attempts->len == 0)
             partition_machine_drop(partition, machine);
     }
 }
@@ -265,7 +265,7 @@
 {
     if (page->batched)
         return false; /* with its half */
-    drop_idle_gone(partition, page);
+    drop_idle_terminated(partition, page);
     if (page->full && !page->half)
         divide(partition, page);
     if (page->half || has_change(page))
@@ -296,7 +296,7 @@
         batch_page(batch, page, limits->jobs, value_max);
         batch->bytes += page->size;
         if (page->half) {
-            drop_idle_gone(partition, page->half);
+            drop_idle_terminated(partition, page->half);
             batch_page(batch, page->half, limits->jobs, value_max);
             batch->bytes += page->half->size;
         }
@@ -353,7 +353,7 @@
         for (guint k = page->machines->len; k-- > 0;) {
             machine_t *machine = g_ptr_array_index(page->machines, k);
             machine_committed(partition, machine, now);
-            if (machine->gone && machine->attempts->len == 0)
+            if (machine->is_terminated && machine->attempts->len == 0)
                 partition_machine_drop(partition, machine);
         }
     }
--- a/src/core/summary_update.c
+++ b/src/core/summary_update.c
@@ -5,7 +5,7 @@
 void summary_update_clear(summary_update_t *update)
 {
     g_clear_pointer(&update->summaries, g_array_unref);
-    g_clear_pointer(&update->departed, g_ptr_array_unref);
+    g_clear_pointer(&update->terminated, g_ptr_array_unref);
 }
 
 static void version_clear(summary_version_t *version)
@@ -94,7 +94,7 @@
     gpointer machine;
     g_hash_table_iter_init(&iter, before);
     while (g_hash_table_iter_next(&iter, &machine, NULL))
-        g_ptr_array_add(update->departed, g_strdup(machine));
+        g_ptr_array_add(update->terminated, g_strdup(machine));
     g_hash_table_unref(before);
 }
 
@@ -103,7 +103,7 @@
     summary_update_t update = {.base = sender->acknowledged.version,
                                .version = ++sender->last_version,
                                .summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t)),
-                               .departed = g_ptr_array_new_with_free_func(g_free)};
+                               .terminated = g_ptr_array_new_with_free_func(g_free)};
     find_changes(&sender->acknowledged, current, now, &update);
     version_clear(&sender->sent);
     sender->sent = (summary_version_t){update.version, current, now};
@@ -121,13 +121,13 @@
     }
 }
 
-static void remove_departed(GArray *summaries, const GPtrArray *departed)
+static void remove_terminated(GArray *summaries, const GPtrArray *terminated)
 {
-    if (!departed || departed->len == 0)
+    if (!terminated || terminated->len == 0)
         return;
     GHashTable *gone = g_hash_table_new(g_str_hash, g_str_equal);
-    for (guint i = 0; i < departed->len; i++)
-        g_hash_table_add(gone, g_ptr_array_index(departed, i));
+    for (guint i = 0; i < terminated->len; i++)
+        g_hash_table_add(gone, g_ptr_array_index(terminated, i));
     for (guint i = summaries->len; i-- > 0;)
         if (g_hash_table_contains(gone, g_array_index(summaries, machine_summary_t, i).machine))
             g_array_remove_index(summaries, i);
@@ -163,7 +163,7 @@
         for (guint i = 0; i < replica->summaries->len; i++)
             let_age_grow(&g_array_index(replica->summaries, machine_summary_t, i),
                          now - replica->at);
-        remove_departed(replica->summaries, update->departed);
+        remove_terminated(replica->summaries, update->terminated);
         if (update->summaries->len)
             take_changed(replica->summaries, update->summaries);
     }
--- a/src/core/summary_update.h
+++ b/src/core/summary_update.h
@@ -11,10 +11,10 @@
 
 /* What a message carries. Owns its arrays. */
 typedef struct summary_update {
-    uint64_t base;       /* the version that it changes; 0: it is all there is */
-    uint64_t version;    /* with it applied */
-    GArray *summaries;   /* machine_summary_t: changed and new ones */
-    GPtrArray *departed; /* ids of those that are gone */
+    uint64_t base;         /* the version that it changes; 0: it is all there is */
+    uint64_t version;      /* with it applied */
+    GArray *summaries;     /* machine_summary_t: changed and new ones */
+    GPtrArray *terminated; /* ids of those that are gone */
 } summary_update_t;
 
 void summary_update_clear(summary_update_t *update);
--- a/src/io/peer_protocol.c
+++ b/src/io/peer_protocol.c
@@ -84,7 +84,7 @@
         to->peer_item_u.ref = ref_to_xdr(&item->ref);
         break;
     case CHANNEL_DRAIN:
-    case CHANNEL_MACHINE_GONE:
+    case CHANNEL_MACHINE_TERMINATED:
     case CHANNEL_CANCEL_DRAIN:
         to->peer_item_u.machine = (char *)item->machine;
         break;
@@ -107,7 +107,7 @@
         item->ref = ref_from_xdr(&from->peer_item_u.ref);
         break;
     case PEER_DRAIN:
-    case PEER_MACHINE_GONE:
+    case PEER_MACHINE_TERMINATED:
     case PEER_CANCEL_DRAIN:
         g_strlcpy(item->machine, from->peer_item_u.machine, sizeof item->machine);
         break;
@@ -177,7 +177,7 @@
                           .acknowledged_index = message->acknowledged_index,
                           .update = {.after_index = message->update.after_index,
                                      .last_index = message->update.last_index,
-                                     .whole = message->update.whole,
+                                     .whole = message->update.is_complete,
                                      .base_age = message->update.base_age},
                           .summaries_base = message->summaries.base,
                           .summaries_version = message->summaries.version,
@@ -229,9 +229,9 @@
     wire.items.items_val = item_list;
     wire.summaries.summaries_len = summaries;
     wire.summaries.summaries_val = summary_list;
-    if (message->summaries.departed) {
-        wire.departed.departed_len = message->summaries.departed->len;
-        wire.departed.departed_val = (peer_name *)message->summaries.departed->pdata;
+    if (message->summaries.terminated) {
+        wire.terminated.terminated_len = message->summaries.terminated->len;
+        wire.terminated.terminated_val = (peer_name *)message->summaries.terminated->pdata;
     }
     wire.cpus_being_preempted.cpus_being_preempted_len =
         message->cpus_being_preempted ? message->cpus_being_preempted->len : 0;
@@ -274,9 +274,9 @@
         summary_from_xdr(&wire->summaries.summaries_val[i], &summary);
         g_array_append_val(update->summaries, summary);
     }
-    update->departed = g_ptr_array_new_with_free_func(g_free);
-    for (u_int i = 0; i < wire->departed.departed_len; i++)
-        g_ptr_array_add(update->departed, g_strdup(wire->departed.departed_val[i]));
+    update->terminated = g_ptr_array_new_with_free_func(g_free);
+    for (u_int i = 0; i < wire->terminated.terminated_len; i++)
+        g_ptr_array_add(update->terminated, g_strdup(wire->terminated.terminated_val[i]));
     message->cpus_being_preempted = g_array_new(FALSE, FALSE, sizeof(double));
     g_array_append_vals(message->cpus_being_preempted,
                         wire->cpus_being_preempted.cpus_being_preempted_val,
@@ -301,7 +301,7 @@
     message->update = (cancellation_update_t){.incarnation = wire->incarnation,
                                               .after_index = wire->update.after_index,
                                               .last_index = wire->update.last_index,
-                                              .whole = wire->update.whole,
+                                              .is_complete = wire->update.whole,
                                               .base_age = wire->update.base_age,
                                               .jobs = g_ptr_array_new_with_free_func(g_free)};
     for (u_int i = 0; i < wire->update.jobs.jobs_len; i++)
--- a/src/io/peer_protocol.x
+++ b/src/io/peer_protocol.x
@@ -49,7 +49,7 @@
     PEER_ACKNOWLEDGE = 1,
     PEER_WITHDRAW = 2,
     PEER_DRAIN = 3,
-    PEER_MACHINE_GONE = 4,
+    PEER_MACHINE_TERMINATED = 4,
     PEER_CANCEL_DRAIN = 5,
     PEER_ATTEMPT_RESULT = 6
 };
@@ -61,7 +61,7 @@
 case PEER_WITHDRAW:
     peer_task_ref ref;
 case PEER_DRAIN:
-case PEER_MACHINE_GONE:
+case PEER_MACHINE_TERMINATED:
 case PEER_CANCEL_DRAIN:
     peer_name machine;
 case PEER_ATTEMPT_RESULT:
@@ -118,6 +118,6 @@
     unsigned hyper summaries_base;    /* what follows are changes to this version; 0: all there is */
     unsigned hyper summaries_version; /* a call: of what follows; an answer: of what was taken */
     peer_machine_summary summaries<PEER_SUMMARIES_MAX>;
-    peer_name departed<PEER_SUMMARIES_MAX>; /* machines of the base that are not there any more */
+    peer_name terminated<PEER_SUMMARIES_MAX>; /* machines of the base that are not there any more */
     double cpus_being_preempted<64>;
 };
--- a/src/io/records.c
+++ b/src/io/records.c
@@ -7,7 +7,7 @@
     char key[KV_KEY_BYTES];
     char job[KV_KEY_BYTES];
     g_snprintf(job, sizeof job, "jobs/%s", progress->job);
-    if (!progress->end) {
+    if (!progress->is_job_end) {
         g_snprintf(key, sizeof key, "done/%s/%u", progress->job, progress->chunk);
         kv_txn_require_revision(txn, job, progress->job_revision);
         kv_txn_require_revision(txn, key, progress->revision);
--- a/src/io/wire_state.c
+++ b/src/io/wire_state.c
@@ -168,5 +168,5 @@
 json_t *wire_build_member(const member_t *member)
 {
     return json_pack("{s:s,s:s,s:I,s:b}", "Name", member->name, "Zone", member->zone, "Incarnation",
-                     (json_int_t)member->incarnation, "Aside", member->excluded);
+                     (json_int_t)member->incarnation, "Aside", member->is_excluded);
 }
--- a/tests/test_cancellation_log.c
+++ b/tests/test_cancellation_log.c
@@ -58,7 +58,7 @@
 
 static msec_t known(void)
 {
-    return cancellation_log_known_until(&fixture->ours, 2, FOLLOWED);
+    return cancellation_log_complete_until(&fixture->ours, 2, FOLLOWED);
 }
 
 /* The gap: the leader alone is refused, a sibling confirms cancellations, then the key-value store
@@ -85,8 +85,8 @@
     assert_int_equal(known(), FOLLOWED); /* the other never answered */
     ask(1, 20000, 20010);
     assert_int_equal(known(), 20000);
-    assert_int_equal(cancellation_log_known_until(&fixture->ours, 2, 30000), 30000);
-    assert_int_equal(cancellation_log_known_until(&fixture->ours, 0, FOLLOWED),
+    assert_int_equal(cancellation_log_complete_until(&fixture->ours, 2, 30000), 30000);
+    assert_int_equal(cancellation_log_complete_until(&fixture->ours, 0, FOLLOWED),
                      FOLLOWED); /* there is none */
 }
 
@@ -131,8 +131,8 @@
     ask(0, 5000, 5010);
     ask(1, 5000, 5010);
     assert_int_equal(known(), FOLLOWED);
-    assert_int_equal(cancellation_log_known_until(&fixture->ours, 2, 1390), 1390);
-    assert_int_equal(cancellation_log_known_until(&fixture->ours, 2, 1500), 5000);
+    assert_int_equal(cancellation_log_complete_until(&fixture->ours, 2, 1390), 1390);
+    assert_int_equal(cancellation_log_complete_until(&fixture->ours, 2, 1500), 5000);
 }
 
 /* Its start is reckoned from an age that its own clock tells, and clocks drift apart. */
@@ -143,8 +143,8 @@
     cancellation_log_init(&fixture->siblings[0], 99, 10000);
     ask(0, 110000, 110000);
     ask(1, 110000, 110000);
-    assert_int_equal(cancellation_log_known_until(&fixture->ours, 2, 10050), 10050);
-    assert_int_equal(cancellation_log_known_until(&fixture->ours, 2, 10200), 110000);
+    assert_int_equal(cancellation_log_complete_until(&fixture->ours, 2, 10050), 10050);
+    assert_int_equal(cancellation_log_complete_until(&fixture->ours, 2, 10200), 110000);
 }
 
 /* Three messages' worth: the moment moves with the last of them, not before. */
@@ -183,7 +183,7 @@
     assert_false(g_hash_table_contains(fixture->stopped, "j-000000"));
     assert_int_equal(known(), FOLLOWED);
     assert_int_equal(
-        cancellation_log_known_until(&fixture->ours, 2, 2000 + CANCELLATION_LOG_COUNT + 100),
+        cancellation_log_complete_until(&fixture->ours, 2, 2000 + CANCELLATION_LOG_COUNT + 100),
         60000);
 }
 
@@ -196,7 +196,7 @@
     cancellation_update_t update = answer(0, 2000);
     assert_int_equal(update.jobs->len, 1);
     assert_int_equal(update.last_index, 1);
-    assert_true(update.whole);
+    assert_true(update.is_complete);
     cancellation_update_clear(&update);
 }
 
--- a/tests/test_channel.c
+++ b/tests/test_channel.c
@@ -141,13 +141,13 @@
     (void)state;
     member_t some[3];
     memcpy(some, members, sizeof some);
-    some[1].excluded = true;
+    some[1].is_excluded = true;
     for (int i = 0; i < 50; i++) {
         char machine[ID_BYTES];
         g_snprintf(machine, sizeof machine, "m-%06d", i);
         assert_int_not_equal(owner_of(some, 3, machine, "south"), 1);
     }
-    some[0].excluded = some[2].excluded = true;
+    some[0].is_excluded = some[2].is_excluded = true;
     assert_int_equal(owner_of(some, 3, "m-000001", "south"), 1);
 }
 
--- a/tests/test_encoding_samples.c
+++ b/tests/test_encoding_samples.c
@@ -304,7 +304,7 @@
     GArray *progress = leader_progress_new();
     progress_t entry = {"j-000412", false, 9, 101, 1, 12, g_memdup2("\x81\xff\x02", 3), 3, NULL};
     g_array_append_val(progress, entry);
-    progress_t end = {.job = "j-000398", .end = true, .done = 20000, .job_revision = 102};
+    progress_t end = {.job = "j-000398", .is_job_end = true, .done = 20000, .job_revision = 102};
     end.old_revisions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     g_array_append_vals(end.old_revisions, chunk_revisions, G_N_ELEMENTS(chunk_revisions));
     g_array_append_val(progress, end);
--- a/tests/test_leader.c
+++ b/tests/test_leader.c
@@ -489,7 +489,7 @@
     GArray *progress = leader_progress_new();
     take_progress(0, 20, KV_TXN_VALUES_BYTES, progress);
     assert_int_equal(progress->len, 1);
-    assert_true(g_array_index(progress, progress_t, 0).end);
+    assert_true(g_array_index(progress, progress_t, 0).is_job_end);
     GArray *acknowledged = g_array_new(FALSE, FALSE, sizeof(partition_attempt_t));
     leader_progress_commit(leader, progress, 9, acknowledged);
     assert_int_equal(acknowledged->len, 1);
@@ -586,7 +586,7 @@
     GArray *progress = leader_progress_new();
     take_progress(0, 3, KV_TXN_VALUES_BYTES, progress);
     assert_int_equal(progress->len, 2); /* the end, and what the limit leaves */
-    assert_true(g_array_index(progress, progress_t, 0).end);
+    assert_true(g_array_index(progress, progress_t, 0).is_job_end);
     assert_string_equal(g_array_index(progress, progress_t, 0).job, "j-000002");
     leader_progress_undo(leader, progress);
     g_array_set_size(progress, 0);
@@ -613,18 +613,18 @@
     GArray *progress = leader_progress_new();
     kv_txn_usage_t usage = {.max_ops = 2, .full_ops = 3, .max_bytes = KV_TXN_VALUES_BYTES};
     leader_progress_take(leader, 1000, 0, progress, &usage);
-    assert_true(usage.end_waits);
+    assert_true(usage.has_waiting_end);
     assert_int_equal(progress->len, 0);
     usage.full_ops = 2;
     leader_progress_take(leader, 1000, 0, progress, &usage);
-    assert_false(usage.end_waits);
+    assert_false(usage.has_waiting_end);
     assert_int_equal(progress->len, 1);
     leader_progress_undo(leader, progress);
     g_array_set_size(progress, 0);
     usage = (kv_txn_usage_t){.max_ops = 3, .full_ops = 3, .max_bytes = KV_TXN_VALUES_BYTES};
     leader_progress_take(leader, 1000, 0, progress, &usage);
-    assert_false(usage.end_waits);
-    assert_true(g_array_index(progress, progress_t, 0).end);
+    assert_false(usage.has_waiting_end);
+    assert_true(g_array_index(progress, progress_t, 0).is_job_end);
     g_array_unref(progress);
     g_array_unref(requests);
 }
@@ -646,7 +646,7 @@
     take_progress(0, 20, KV_TXN_VALUES_BYTES, progress);
     assert_int_equal(progress->len, 1);
     const progress_t *first = &g_array_index(progress, progress_t, 0);
-    assert_false(first->end);
+    assert_false(first->is_job_end);
     for (uint64_t view = 4; view < 6; view++) {
         leader_free(leader);
         leader = leader_new(teams, slos, policy, 2);
@@ -667,7 +667,7 @@
     GArray *ends = leader_progress_new();
     take_progress(0, 20, KV_TXN_VALUES_BYTES, ends);
     assert_int_equal(ends->len, 1);
-    assert_true(g_array_index(ends, progress_t, 0).end);
+    assert_true(g_array_index(ends, progress_t, 0).is_job_end);
     assert_int_equal(g_array_index(ends, progress_t, 0).done, 2);
     g_array_unref(ends);
     g_array_unref(progress);
--- a/tests/test_message_samples.c
+++ b/tests/test_message_samples.c
@@ -14,7 +14,7 @@
                                            [CHANNEL_ACKNOWLEDGE] = "peer_acknowledge.hex",
                                            [CHANNEL_WITHDRAW] = "peer_withdraw.hex",
                                            [CHANNEL_DRAIN] = "peer_drain.hex",
-                                           [CHANNEL_MACHINE_GONE] = "peer_machine_gone.hex",
+                                           [CHANNEL_MACHINE_TERMINATED] = "peer_machine_gone.hex",
                                            [CHANNEL_CANCEL_DRAIN] = "peer_cancel_drain.hex",
                                            [CHANNEL_ATTEMPT_RESULT] = "peer_attempt_result.hex"};
 
@@ -33,7 +33,7 @@
         .is_heartbeat = true,
         .acknowledged_incarnation = 47,
         .acknowledged_index = 48,
-        .update = {.after_index = 49, .last_index = 50, .whole = true, .base_age = -51},
+        .update = {.after_index = 49, .last_index = 50, .is_complete = true, .base_age = -51},
         .counts = {.epoch = 52, .version = 53},
         .summaries = {.base = 54, .version = 55}};
 }
@@ -193,7 +193,7 @@
     assert_true(message.update.incarnation == message.incarnation);
     assert_int_equal(message.update.after_index, 49);
     assert_int_equal(message.update.last_index, 50);
-    assert_true(message.update.whole && message.update.base_age == -51);
+    assert_true(message.update.is_complete && message.update.base_age == -51);
     assert_int_equal(message.update.jobs->len, 2);
     assert_string_equal(g_ptr_array_index(message.update.jobs, 1), "j-000396");
     assert_int_equal(message.counts.epoch, 52);
@@ -240,8 +240,8 @@
     peer_message_t message = sample_message();
     message.summaries.summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
     g_array_append_vals(message.summaries.summaries, summaries, G_N_ELEMENTS(summaries));
-    message.summaries.departed = g_ptr_array_new_with_free_func(g_free);
-    g_ptr_array_add(message.summaries.departed, g_strdup("m-000003"));
+    message.summaries.terminated = g_ptr_array_new_with_free_func(g_free);
+    g_ptr_array_add(message.summaries.terminated, g_strdup("m-000003"));
     message.cpus_being_preempted = g_array_new(FALSE, FALSE, sizeof(double));
     g_array_append_vals(message.cpus_being_preempted, cpus_being_preempted,
                         G_N_ELEMENTS(cpus_being_preempted));
@@ -269,8 +269,8 @@
     assert_int_equal(summaries[0].silent_ms, 71);
     assert_int_equal(summaries[0].idle_ms, 72);
     assert_int_equal(summaries[0].known_ms, 73);
-    assert_int_equal(message.summaries.departed->len, 1);
-    assert_string_equal(g_ptr_array_index(message.summaries.departed, 0), "m-000003");
+    assert_int_equal(message.summaries.terminated->len, 1);
+    assert_string_equal(g_ptr_array_index(message.summaries.terminated, 0), "m-000003");
     assert_int_equal(message.cpus_being_preempted->len, 2);
     assert_true(g_array_index(message.cpus_being_preempted, double, 1) == 0.75);
     peer_message_clear(&message);
@@ -353,7 +353,7 @@
     assert_string_equal(view.members[1].name, "node-2");
     assert_string_equal(view.members[1].zone, "south");
     assert_int_equal(view.members[1].incarnation, 6);
-    assert_true(view.members[1].excluded && !view.members[0].excluded);
+    assert_true(view.members[1].is_excluded && !view.members[0].is_excluded);
     json_decref(value);
 }
 
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -175,7 +175,7 @@
 static bool is_stopped(guint node, const char *id)
 {
     pthread_mutex_lock(&fixture->nodes[node]->lock);
-    bool stopped = g_hash_table_contains(fixture->nodes[node]->gone, id) &&
+    bool stopped = g_hash_table_contains(fixture->nodes[node]->terminal_jobs, id) &&
                    !g_hash_table_contains(fixture->nodes[node]->jobs, id);
     pthread_mutex_unlock(&fixture->nodes[node]->lock);
     return stopped;
@@ -231,7 +231,7 @@
     assert_false(is_stopped(0, "j-000002"));
     pthread_mutex_lock(&fixture->nodes[0]->lock);
     job_spec_t old = {.id = "j-000001", .tasks = 2};
-    node_job_set(fixture->nodes[0], &old, 1);
+    node_add_job(fixture->nodes[0], &old, 1);
     pthread_mutex_unlock(&fixture->nodes[0]->lock);
     assert_true(is_stopped(0, "j-000001"));
 }
@@ -751,16 +751,16 @@
     view_t own = {.number = 1, .revision = 10, .incarnation = node->incarnation};
     view_t other = {.number = 3, .revision = 30, .incarnation = node->incarnation + 1};
     pthread_mutex_lock(&node->lock);
-    node_adopt(node, &own);
+    node_install_view(node, &own);
     autoscaler_add_booting(node->autoscaler, "m-000001", "t16", "north", true, 1000);
     own.number = 2;
     own.revision = 20;
-    node_adopt(node, &own); /* the same leadership: it boots on */
+    node_install_view(node, &own); /* the same leadership: it boots on */
     assert_int_equal(g_hash_table_size(node->autoscaler->booting_instances), 1);
-    node_adopt(node, &other);
+    node_install_view(node, &other);
     own.number = 4;
     own.revision = 40;
-    node_adopt(node, &own);
+    node_install_view(node, &own);
     GPtrArray *stuck = autoscaler_stuck_instances(node->autoscaler, node->machine_types,
                                                   1000 + 10 * BOOT_TIMEOUT_MS);
     assert_int_equal(stuck->len, 0);
@@ -778,8 +778,8 @@
     g_array_append_val(node->machine_types, machine_type);
     node->partition = partition_new(node->machine_types, node->settings->teams, 30000);
     partition_set_view(node->partition, 1);
-    node->loaded = node->jobs_synced = true;
-    node->jobs_proof = node->pulse = now;
+    node->is_loaded = node->is_jobs_synced = true;
+    node->jobs_complete_until = node->last_observed_at = now;
     worker->fencing_token = 1;
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(worker);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
@@ -826,12 +826,13 @@
     place_and_record(node, "j-000002", 101, begun);
     assert_non_null(take(node, commands, begun));
     assert_int_equal(commands->len, 2);
-    assert_true(node_may_send(node, "m-000001", node->generation, commands, begun, begun + 5));
-    assert_false(node_may_send(node, "m-000001", node->generation, commands, begun, after_stall));
+    assert_true(node_may_push(node, "m-000001", node->generation, commands, begun, begun + 5));
+    assert_false(node_may_push(node, "m-000001", node->generation, commands, begun, after_stall));
     assert_null(take(node, commands, after_stall)); /* it does not know yet */
     assert_null(take(node, commands, after_stall + 100));
-    node_job_gone(node, "j-000001");
-    node->jobs_proof = after_stall + 50; /* the follow that began after it woke was answered */
+    node_remove_job(node, "j-000001");
+    node->jobs_complete_until =
+        after_stall + 50; /* the follow that began after it woke was answered */
     assert_non_null(take(node, commands, after_stall + 200));
     assert_int_equal(commands->len, 1);
     assert_string_equal(g_array_index(commands, worker_command_t, 0).job, "j-000002");
@@ -940,15 +941,15 @@
     expect(0, "GET", "/v2/runs/j-000002", NULL, 200, "done");
     node_t *node = fixture->nodes[0];
     pthread_mutex_lock(&node->lock);
-    for (guint i = 0; i < GONE_JOBS_COUNT + ENDED_CACHE_COUNT; i++) {
+    for (guint i = 0; i < TERMINAL_JOBS_COUNT + TERMINAL_STATE_CACHE_COUNT; i++) {
         char id[ID_BYTES];
         g_snprintf(id, sizeof id, "j-1%05u", i);
-        node_remember(node, id, i % 4 != 0);
+        node_record_terminal_state(node, id, i % 4 != 0);
     }
-    assert_false(g_hash_table_contains(node->ended, "j-000001"));
-    assert_false(g_hash_table_contains(node->gone, "j-000001"));
-    assert_in_range(g_hash_table_size(node->ended), 1, ENDED_CACHE_COUNT);
-    assert_in_range(g_hash_table_size(node->gone), 1, GONE_JOBS_COUNT);
+    assert_false(g_hash_table_contains(node->terminal_states, "j-000001"));
+    assert_false(g_hash_table_contains(node->terminal_jobs, "j-000001"));
+    assert_in_range(g_hash_table_size(node->terminal_states), 1, TERMINAL_STATE_CACHE_COUNT);
+    assert_in_range(g_hash_table_size(node->terminal_jobs), 1, TERMINAL_JOBS_COUNT);
     assert_in_range(g_queue_get_length(node->cancellations.entries), 1, CANCELLATION_LOG_COUNT);
     pthread_mutex_unlock(&node->lock);
     expect(0, "POST", "/v2/runs", job_body("j-000001"), 200, "cancelled");
@@ -1162,7 +1163,7 @@
     peer_message_t second = ask_heartbeat(node, first.update.incarnation, first.update.last_index);
     assert_true(second.hold_ms >= PEER_HEARTBEAT_HOLD_MS);
     pthread_mutex_lock(&node->lock);
-    node_remember(node, "j-000001", false);
+    node_record_terminal_state(node, "j-000001", false);
     pthread_mutex_unlock(&node->lock);
     peer_message_t third = ask_heartbeat(node, second.update.incarnation, second.update.last_index);
     assert_int_equal(third.hold_ms, 0);
--- a/tests/test_partition.c
+++ b/tests/test_partition.c
@@ -601,7 +601,7 @@
     deliver(&heartbeat, false);
     commit();
     assert_int_equal(fixture->partition->results->len, 0);
-    partition_machine_gone(fixture->partition, "m-000001");
+    partition_machine_terminated(fixture->partition, "m-000001");
     commit();
     assert_true(has_result(0, CAUSE_NONE));
 }
@@ -837,7 +837,7 @@
     exchange();
     place("j-000001", 0, 100);
     commit();
-    partition_machine_gone(fixture->partition, "m-000001");
+    partition_machine_terminated(fixture->partition, "m-000001");
     commit();
     assert_true(has_result(0, CAUSE_NONE));
     assert_int_equal(g_hash_table_size(fixture->partition->machines), 0);
@@ -850,7 +850,7 @@
     placement_request_t request = request_of("j-000001", 0, 100, 4);
     exchange();
     worker_heartbeat_t copy = fake_worker_heartbeat(fixture->worker);
-    partition_machine_gone(fixture->partition, "m-000001");
+    partition_machine_terminated(fixture->partition, "m-000001");
     commit();
     assert_int_equal(deliver(&copy, false), HEARTBEAT_DUPLICATE);
     assert_int_equal(g_hash_table_size(fixture->partition->machines), 0);
@@ -946,7 +946,7 @@
     exchange();
     exchange();
     machine = g_hash_table_lookup(fixture->partition->machines, "m-000001");
-    machine->draining = true;
+    machine->is_draining = true;
     partition_tick(fixture->partition, fixture->now);
     exchange();
     assert_int_equal(count_commands(COMMAND_STOP), 0); /* 12 of 16 cpus are in use */
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -181,7 +181,7 @@
     job_spec_t spec = job("j-000001", 1);
     fake_kv_store_apply(store, records_submit(&spec));
     uint64_t revision = fake_kv_store_revision(store, "jobs/j-000001");
-    progress_t end = {.job = "j-000001", .end = true, .done = 1, .job_revision = revision};
+    progress_t end = {.job = "j-000001", .is_job_end = true, .done = 1, .job_revision = revision};
     end.old_revisions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     GArray *progress = g_array_new(FALSE, FALSE, sizeof(progress_t));
     g_array_append_val(progress, end);
@@ -370,8 +370,8 @@
         g_array_unref(record.machines);
     }
     assert_int_equal(g_hash_table_size(partition->attempts), FLEET * EACH);
-    partition_machine_gone(partition,
-                           g_ptr_array_index(ids, 0)); /* its page is written under its revision */
+    partition_machine_terminated(
+        partition, g_ptr_array_index(ids, 0)); /* its page is written under its revision */
     assert_int_equal(commit_within_limits(false), 1);
     assert_int_equal(g_hash_table_size(partition->attempts), (FLEET - 1) * EACH);
     g_ptr_array_unref(ids);
@@ -480,7 +480,7 @@
     report_of("m-000001", "t16", 2);    /* from before the view */
     assert_int_equal(partition->results->len, 0);
     assert_int_equal(g_hash_table_size(partition->attempts), 1);
-    partition_machine_gone(partition, "m-000001");
+    partition_machine_terminated(partition, "m-000001");
     assert_int_equal(commit_partition(fake_kv_store_revision(store, "view/number")), KV_OK);
     assert_null(fake_kv_store_get(store, record_key()));
     g_array_unref(commands);
