--- a/src/app/api_worker_heartbeats.c
+++ b/src/app/api_worker_heartbeats.c
@@ -70,7 +70,7 @@
                     : (reply_t){.status = HTTP_OK, .unchanged_fencing_token = node->view.number};
     }
     if (node->partition && node->partition->changes != changes)
-        node_notify(node);
+        node_notify_placement(node);
     g_array_unref(commands);
     return reply;
 }
--- a/src/app/cloud_scale_in.c
+++ b/src/app/cloud_scale_in.c
@@ -40,7 +40,7 @@
         for (guint k = 0; summaries && k < summaries->len; k++) {
             const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
             bool unlisted = listed && summary->known_ms > lag && !summary->open &&
-                            summary->silent_ms > DIRECT_FRESH_MS &&
+                            summary->silent_ms > ACKNOWLEDGEMENT_TIMEOUT_MS &&
                             !g_hash_table_contains(cloud->listed_machines, summary->machine);
             bool early = summary->silent_ms <= most ||
                          autoscaler_awaits_zone(node->autoscaler, summary->zone, summary->silent_ms,
@@ -134,7 +134,7 @@
         if (cloud_find_summary(node, id, &partition))
             cloud_send_machine_item(node, partition, CHANNEL_MACHINE_TERMINATED, id);
     }
-    node_notify(node);
+    node_notify_placement(node);
 }
 
 static void record_terminated(cloud_t *cloud, const GPtrArray *names)
--- a/src/app/metrics.c
+++ b/src/app/metrics.c
@@ -16,15 +16,14 @@
                                                     "commits_failed",
                                                     "reloads",
                                                     "views",
-                                                    "direct_commands",
-                                                    "direct_unanswered",
+                                                    "pushes",
+                                                    "pushes_unanswered",
                                                     "placements",
                                                     "placements_refused",
                                                     "machines_scaled_out",
                                                     "machines_scaled_in"};
 
-static const char *const time_names[TIME_LAST] = {"commit_ms", "submit_ms", "status_ms",
-                                                  "direct_ms"};
+static const char *const time_names[TIME_LAST] = {"commit_ms", "submit_ms", "status_ms", "push_ms"};
 
 /* Edges in ms, doubling: what matters is whether an answer took 5, 50 or 500. */
 static const double edges[] = {0, 1, 2, 4, 8, 16, 32, 64, 128, 256, 512, 1024, 2048, 4096, 1e9};
--- a/src/app/metrics.h
+++ b/src/app/metrics.h
@@ -16,8 +16,8 @@
     COUNT_COMMITS_FAILED, /* a condition did not hold, or the service refused */
     COUNT_RELOADS,
     COUNT_VIEWS,
-    COUNT_DIRECT,
-    COUNT_DIRECT_UNANSWERED,
+    COUNT_PUSHES,
+    COUNT_PUSHES_UNANSWERED,
     COUNT_PLACEMENTS,
     COUNT_PLACEMENTS_REFUSED,
     COUNT_SCALED_OUT,
@@ -25,7 +25,7 @@
     COUNT_LAST
 } metric_count_t;
 
-typedef enum { TIME_COMMIT, TIME_SUBMIT, TIME_STATUS, TIME_DIRECT, TIME_LAST } metric_time_t;
+typedef enum { TIME_COMMIT, TIME_SUBMIT, TIME_STATUS, TIME_PUSH, TIME_LAST } metric_time_t;
 
 typedef struct metrics metrics_t;
 
--- a/src/app/node.c
+++ b/src/app/node.c
@@ -45,9 +45,9 @@
     pthread_condattr_t steady;
     pthread_condattr_init(&steady);
     pthread_condattr_setclock(&steady, CLOCK_MONOTONIC);
-    pthread_cond_init(&node->work, &steady);
-    for (guint i = 0; i < SENDERS_COUNT; i++)
-        pthread_cond_init(&node->direct[i], &steady);
+    pthread_cond_init(&node->placement_ready, &steady);
+    for (guint i = 0; i < DISPATCHERS_COUNT; i++)
+        pthread_cond_init(&node->dispatcher_ready[i], &steady);
     pthread_cond_init(&node->clients, &steady);
     pthread_cond_init(&node->members, &steady);
     pthread_cond_init(&node->inquiries, &steady);
@@ -78,7 +78,7 @@
     for (guint i = 0; i < API_CLIENTS_COUNT; i++)
         node->api_clients[i] = http_client_new(1);
     node->api_clients_free = API_CLIENTS_COUNT;
-    node->idle_senders = (1U << SENDERS_COUNT) - 1;
+    node->idle_dispatchers = (1U << DISPATCHERS_COUNT) - 1;
     pthread_mutex_init(&node->lock, NULL);
     init_conditions(node);
     node->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, known_job_free);
@@ -107,31 +107,31 @@
     peer_heartbeat_start(node);
     threads_start("stall_detector", stall_detector_run, node);
     threads_start("job_watch", job_watch_run, node);
-    threads_start("placer", placer_run, node);
+    threads_start("placement", placement_loop_run, node);
     threads_start("cloud", cloud_run, node);
     return api_start(node);
 }
 
-void node_notify(node_t *node)
+void node_notify_placement(node_t *node)
 {
-    pthread_cond_signal(&node->work);
+    pthread_cond_signal(&node->placement_ready);
 }
 
-void node_notify_senders(node_t *node)
+void node_notify_dispatchers(node_t *node)
 {
     if (!node->is_loaded)
         return;
-    uint32_t slots = partition_direct_slots(node->partition, clock_steady());
-    uint32_t chosen = slots & node->idle_senders;
-    uint32_t others = node->idle_senders & ~chosen;
+    uint32_t dispatchers = partition_due_dispatchers(node->partition, clock_steady());
+    uint32_t chosen = dispatchers & node->idle_dispatchers;
+    uint32_t others = node->idle_dispatchers & ~chosen;
     /* A busy sender may be held up by a machine that hangs. */
-    for (uint32_t busy = slots & ~chosen; busy && others; busy &= busy - 1) {
+    for (uint32_t busy = dispatchers & ~chosen; busy && others; busy &= busy - 1) {
         chosen |= others & -others;
         others &= others - 1;
     }
-    for (guint i = 0; i < SENDERS_COUNT; i++)
+    for (guint i = 0; i < DISPATCHERS_COUNT; i++)
         if (chosen >> i & 1)
-            sender_notify(node, i);
+            dispatcher_notify(node, i);
 }
 
 void node_wait(node_t *node, pthread_cond_t *cond, msec_t ms)
@@ -230,7 +230,7 @@
     log_info("event=view_installed view=%" G_GUINT64_FORMAT " leader=%s members=%u own=%d",
              view->number, view->leader, view->count,
              node->own_index == G_MAXUINT ? -1 : (int)node->own_index);
-    node_notify(node);
+    node_notify_placement(node);
     pthread_cond_broadcast(&node->members);
     pthread_cond_broadcast(&node->peer_work);
 }
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -6,11 +6,11 @@
  * - view: what view/ in the key-value store says;
  * - member: our lease in the key-value store; leadership; the leader's view of who is live;
  * - follow: the live jobs, on every node;
- * - placer: our partition: places and commits; the leader also sends placement requests and
+ * - placement loop: our partition: places and commits; the leader also sends placement requests and
  *   acknowledges results;
  * - peer client, peer server, relay: the exchange between the leader and the partitions;
  * - heartbeats: what the siblings told users, one thread for each sibling;
- * - sender: direct commands to workers;
+ * - sender: pushed commands to workers;
  * - pulse: notices when the process stood still;
  * - cloud: types everywhere; leader: scaling out, returning, proof that machines are gone;
  * - api: users and workers: the HTTP server's threads, and those that serve the queue of requests
@@ -60,17 +60,17 @@
     metrics_t *metrics;
     uint64_t incarnation;
     kv_store_t kv_store;
-    rate_limiter_t core_rps, core_write; /* member, follow, placer, cloud */
+    rate_limiter_t core_rps, core_write; /* member, follow, placement loop, cloud */
     rate_limiter_t api_rps, api_write;
     http_client_t *api_clients[API_CLIENTS_COUNT];
 
     pthread_mutex_t lock;
-    pthread_cond_t work;                  /* for the placer */
-    pthread_cond_t direct[SENDERS_COUNT]; /* for each sender */
-    uint32_t idle_senders;                /* a bit each: those that wait, or have no thread yet */
-    uint32_t started_senders;             /* a bit each: those that have a thread */
-    bool has_watching_sender;             /* one that waits with a time limit, for all of them */
-    pthread_cond_t clients;               /* for the API's clients */
+    pthread_cond_t placement_ready;                     /* for the placement loop */
+    pthread_cond_t dispatcher_ready[DISPATCHERS_COUNT]; /* for each dispatcher */
+    uint32_t idle_dispatchers;    /* a bit each: those that wait, or have no thread yet */
+    uint32_t started_dispatchers; /* a bit each: those that have a thread */
+    bool has_polling_dispatcher;  /* one that waits with a time limit, for all of them */
+    pthread_cond_t clients;       /* for the API's clients */
     pthread_cond_t inquiries;
     inquiry_t *inquiry;          /* still taking questions; NULL: none */
     pthread_cond_t members;      /* for the member loop */
@@ -131,9 +131,9 @@
 bool node_start(node_t *node);
 
 /* All with the lock held. */
-void node_notify(node_t *node);
-/* Wakes the senders of machines that want commands; for one that is busy, another. */
-void node_notify_senders(node_t *node);
+void node_notify_placement(node_t *node);
+/* Wakes the dispatchers of machines that want commands; for one that is busy, another. */
+void node_notify_dispatchers(node_t *node);
 void node_add_job(node_t *node, const job_spec_t *spec, uint64_t revision);
 /* The job is over for good: no older list of jobs brings it back. */
 void node_remove_job(node_t *node, const char *id);
@@ -185,11 +185,11 @@
 /* Starts the threads that send heartbeats to the siblings. */
 void peer_heartbeat_start(node_t *node);
 void *job_watch_run(void *data);
-void *placer_run(void *data);
-/* With the lock held: notifies the sender of that slot, whose thread starts when it is first
- * needed.
+void *placement_loop_run(void *data);
+/* With the lock held: notifies the dispatcher of that dispatcher, whose thread starts when it is
+ * first needed.
  */
-void sender_notify(node_t *node, guint slot);
+void dispatcher_notify(node_t *node, guint dispatcher_index);
 void *stall_detector_run(void *data);
 void *cloud_run(void *data);
 bool api_start(node_t *node);
--- a/src/app/node_jobs.c
+++ b/src/app/node_jobs.c
@@ -16,7 +16,7 @@
     g_hash_table_insert(node->jobs, job->spec.id, job);
     if (node->is_loaded && node->is_leader)
         leader_add_job(node->leader, spec, revision);
-    node_notify(node);
+    node_notify_placement(node);
 }
 
 static void cache_terminal_job(node_t *node, const char *id)
@@ -39,8 +39,8 @@
         leader_end_job(node->leader, id);
     job_counts_replica_remove(&node->job_counts, id);
     g_hash_table_remove(node->jobs, id);
-    node_notify_senders(node);
-    node_notify(node);
+    node_notify_dispatchers(node);
+    node_notify_placement(node);
 }
 
 void node_record_terminal_state(node_t *node, const char *id, bool done)
--- a/src/app/node_partition.c
+++ b/src/app/node_partition.c
@@ -15,9 +15,10 @@
         if (machine->is_terminated)
             continue;
         machine_summary_t summary = {.spot = machine->spot,
-                                     .open = partition_is_reached(node->partition, machine, now) &&
-                                             machine->is_capacity_known && !machine->is_draining &&
-                                             !machine->interruption_at,
+                                     .open =
+                                         partition_is_reachable(node->partition, machine, now) &&
+                                         machine->is_capacity_known && !machine->is_draining &&
+                                         !machine->interruption_at,
                                      .draining = machine->is_draining,
                                      .total = machine->capacity,
                                      .free = partition_free_resources(machine),
@@ -105,7 +106,7 @@
     }
     log_debug("event=task_placed task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s", request->job,
               request->task, request->attempt, machine->id);
-    node_notify(node);
+    node_notify_placement(node);
 }
 
 void node_handle_item(node_t *node, const channel_item_t *item, msec_t now)
@@ -116,11 +117,11 @@
         break;
     case CHANNEL_ACKNOWLEDGE:
         partition_acknowledge(node->partition, &item->ref);
-        node_notify(node);
+        node_notify_placement(node);
         break;
     case CHANNEL_WITHDRAW:
         partition_withdraw(node->partition, &item->ref, now);
-        node_notify(node);
+        node_notify_placement(node);
         break;
     case CHANNEL_DRAIN:
         partition_set_draining(node->partition, item->machine, true);
@@ -130,7 +131,7 @@
         break;
     case CHANNEL_MACHINE_TERMINATED:
         partition_machine_terminated(node->partition, item->machine);
-        node_notify(node);
+        node_notify_placement(node);
         break;
     case CHANNEL_ATTEMPT_RESULT:
         break; /* never said by a leader */
--- a/src/app/node_permission.c
+++ b/src/app/node_permission.c
@@ -54,7 +54,7 @@
     if (now - taken <= STALL_MS)
         return true;
     if (node->generation == generation && node->is_loaded)
-        partition_direct_done(node->partition, machine, commands, 0, DIRECT_DISCARDED);
+        partition_finish_push(node->partition, machine, commands, 0, PUSH_DISCARDED);
     return false;
 }
 
--- a/src/app/peer_server.c
+++ b/src/app/peer_server.c
@@ -68,7 +68,7 @@
     }
     has_news = take_summaries(node, index, message, now) || has_news;
     if (has_news)
-        node_notify(node);
+        node_notify_placement(node);
     return channel;
 }
 
--- a/src/app/placer.c
+++ b/src/app/placement_loop.c
@@ -14,11 +14,11 @@
 #include "io/wire.h"
 #include "log.h"
 
-typedef struct placer {
+typedef struct loop {
     node_t *node;
     http_client_t *client;
     msec_t fencing_token_advanced_at;
-} placer_t;
+} placement_loop_t;
 
 typedef struct listing {
     GArray *machines;
@@ -26,15 +26,14 @@
     GArray *jobs;
 } listing_t;
 
-static bool read_listing(placer_t *placer, listing_t *listing, bool is_leader)
+static bool read_listing(placement_loop_t *loop, listing_t *listing, bool is_leader)
 {
-    kv_store_t *kv_store = &placer->node->kv_store;
-    rate_limiter_charge(&placer->node->core_rps, is_leader ? 3 : 2, clock_steady());
+    kv_store_t *kv_store = &loop->node->kv_store;
+    rate_limiter_charge(&loop->node->core_rps, is_leader ? 3 : 2, clock_steady());
     /* Jobs last: a job listed then has its finished bits at hand, and one that is not, is over. */
-    return kv_list(kv_store, placer->client, "machines/", listing->machines, NULL) == KV_OK &&
-           (!is_leader ||
-            kv_list(kv_store, placer->client, "done/", listing->done, NULL) == KV_OK) &&
-           kv_list(kv_store, placer->client, "jobs/", listing->jobs, NULL) == KV_OK;
+    return kv_list(kv_store, loop->client, "machines/", listing->machines, NULL) == KV_OK &&
+           (!is_leader || kv_list(kv_store, loop->client, "done/", listing->done, NULL) == KV_OK) &&
+           kv_list(kv_store, loop->client, "jobs/", listing->jobs, NULL) == KV_OK;
 }
 
 static void load_jobs(node_t *node, const GArray *entries)
@@ -139,7 +138,7 @@
         node->autoscaler = autoscaler_new();
     node->partition =
         partition_new(node->machine_types, node->settings->teams,
-                      (msec_t)(tunable_value(node->policy, TUNABLE_RESERVATION_LAPSE) * MS_PER_S));
+                      (msec_t)(tunable_value(node->policy, TUNABLE_RESERVATION_TTL) * MS_PER_S));
     if (earlier) {
         partition_inherit_drains(node->partition, earlier);
         partition_free(earlier);
@@ -162,18 +161,18 @@
     pthread_cond_broadcast(&node->peer_work);
     pthread_cond_signal(&node->relay);
     pthread_cond_signal(&node->cloud_work);
-    node_notify_senders(node);
+    node_notify_dispatchers(node);
 }
 
-static void load(placer_t *placer)
+static void load(placement_loop_t *loop)
 {
-    node_t *node = placer->node;
+    node_t *node = loop->node;
     pthread_mutex_lock(&node->lock);
     uint64_t number = node->view.number;
     bool is_leader = node->is_leader;
     pthread_mutex_unlock(&node->lock);
     listing_t listing = {kv_entries_new(), kv_entries_new(), kv_entries_new()};
-    bool read = read_listing(placer, &listing, is_leader);
+    bool read = read_listing(loop, &listing, is_leader);
     pthread_mutex_lock(&node->lock);
     if (read && node->view.number == number) {
         load_all(node, &listing, clock_steady());
@@ -191,18 +190,18 @@
 }
 
 /* The data can't be trusted any more: a new number voids what is under way, then all read again. */
-static void reload(placer_t *placer, const char *why)
+static void reload(placement_loop_t *loop, const char *why)
 {
-    node_t *node = placer->node;
+    node_t *node = loop->node;
     metrics_count(node->metrics, COUNT_RELOADS, 1);
     log_info("event=records_reload why=%s", why);
     pthread_mutex_lock(&node->lock);
     node->is_loaded = false;
     node->generation++;
     pthread_mutex_unlock(&node->lock);
-    while (!view_advance_fencing_token(node, placer->client))
+    while (!view_advance_fencing_token(node, loop->client))
         node_sleep(ELECT_POLL_MS);
-    placer->fencing_token_advanced_at = clock_steady();
+    loop->fencing_token_advanced_at = clock_steady();
 }
 
 static void take_results(node_t *node, msec_t now)
@@ -263,7 +262,7 @@
         node_remove_job(node, progress->job);
     }
     g_array_unref(acknowledged);
-    node_notify_senders(node);
+    node_notify_dispatchers(node);
 }
 
 static void undo(node_t *node, batch_t *batch)
@@ -288,9 +287,9 @@
     return failed->len ? NULL : "condition_failed";
 }
 
-static void commit(placer_t *placer, batch_t *batch, uint64_t view_revision)
+static void commit(placement_loop_t *loop, batch_t *batch, uint64_t view_revision)
 {
-    node_t *node = placer->node;
+    node_t *node = loop->node;
     GPtrArray *failed = g_ptr_array_new_with_free_func(g_free);
     uint64_t revision = 0;
     const char *broken = NULL;
@@ -299,7 +298,7 @@
     rate_limiter_charge(&node->core_rps, 1, now);
     rate_limiter_charge(&node->core_write, batch->usage.ops, now);
     kv_result_t result =
-        kv_commit(&node->kv_store, placer->client, &txn, KV_TIMEOUT_MS, &revision, failed);
+        kv_commit(&node->kv_store, loop->client, &txn, KV_TIMEOUT_MS, &revision, failed);
     kv_txn_free(&txn);
     metrics_time(node->metrics, TIME_COMMIT, clock_steady() - now);
     metrics_count(node->metrics, result == KV_OK ? COUNT_COMMITS : COUNT_COMMITS_FAILED, 1);
@@ -321,13 +320,13 @@
     pthread_mutex_unlock(&node->lock);
     g_ptr_array_unref(failed);
     if (result == KV_NOT_EXECUTED)
-        node_sleep(TICK_MS);
+        node_sleep(PLACEMENT_TICK_MS);
     if (result == KV_INVALID)
         log_error("event=invalid_transaction ops=%u", batch->usage.ops);
     if (broken && strcmp(broken, "view_changed") == 0)
-        view_refresh(node, placer->client);
+        view_refresh(node, loop->client);
     else if (broken)
-        reload(placer, broken);
+        reload(loop, broken);
 }
 
 /* One round with the lock held; returns whether there is something to commit. */
@@ -367,18 +366,18 @@
     return batch->usage.ops > 0;
 }
 
-void *placer_run(void *data)
+void *placement_loop_run(void *data)
 {
-    placer_t placer = {.node = data, .client = http_client_new(2)};
-    node_t *node = placer.node;
+    placement_loop_t loop = {.node = data, .client = http_client_new(2)};
+    node_t *node = loop.node;
     for (;;) {
         pthread_mutex_lock(&node->lock);
-        node_wait(node, &node->work, node_paced(node, TICK_MS));
+        node_wait(node, &node->placement_ready, node_paced(node, PLACEMENT_TICK_MS));
         if (!node->is_loaded) {
             bool member = node->own_index != G_MAXUINT;
             pthread_mutex_unlock(&node->lock);
             if (member)
-                load(&placer);
+                load(&loop);
             continue;
         }
         msec_t now = clock_steady();
@@ -386,16 +385,16 @@
         batch_t batch = {0};
         bool changes = tick(node, &batch, now);
         bool wants_token = partition_needs_new_fencing_token(node->partition) &&
-                           now - placer.fencing_token_advanced_at > FENCING_TOKEN_GAP_MS;
+                           now - loop.fencing_token_advanced_at > FENCING_TOKEN_GAP_MS;
         uint64_t revision = node->view.revision;
         pthread_mutex_unlock(&node->lock);
         if (changes)
-            commit(&placer, &batch, revision);
+            commit(&loop, &batch, revision);
         if (batch.progress)
             g_array_unref(batch.progress);
         partition_batch_free(batch.machines);
-        if (wants_token && view_advance_fencing_token(node, placer.client))
-            placer.fencing_token_advanced_at = clock_steady();
+        if (wants_token && view_advance_fencing_token(node, loop.client))
+            loop.fencing_token_advanced_at = clock_steady();
         node_sleep(node_paced(node, COMMIT_GAP_MS));
     }
     return NULL;
--- a/src/app/settings.c
+++ b/src/app/settings.c
@@ -188,11 +188,11 @@
 static void read_connections(reader_t *reader, const json_t *limits, settings_t *settings)
 {
     double sockets = read_number(reader, limits, "fd_limit", FD_LIMIT_MIN_COUNT);
-    settings->sender_connections =
-        (guint)CLAMP(sockets / SENDER_CONNECTIONS_DIVISOR, SENDER_CONNECTIONS_MIN_COUNT,
-                     SENDER_CONNECTIONS_MAX_COUNT);
-    double most =
-        sockets - CONNECTIONS_SPARE_COUNT - (double)SENDERS_COUNT * settings->sender_connections;
+    settings->dispatcher_connections =
+        (guint)CLAMP(sockets / DISPATCHER_CONNECTIONS_DIVISOR, DISPATCHER_CONNECTIONS_MIN_COUNT,
+                     DISPATCHER_CONNECTIONS_MAX_COUNT);
+    double most = sockets - CONNECTIONS_SPARE_COUNT -
+                  (double)DISPATCHERS_COUNT * settings->dispatcher_connections;
     if (json_object_get(limits, "ram_mb")) {
         double memory =
             read_number(reader, limits, "ram_mb", RAM_MIN_MIB) * KIB_PER_MIB * BYTES_PER_KIB;
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -29,7 +29,7 @@
     guint txn_ops;
     double cloud_rps;
     double list_lag_s;
-    guint sender_connections; /* kept open to workers by each thread that sends them commands */
+    guint dispatcher_connections; /* kept open to workers by each thread that sends them commands */
     double pace; /* 1, or more on a small share of a processor: factor of the pauses between rounds
                     that serve quality alone */
     guint connections; /* of users and workers at once, within the limits of sockets, threads and
--- a/src/app/threads.h
+++ b/src/app/threads.h
@@ -1,7 +1,7 @@
 /* The threads of the process, by role, and the processor time that each role has taken.
  *
- * A role is a short constant string ("placer", "sender"). The registry is one for the process and
- * guards itself. Nothing is measured until somebody asks. */
+ * A role is a short constant string ("placement loop", "sender"). The registry is one for the
+ * process and guards itself. Nothing is measured until somebody asks. */
 #ifndef PEPPERPULLEY_THREADS_H
 #define PEPPERPULLEY_THREADS_H
 
--- a/src/constants.h
+++ b/src/constants.h
@@ -93,16 +93,16 @@
     RECORD_JOB_BYTES = 100,     /* the header of a job, names aside */
     PROGRESS_BYTES = 64,        /* a job's progress or end, its bits aside */
     KV_TXN_VALUES_BYTES = 48 * 1024, /* values in a transaction; the rest of 64 KiB is conditions */
-    KV_TIMEOUT_MS = 2000,     /* a slow answer takes a few hundred ms; past this it is unknown */
-    KV_WATCH_BLOCK_MS = 2000, /* a follow: its answer also proves which aborts are known; half a
-                               request a second */
-    COMMIT_GAP_MS = 60,       /* between commits: batches starts, spares the write limit */
-    TICK_MS = 250,            /* longest sleep of the placer when nothing happens */
-    PROGRESS_GAP_MS = 2000,   /* progress of a job waits for more, if the rate limit allows it */
-    PROGRESS_LATE_MS = 8000,  /* older progress goes before starts: a machine that ends takes its
-                                 results with it that are not durable */
-    RECORD_LAZY_MS = 3000     /* a record from which only acknowledged results are to go waits
-                                 for a start that rewrites it anyway */
+    KV_TIMEOUT_MS = 2000,        /* a slow answer takes a few hundred ms; past this it is unknown */
+    KV_WATCH_BLOCK_MS = 2000,    /* a follow: its answer also proves which aborts are known; half a
+                                  request a second */
+    COMMIT_GAP_MS = 60,          /* between commits: batches starts, spares the write limit */
+    PLACEMENT_TICK_MS = 250,     /* longest sleep of the placement loop when nothing happens */
+    PROGRESS_GAP_MS = 2000,      /* progress of a job waits for more, if the rate limit allows it */
+    PROGRESS_LATE_MS = 8000,     /* older progress goes before starts: a machine that ends takes its
+                                    results with it that are not durable */
+    RECORD_FLUSH_DELAY_MS = 3000 /* a record from which only acknowledged results are to go waits
+                             for a start that rewrites it anyway */
 };
 
 /* ---- Views, election and membership ---- */
@@ -161,13 +161,13 @@
     CONNECTION_IDLE_S = 30,        /* workers and users that are there speak every few s */
     CONNECTIONS_SPARE_COUNT = 100, /* sockets of fd_limit kept for calls of our own: 33 clients of
                                       HTTP with two each, their connections, the siblings; those
-                                      of the senders are beside it */
-    SENDER_CONNECTIONS_MIN_COUNT = 2,  /* kept open by a sender to its workers ... */
-    SENDER_CONNECTIONS_MAX_COUNT = 16, /* ... and at most: 256 for all of them */
-    SENDER_CONNECTIONS_DIVISOR = 96,   /* between these: one in so many of fd_limit */
-    WORKER_CONNECTIONS_DIVISOR = 4,    /* of the connections: one in so many is for workers */
-    HEAP_TRIM_BYTES = 256 * 1024       /* free memory at the end of the heap above which it goes
-                                          back to the system */
+                                      of the dispatchers are beside it */
+    DISPATCHER_CONNECTIONS_MIN_COUNT = 2,  /* kept open by a dispatcher to its workers ... */
+    DISPATCHER_CONNECTIONS_MAX_COUNT = 16, /* ... and at most: 256 for all of them */
+    DISPATCHER_CONNECTIONS_DIVISOR = 96,   /* between these: one in so many of fd_limit */
+    WORKER_CONNECTIONS_DIVISOR = 4,        /* of the connections: one in so many is for workers */
+    HEAP_TRIM_BYTES = 256 * 1024           /* free memory at the end of the heap above which it goes
+                                              back to the system */
 };
 
 /* Of the memory granted, for connections; the rest is for records and the program. */
@@ -189,23 +189,23 @@
                                                    they come in bursts */
 static const double APIS_WRITE_FRACTION = 0.75; /* at all controllers together */
 
-/* ---- Workers' heartbeats and direct commands ---- */
+/* ---- Workers' heartbeats and pushed commands ---- */
 
 enum {
     HEARTBEAT_FOLLOWS_MS = 4800, /* a worker waits 4 s for an answer and a second more before it
                                  turns elsewhere (protocol): a heartbeat that comes sooner follows
                                  an answer that arrived */
     HEARTBEAT_LATE_MS =
-        1000, /* a heartbeat is on its way, or waits for its turn, so long at most */
-    DIRECT_TIMEOUT_MS =
-        2000, /* a worker answers in milliseconds; later the heartbeat is the path */
-    DIRECT_CONNECT_MS = 1000, /* a connection takes milliseconds; a machine that hangs takes none */
-    DIRECT_FRESH_MS = 4000,   /* a machine not reached for longer gets no starts and no commands;
-                                 more where workers report seldom */
-    SENDERS_COUNT = 16,       /* threads that send direct commands: of 60 machines that hang at
-                                 once a controller has up to 20, and each blocks one briefly */
-    SENDER_IDLE_MS = 2500,    /* longest sleep of a sender */
-    SILENT_MARGIN_MS = 5000   /* beyond lease_s before a silent machine is released, for proof */
+        1000,               /* a heartbeat is on its way, or waits for its turn, so long at most */
+    PUSH_TIMEOUT_MS = 2000, /* a worker answers in milliseconds; later the heartbeat is the path */
+    PUSH_CONNECT_TIMEOUT_MS =
+        1000, /* a connection takes milliseconds; a machine that hangs takes none */
+    ACKNOWLEDGEMENT_TIMEOUT_MS = 4000, /* a machine not reached for longer gets no starts and no
+                               commands; more where workers report seldom */
+    DISPATCHERS_COUNT = 16,    /* threads that send pushed commands: of 60 machines that hang at
+                              once a controller has up to 20, and each blocks one briefly */
+    DISPATCHER_IDLE_MS = 2500, /* longest sleep of a dispatcher */
+    SILENT_MARGIN_MS = 5000    /* beyond lease_s before a silent machine is released, for proof */
 };
 
 /* Of report_s: a quarter more, and some machines are slower than they should be. */
@@ -260,7 +260,7 @@
     PEER_GAP_MS = 50,               /* between exchanges: batches what comes in a burst */
     PEER_RETRY_MS = 300,            /* after one that failed */
     SUMMARY_SILENT_MS = 3500,       /* a machine silent for less counts as heard: nobody who reads
-                                       summaries asks for less than DIRECT_FRESH_MS */
+                                       summaries asks for less than ACKNOWLEDGEMENT_TIMEOUT_MS */
     SUMMARY_IDLE_ERROR_MS = 500,    /* idle times are judged in seconds */
     PEER_SUMMARIES_GAP_MS = 400,    /* between machine summaries that no new batch asks for */
     PEER_READ_BYTES = 4096,         /* read at once: most messages, with one call */
--- a/src/core/job_counts.h
+++ b/src/core/job_counts.h
@@ -18,7 +18,7 @@
 
 /* What the leader answers to one that has all up to some version. */
 typedef struct job_counts_update {
-    uint64_t epoch; /* 0: the sender does not lead */
+    uint64_t epoch; /* 0: the dispatcher does not lead */
     uint64_t version;
     GArray *jobs; /* job_counts_t, owned; NULL: none */
 } job_counts_update_t;
--- a/src/core/partition.c
+++ b/src/core/partition.c
@@ -26,20 +26,20 @@
     g_free(data);
 }
 
-partition_t *partition_new(const GArray *machine_types, const GArray *teams, msec_t lapse)
+partition_t *partition_new(const GArray *machine_types, const GArray *teams, msec_t reservation_ttl)
 {
     partition_t *partition = g_new0(partition_t, 1);
     partition->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, machine_free);
     partition->shards = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, shard_free);
     partition->terminated_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     partition->draining = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    partition->wanted = g_queue_new();
+    partition->push_queue = g_queue_new();
     partition->attempts = g_hash_table_new(task_ref_hash, task_ref_equal);
     partition->machine_types = machine_types;
     partition->teams = teams;
     partition->results = g_array_new(FALSE, TRUE, sizeof(attempt_result_t));
-    partition->lapse = lapse;
-    partition->acknowledgement_timeout = DIRECT_FRESH_MS;
+    partition->reservation_ttl = reservation_ttl;
+    partition->acknowledgement_timeout = ACKNOWLEDGEMENT_TIMEOUT_MS;
     return partition;
 }
 
@@ -50,7 +50,7 @@
     g_hash_table_unref(partition->shards);
     g_hash_table_unref(partition->terminated_machines);
     g_hash_table_unref(partition->draining);
-    g_queue_free(partition->wanted);
+    g_queue_free(partition->push_queue);
     g_array_unref(partition->results);
     g_free(partition);
 }
@@ -65,7 +65,7 @@
 void partition_set_heartbeat_interval(partition_t *partition, double heartbeat_interval_s)
 {
     partition->acknowledgement_timeout =
-        MAX(DIRECT_FRESH_MS,
+        MAX(ACKNOWLEDGEMENT_TIMEOUT_MS,
             (msec_t)(heartbeat_interval_s * REPORT_SPREAD_FACTOR * MS_PER_S) + HEARTBEAT_LATE_MS);
 }
 
@@ -165,16 +165,16 @@
     return best;
 }
 
-void partition_page_touch(partition_t *partition, page_t *page)
+void partition_flush_page(partition_t *partition, page_t *page)
 {
-    if (!page->urgent)
-        page->urgent = ++partition->turns;
+    if (!page->flush_order)
+        page->flush_order = ++partition->last_flush_order;
     partition->changes++;
 }
 
-void partition_touch(partition_t *partition, const machine_t *machine)
+void partition_flush_machine(partition_t *partition, const machine_t *machine)
 {
-    partition_page_touch(partition, machine->page);
+    partition_flush_page(partition, machine->page);
 }
 
 machine_t *partition_machine_add(partition_t *partition, const char *id, const char *zone,
@@ -182,7 +182,8 @@
 {
     machine_t *machine = g_new0(machine_t, 1);
     g_strlcpy(machine->id, id, sizeof machine->id);
-    machine->slot = (guint)(XXH64(id, strlen(id), SENDERS_COUNT) % SENDERS_COUNT);
+    machine->dispatcher_index =
+        (guint)(XXH64(id, strlen(id), DISPATCHERS_COUNT) % DISPATCHERS_COUNT);
     g_strlcpy(machine->zone, zone, sizeof machine->zone);
     machine->page = page;
     if (!page) {
@@ -204,8 +205,8 @@
 void partition_machine_drop(partition_t *partition, machine_t *machine)
 {
     g_ptr_array_remove(machine->page->machines, machine);
-    if (machine->direct_wanted)
-        g_queue_remove(partition->wanted, machine);
+    if (machine->is_push_queued)
+        g_queue_remove(partition->push_queue, machine);
     g_hash_table_add(partition->terminated_machines, g_strdup(machine->id));
     g_hash_table_remove(partition->machines, machine->id);
 }
@@ -220,7 +221,7 @@
     machine->worker_epoch = record->worker_epoch;
     partition_look_up_capacity(partition, machine);
     machine->needs_probe = true;
-    partition_want_direct(partition, machine);
+    partition_queue_push(partition, machine);
     for (guint i = 0; i < record->entries->len; i++) {
         attempt_t *attempt = partition_attempt_add(
             partition, machine, &g_array_index(record->entries, record_entry_t, i));
@@ -251,9 +252,9 @@
 /* A machine can be heard and not reached: its heartbeats come, our answers and commands are lost. A
  * worker without an answer waits 4 s and turns to another node a second later, so one that
  * heartbeats here again within that time has had the answer. */
-bool partition_is_reached(const partition_t *partition, const machine_t *machine, msec_t now)
+bool partition_is_reachable(const partition_t *partition, const machine_t *machine, msec_t now)
 {
-    return machine->has_responded && !machine->doubtful &&
+    return machine->has_responded && !machine->is_push_failing &&
            now - machine->last_acknowledged_at < partition->acknowledgement_timeout;
 }
 
@@ -268,7 +269,7 @@
         partition_terminate_attempt(partition, g_ptr_array_index(machine->attempts, i), CAUSE_NONE);
     machine->has_responded = false;
     machine->is_terminated = true;
-    partition_touch(partition, machine);
+    partition_flush_machine(partition, machine);
 }
 
 void partition_tick(partition_t *partition, msec_t now)
@@ -278,7 +279,7 @@
     g_hash_table_iter_init(&iter, partition->machines);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         machine_t *machine = value;
-        reservation_lapse(machine->reservations, now, partition->lapse);
+        reservation_expire(machine->reservations, now, partition->reservation_ttl);
         partition_empty_drained(partition, machine, now);
     }
     g_hash_table_iter_init(&iter, partition->shards);
@@ -286,8 +287,8 @@
         const shard_t *shard = value;
         for (guint i = 0; i < shard->pages->len; i++) {
             page_t *page = g_ptr_array_index(shard->pages, i);
-            if (!page->lazy)
-                page->lazy_since = now;
+            if (!page->is_flush_deferred)
+                page->flush_deferred_at = now;
         }
     }
 }
--- a/src/core/partition.h
+++ b/src/core/partition.h
@@ -89,17 +89,17 @@
  * and when it has been long enough that acknowledged results stand in it (lazy). */
 typedef struct page {
     char shard[SHARD_NAME_BYTES];
-    guint number;        /* in its shard */
-    uint64_t revision;   /* of its key; 0: none */
-    GPtrArray *machines; /* borrowed */
-    uint64_t urgent;     /* 0, or its turn: first come, first written */
-    bool lazy;
-    msec_t lazy_since;
-    gsize size;        /* estimated bytes of its record when it was put together last; 0: never */
-    bool full;         /* a start found no room in it: it is to be divided */
-    struct page *half; /* machines went from one to the other, and the record does not say so yet:
-                          both are written in one transaction */
-    bool batched;      /* in the commit under way */
+    guint number;         /* in its shard */
+    uint64_t revision;    /* of its key; 0: none */
+    GPtrArray *machines;  /* borrowed */
+    uint64_t flush_order; /* 0, or its turn: first come, first written */
+    bool is_flush_deferred;
+    msec_t flush_deferred_at;
+    gsize size;   /* estimated bytes of its record when it was put together last; 0: never */
+    bool is_full; /* a start found no room in it: it is to be divided */
+    struct page *split_sibling; /* machines went from one to the other, and the record does not say
+                          so yet: both are written in one transaction */
+    bool is_in_batch;           /* in the commit under way */
 } page_t;
 
 /* Pages of a shard: one, until its record nears the value limit. Owns them. */
@@ -162,13 +162,13 @@
     guint running;
     guint errors; /* failures of jobs that run elsewhere */
     page_t *page;
-    bool crowded;  /* alone in its page, and that is full: no more starts for now */
-    bool doubtful; /* a direct command did not get through since it was last reached: one machine
-                      that hangs must not hold up those that don't */
-    bool is_terminated; /* the cloud confirmed it; the struct goes with its last attempt */
-    bool direct_busy;
-    guint slot; /* of the sender that serves it, unless that is busy */
-    bool direct_wanted;
+    bool is_page_full;    /* alone in its page, and that is full: no more starts for now */
+    bool is_push_failing; /* a pushed command did not get through since it was last reached: one
+                      machine that hangs must not hold up those that don't */
+    bool is_terminated;   /* the cloud confirmed it; the struct goes with its last attempt */
+    bool is_push_in_flight;
+    guint dispatcher_index; /* of the dispatcher that serves it, unless that is busy */
+    bool is_push_queued;
     uint64_t unanswered_fencing_token; /* a direct `run` under it got no answer: a copy may still
                                           arrive */
 };
@@ -189,26 +189,27 @@
         terminated_machines; /* ids of machines that are gone, owned: their names never come back */
     GHashTable *draining;    /* ids of machines that are to be emptied, owned */
     GHashTable *attempts;    /* task_ref_t -> attempt_t, borrowed from the machines */
-    GQueue *wanted; /* machines that want direct commands, borrowed; first come first served */
-    uint64_t turns; /* of urgent pages */
+    GQueue *push_queue; /* machines that want pushed commands, borrowed; first come first served */
+    uint64_t last_flush_order; /* of urgent pages */
     uint64_t last_reservation_id;
     const GArray *machine_types;
-    const GArray *teams; /* team_t, in the order of placement_request_t.preempted attempts */
-    GArray *results;     /* attempt_result_t, drained by the caller */
-    uint64_t changes;    /* grows with whatever a round of placing or a commit should look at:
-                            results, records to write, machines that open or close */
-    guint turn;          /* round robin among equals */
-    msec_t lapse;
+    const GArray *teams;    /* team_t, in the order of placement_request_t.preempted attempts */
+    GArray *results;        /* attempt_result_t, drained by the caller */
+    uint64_t changes;       /* grows with whatever a round of placing or a commit should look at:
+                               results, records to write, machines that open or close */
+    guint round_robin_turn; /* round robin among equals */
+    msec_t reservation_ttl;
     msec_t acknowledgement_timeout; /* a machine not reached for so long gets no starts and no
                                        commands */
     guint probes_in_flight;         /* probes under way */
     msec_t
         probe_delay; /* a machine that has not reported for so long since it was loaded is probed */
-    bool starts_paused; /* no `run` goes out */
-    bool has_preempted; /* it has stopped some work for other work */
+    bool are_starts_paused; /* no `run` goes out */
+    bool has_preempted;     /* it has stopped some work for other work */
 } partition_t;
 
-partition_t *partition_new(const GArray *machine_types, const GArray *teams, msec_t lapse);
+partition_t *partition_new(const GArray *machine_types, const GArray *teams,
+                           msec_t reservation_ttl);
 void partition_free(partition_t *partition);
 /* A new fencing token of the same leadership: nothing is read again. */
 void partition_set_view(partition_t *partition, uint64_t view);
@@ -230,7 +231,7 @@
 /* Resources that neither reports nor reservations take. */
 resources_t partition_free_resources(const machine_t *machine);
 
-/* Overtaken: older than what is known of this worker epoch, as when the answer to a direct command
+/* Overtaken: older than what is known of this worker epoch, as when the answer to a pushed command
  * came first. Nothing of it is taken, but its worker waits for an answer. Unproven: the first
  * heartbeat to this partition, and from before its view, so perhaps a copy that comes minutes late;
  * nothing of it is taken, and the answer gives the worker the fencing token that its next heartbeat
@@ -241,23 +242,23 @@
     HEARTBEAT_UNVERIFIED,
     HEARTBEAT_DUPLICATE
 } heartbeat_verdict_t;
-/* A heartbeat, or the body of a direct command's answer (direct). commands: array of
+/* A heartbeat, or the body of a pushed command's answer (direct). commands: array of
  * worker_command_t to append the answer's commands to; unused for direct ones. */
 heartbeat_verdict_t partition_handle_heartbeat(partition_t *partition,
-                                               const worker_heartbeat_t *heartbeat, bool direct,
+                                               const worker_heartbeat_t *heartbeat, bool is_push,
                                                msec_t now, GArray *commands);
 /* A heartbeat came that could not be answered: the machine is not silent. */
 void partition_record_unanswered_heartbeat(partition_t *partition,
                                            const worker_heartbeat_t *heartbeat, msec_t now);
 /* Whether what we say has arrived at the machine of late, so that it may get starts. */
-bool partition_is_reached(const partition_t *partition, const machine_t *machine, msec_t now);
+bool partition_is_reachable(const partition_t *partition, const machine_t *machine, msec_t now);
 /* How often workers report sets what counts as fresh. */
 void partition_set_heartbeat_interval(partition_t *partition, double heartbeat_interval_s);
 /* Probes wait until the machine should have reported twice: where a probe of each takes longer than
  * that. */
 void partition_delay_probes(partition_t *partition, double heartbeat_interval_s);
-/* It executed a direct command of this view, and what it said was taken. */
-void partition_probed(partition_t *partition, const char *id, msec_t now);
+/* It executed a pushed command of this view, and what it said was taken. */
+void partition_record_probe_answer(partition_t *partition, const char *id, msec_t now);
 /* While cancellations may be unknown here no start is sent; what is recorded waits. */
 void partition_pause_starts(partition_t *partition, bool pause);
 /* The job was cancelled or is over: its attempts stop, those not yet recorded are dropped. */
@@ -295,22 +296,22 @@
 void partition_batch_undo(partition_t *partition, partition_batch_t *batch);
 void partition_batch_free(partition_batch_t *batch);
 
-/* Direct commands. A machine has a slot, which names the sender that keeps a connection to it. The
- * next machine of these slots (a bit each) that wants some, or NULL; its commands are appended
- * (none: it is only asked for its state). */
-machine_t *partition_direct_take(partition_t *partition, uint32_t slots, msec_t now,
-                                 GArray *commands);
-/* The slots of the machines whose turn it is now, a bit each. */
-uint32_t partition_direct_slots(const partition_t *partition, msec_t now);
+/* Direct commands. A machine has a dispatcher, which names the dispatcher that keeps a connection
+ * to it. The next machine of these dispatchers (a bit each) that wants some, or NULL; its commands
+ * are appended (none: it is only asked for its state). */
+machine_t *partition_take_push(partition_t *partition, uint32_t dispatchers, msec_t now,
+                               GArray *commands);
+/* The dispatchers of the machines whose turn it is now, a bit each. */
+uint32_t partition_due_dispatchers(const partition_t *partition, msec_t now);
 typedef enum {
-    DIRECT_EXECUTED,
-    DIRECT_REFUSED,
-    DIRECT_DISCARDED, /* its sender stood still before it left: judged anew */
-    DIRECT_NOT_SENT,
-    DIRECT_UNANSWERED
-} direct_result_t;
-void partition_direct_done(partition_t *partition, const char *id, const GArray *commands,
-                           uint64_t fencing_token, direct_result_t result);
+    PUSH_EXECUTED,
+    PUSH_REFUSED,
+    PUSH_DISCARDED, /* its sender stood still before it left: judged anew */
+    PUSH_NOT_SENT,
+    PUSH_UNANSWERED
+} push_result_t;
+void partition_finish_push(partition_t *partition, const char *id, const GArray *commands,
+                           uint64_t fencing_token, push_result_t result);
 /* Whether something waits for the fencing token to move before it can be forgotten or proved. */
 bool partition_needs_new_fencing_token(const partition_t *partition);
 
--- a/src/core/partition_attempts.c
+++ b/src/core/partition_attempts.c
@@ -57,9 +57,9 @@
     if (cause == CAUSE_DONE) {
         attempt->is_done_reported = true;
         partition_add_result(partition, attempt);
-        attempt->machine->page->lazy |= attempt->is_acknowledged;
+        attempt->machine->page->is_flush_deferred |= attempt->is_acknowledged;
     } else {
-        partition_touch(partition, attempt->machine);
+        partition_flush_machine(partition, attempt->machine);
     }
 }
 
@@ -71,7 +71,7 @@
     attempt->kill_at = attempt->entry.checkpoint_s > 0
                            ? now + (msec_t)(attempt->entry.save_s * 2 * MS_PER_S) + MS_PER_S
                            : 0;
-    partition_want_direct(partition, attempt->machine);
+    partition_queue_push(partition, attempt->machine);
 }
 
 void partition_withdraw(partition_t *partition, const task_ref_t *ref, msec_t now)
@@ -80,7 +80,8 @@
     if (!attempt)
         return;
     partition_stop(partition, attempt, now);
-    partition_touch(partition, attempt->machine); /* one not recorded goes with the next round */
+    partition_flush_machine(partition,
+                            attempt->machine); /* one not recorded goes with the next round */
 }
 
 void partition_end_job(partition_t *partition, const char *job)
@@ -95,11 +96,11 @@
         attempt->is_stop_requested = true;
         attempt->kill_at = 0; /* nobody wants what it would save */
         attempt->is_acknowledged = true;
-        partition_want_direct(partition, attempt->machine);
+        partition_queue_push(partition, attempt->machine);
         if (attempt->is_in_record)
-            attempt->machine->page->lazy = true;
+            attempt->machine->page->is_flush_deferred = true;
         else
-            partition_touch(partition, attempt->machine);
+            partition_flush_machine(partition, attempt->machine);
     }
 }
 
@@ -109,5 +110,5 @@
     if (!attempt)
         return;
     attempt->is_acknowledged = true;
-    attempt->machine->page->lazy = true;
+    attempt->machine->page->is_flush_deferred = true;
 }
--- a/src/core/partition_commands.c
+++ b/src/core/partition_commands.c
@@ -2,11 +2,11 @@
  * them directly. */
 #include "core/partition_internal.h"
 
-void partition_want_direct(partition_t *partition, machine_t *machine)
+void partition_queue_push(partition_t *partition, machine_t *machine)
 {
-    if (!machine->direct_wanted)
-        g_queue_push_tail(partition->wanted, machine);
-    machine->direct_wanted = true;
+    if (!machine->is_push_queued)
+        g_queue_push_tail(partition->push_queue, machine);
+    machine->is_push_queued = true;
 }
 
 void partition_command_add(GArray *commands, worker_command_op_t op, const char *job, uint32_t task,
@@ -59,7 +59,7 @@
                                   grace);
     }
     resources_t resources = resources_after_stops(machine, now);
-    for (guint i = 0; !partition->starts_paused && i < machine->attempts->len; i++) {
+    for (guint i = 0; !partition->are_starts_paused && i < machine->attempts->len; i++) {
         const attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
         const record_entry_t *entry = &attempt->entry;
         if (!is_sent_here(machine, attempt) || attempt->is_stop_requested || attempt->is_listed)
@@ -73,77 +73,78 @@
 
 void partition_pause_starts(partition_t *partition, bool pause)
 {
-    partition->starts_paused = pause;
+    partition->are_starts_paused = pause;
 }
 
 /* Whether the machine's turn has come; commands: what to send. Some probes hang, and must leave
- * senders for the live. */
-static bool take_direct(partition_t *partition, machine_t *machine, msec_t now, GArray *commands)
+ * dispatchers for the live. */
+static bool take_push(partition_t *partition, machine_t *machine, msec_t now, GArray *commands)
 {
-    machine->direct_busy = true;
+    machine->is_push_in_flight = true;
     if (machine->needs_probe && !machine->has_responded) {
         partition->probes_in_flight++;
         return true;
     }
     machine->needs_probe = false;
     partition_wanted_commands(partition, machine, now, commands);
-    machine->direct_busy = commands->len > 0;
-    return machine->direct_busy;
+    machine->is_push_in_flight = commands->len > 0;
+    return machine->is_push_in_flight;
 }
 
 /* Whether the machine's turn may come now. */
-static bool is_direct_due(const partition_t *partition, const machine_t *machine, msec_t now)
+static bool is_push_due(const partition_t *partition, const machine_t *machine, msec_t now)
 {
     bool probe = machine->needs_probe && !machine->has_responded;
-    if (machine->direct_busy)
+    if (machine->is_push_in_flight)
         return false;
-    return probe ? partition->probes_in_flight < SENDERS_COUNT / 2 &&
+    return probe ? partition->probes_in_flight < DISPATCHERS_COUNT / 2 &&
                        now - machine->first_seen_at >= partition->probe_delay
-                 : partition_is_reached(partition, machine, now);
+                 : partition_is_reachable(partition, machine, now);
 }
 
-machine_t *partition_direct_take(partition_t *partition, uint32_t slots, msec_t now,
-                                 GArray *commands)
+machine_t *partition_take_push(partition_t *partition, uint32_t dispatchers, msec_t now,
+                               GArray *commands)
 {
-    for (GList *at = partition->wanted->head, *next; at; at = next) {
+    for (GList *at = partition->push_queue->head, *next; at; at = next) {
         machine_t *machine = at->data;
         next = at->next;
-        if (!(slots >> machine->slot & 1) || !is_direct_due(partition, machine, now))
+        if (!(dispatchers >> machine->dispatcher_index & 1) ||
+            !is_push_due(partition, machine, now))
             continue;
-        g_queue_delete_link(partition->wanted, at);
-        machine->direct_wanted = false;
-        if (take_direct(partition, machine, now, commands))
+        g_queue_delete_link(partition->push_queue, at);
+        machine->is_push_queued = false;
+        if (take_push(partition, machine, now, commands))
             return machine;
     }
     return NULL;
 }
 
-uint32_t partition_direct_slots(const partition_t *partition, msec_t now)
+uint32_t partition_due_dispatchers(const partition_t *partition, msec_t now)
 {
-    uint32_t slots = 0;
-    for (const GList *at = partition->wanted->head; at; at = at->next) {
+    uint32_t dispatchers = 0;
+    for (const GList *at = partition->push_queue->head; at; at = at->next) {
         const machine_t *machine = at->data;
-        if (is_direct_due(partition, machine, now))
-            slots |= 1U << machine->slot;
+        if (is_push_due(partition, machine, now))
+            dispatchers |= 1U << machine->dispatcher_index;
     }
-    return slots;
+    return dispatchers;
 }
 
-void partition_direct_done(partition_t *partition, const char *id, const GArray *commands,
-                           uint64_t fencing_token, direct_result_t result)
+void partition_finish_push(partition_t *partition, const char *id, const GArray *commands,
+                           uint64_t fencing_token, push_result_t result)
 {
     machine_t *machine = g_hash_table_lookup(partition->machines, id);
     partition->probes_in_flight -= commands->len == 0;
     if (!machine)
         return;
-    machine->direct_busy = false;
-    if (result == DIRECT_DISCARDED) {
-        partition_want_direct(partition, machine);
+    machine->is_push_in_flight = false;
+    if (result == PUSH_DISCARDED) {
+        partition_queue_push(partition, machine);
         return;
     }
     machine->needs_probe = false;
-    machine->doubtful = result == DIRECT_UNANSWERED || result == DIRECT_NOT_SENT;
-    for (guint i = 0; result == DIRECT_UNANSWERED && i < commands->len; i++)
+    machine->is_push_failing = result == PUSH_UNANSWERED || result == PUSH_NOT_SENT;
+    for (guint i = 0; result == PUSH_UNANSWERED && i < commands->len; i++)
         if (g_array_index(commands, worker_command_t, i).op == COMMAND_RUN)
             machine->unanswered_fencing_token =
                 MAX(machine->unanswered_fencing_token, fencing_token);
--- a/src/core/partition_heartbeats.c
+++ b/src/core/partition_heartbeats.c
@@ -71,8 +71,8 @@
             resources_add(&grown, attempt->entry.need, 1);
         }
         if (reported_attempt->state == TASK_FETCHING)
-            reservation_see_start(machine->reservations, attempt->reservation_id,
-                                  machine->receipt_count);
+            reservation_record_start(machine->reservations, attempt->reservation_id,
+                                     machine->receipt_count);
         else
             reservation_free(machine->reservations, attempt->reservation_id);
     }
@@ -82,15 +82,15 @@
 }
 
 /* Whether no `run` of ours that the worker has not executed can still be executed there: it has
- * seen this view's fencing token, no direct command is under way, and none went unanswered under a
+ * seen this view's fencing token, no pushed command is under way, and none went unanswered under a
  * fencing token as high as the one it has seen. Commands in answers to heartbeats need no more
  * care: this heartbeat was sent after the answer to the one before arrived or was given up. That
- * holds for ordinary heartbeats only; the answer to a direct command may overtake what an earlier
+ * holds for ordinary heartbeats only; the answer to a pushed command may overtake what an earlier
  * heartbeat's answer carries. */
 static bool nothing_under_way(const partition_t *partition, const machine_t *machine,
                               const worker_heartbeat_t *heartbeat)
 {
-    return heartbeat->fencing_token >= partition->view && !machine->direct_busy &&
+    return heartbeat->fencing_token >= partition->view && !machine->is_push_in_flight &&
            machine->unanswered_fencing_token < heartbeat->fencing_token;
 }
 
@@ -133,15 +133,15 @@
  * there is nothing to compare with, but one that bears this view's fencing token was sent in this
  * view. */
 static heartbeat_verdict_t judge_heartbeat(partition_t *partition, machine_t *machine,
-                                           const worker_heartbeat_t *heartbeat, bool direct)
+                                           const worker_heartbeat_t *heartbeat, bool is_push)
 {
     if (machine->is_terminated || heartbeat->worker_epoch < machine->worker_epoch)
         return HEARTBEAT_DUPLICATE;
-    if (!direct && !machine->has_heartbeat && heartbeat->fencing_token < partition->view)
+    if (!is_push && !machine->has_heartbeat && heartbeat->fencing_token < partition->view)
         return HEARTBEAT_UNVERIFIED;
     if (!machine->has_responded || heartbeat->worker_epoch > machine->worker_epoch)
         return HEARTBEAT_ACCEPTED;
-    if (!direct && heartbeat->heartbeat_sequence <= machine->last_accepted_sequence)
+    if (!is_push && heartbeat->heartbeat_sequence <= machine->last_accepted_sequence)
         return HEARTBEAT_DUPLICATE;
     return heartbeat->heartbeat_sequence <= machine->heartbeat_sequence ? HEARTBEAT_OUT_OF_ORDER
                                                                         : HEARTBEAT_ACCEPTED;
@@ -155,7 +155,7 @@
     if (follows || !machine->has_heartbeat) {
         machine->has_heartbeat = true;
         machine->last_acknowledged_at = now;
-        machine->doubtful = false;
+        machine->is_push_failing = false;
     }
     machine->last_heartbeat_at = now;
     machine->last_accepted_sequence = heartbeat->heartbeat_sequence;
@@ -164,11 +164,11 @@
 /* Whether starts may be sent there, as far as the machine goes. */
 static bool takes_starts(const partition_t *partition, const machine_t *machine, msec_t now)
 {
-    return partition_is_reached(partition, machine, now) && !machine->interruption_at;
+    return partition_is_reachable(partition, machine, now) && !machine->interruption_at;
 }
 
 heartbeat_verdict_t partition_handle_heartbeat(partition_t *partition,
-                                               const worker_heartbeat_t *heartbeat, bool direct,
+                                               const worker_heartbeat_t *heartbeat, bool is_push,
                                                msec_t now, GArray *commands)
 {
     /* A late copy would bring a machine that is gone back to life, with all its resources free. */
@@ -177,8 +177,8 @@
     machine_t *machine = g_hash_table_lookup(partition->machines, heartbeat->machine);
     if (!machine)
         machine = partition_machine_add(partition, heartbeat->machine, heartbeat->zone, NULL, now);
-    heartbeat_verdict_t verdict = judge_heartbeat(partition, machine, heartbeat, direct);
-    if (verdict == HEARTBEAT_OUT_OF_ORDER && !direct)
+    heartbeat_verdict_t verdict = judge_heartbeat(partition, machine, heartbeat, is_push);
+    if (verdict == HEARTBEAT_OUT_OF_ORDER && !is_push)
         record_acknowledgement(machine, heartbeat, now);
     if (verdict != HEARTBEAT_ACCEPTED)
         return verdict;
@@ -196,9 +196,9 @@
         const attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
         if (attempt->waits_for_preempted && attempt->phase == ATTEMPT_RECORDED &&
             !attempt->is_listed)
-            partition_want_direct(partition, machine);
+            partition_queue_push(partition, machine);
     }
-    if (!direct) {
+    if (!is_push) {
         record_acknowledgement(machine, heartbeat, now);
         machine->has_responded = true;
         prove_absent(partition, machine, heartbeat);
@@ -213,7 +213,7 @@
 
 /* Only where it has not spoken yet: the lease of a machine that answers commands, but gets no
  * answers to its heartbeats, ends all the same. */
-void partition_probed(partition_t *partition, const char *id, msec_t now)
+void partition_record_probe_answer(partition_t *partition, const char *id, msec_t now)
 {
     machine_t *machine = g_hash_table_lookup(partition->machines, id);
     if (!machine || machine->has_responded)
@@ -221,7 +221,7 @@
     machine->has_responded = true;
     machine->last_acknowledged_at = now;
     partition->changes++;
-    partition_want_direct(partition, machine); /* starts that were recorded and perhaps not sent */
+    partition_queue_push(partition, machine); /* starts that were recorded and perhaps not sent */
 }
 
 void partition_record_unanswered_heartbeat(partition_t *partition,
--- a/src/core/partition_internal.h
+++ b/src/core/partition_internal.h
@@ -18,9 +18,9 @@
 /* The page of this number, made if it is new. */
 page_t *partition_page(shard_t *shard, guint number);
 /* Its record is to be written soon; pages take turns by their first touch. */
-void partition_page_touch(partition_t *partition, page_t *page);
+void partition_flush_page(partition_t *partition, page_t *page);
 /* The machine's record is to be written soon: something can't start or be placed again before. */
-void partition_touch(partition_t *partition, const machine_t *machine);
+void partition_flush_machine(partition_t *partition, const machine_t *machine);
 /* A new machine. page: of its record; NULL: it has none yet, and gets a place on one. */
 machine_t *partition_machine_add(partition_t *partition, const char *id, const char *zone,
                                  page_t *page, msec_t now);
@@ -47,7 +47,7 @@
 /* Commands (partition_commands.c). */
 
 /* The machine's commands are to go out at once. */
-void partition_want_direct(partition_t *partition, machine_t *machine);
+void partition_queue_push(partition_t *partition, machine_t *machine);
 /* Appends a command to an array of worker_command_t. */
 void partition_command_add(GArray *commands, worker_command_op_t op, const char *job, uint32_t task,
                            uint64_t number, double grace_s);
--- a/src/core/partition_placement.c
+++ b/src/core/partition_placement.c
@@ -9,8 +9,8 @@
 bool partition_is_open(const partition_t *partition, const machine_t *machine,
                        const placement_request_t *request, msec_t now)
 {
-    if (!partition_is_reached(partition, machine, now) || !machine->is_capacity_known ||
-        machine->is_draining || machine->interruption_at || machine->crowded)
+    if (!partition_is_reachable(partition, machine, now) || !machine->is_capacity_known ||
+        machine->is_draining || machine->interruption_at || machine->is_page_full)
         return false;
     if (request->zone[0] && strcmp(request->zone, machine->zone) != 0)
         return false;
@@ -77,7 +77,7 @@
         if (rank < 0) {
             best = machine;
             equals = 1;
-        } else if (rank == 0 && partition->turn++ % ++equals == 0) {
+        } else if (rank == 0 && partition->round_robin_turn++ % ++equals == 0) {
             best = machine;
         }
     }
@@ -108,6 +108,6 @@
     attempt->waits_for_preempted = waits;
     reservation_add(best->reservations, attempt->reservation_id, request->need, best->receipt_count,
                     now);
-    partition_touch(partition, best);
+    partition_flush_machine(partition, best);
     return best;
 }
--- a/src/core/partition_records.c
+++ b/src/core/partition_records.c
@@ -159,10 +159,10 @@
     g_hash_table_unref(writer.headers);
     g_array_append_val(batch->records, record);
     page->size = writer.size;
-    page->full = writer.full;
-    page->batched = true;
-    page->urgent = 0;
-    page->lazy = false;
+    page->is_full = writer.full;
+    page->is_in_batch = true;
+    page->flush_order = 0;
+    page->is_flush_deferred = false;
 }
 
 /* Half of a full page's machines go to another page of the shard. Both records are written in one
@@ -175,7 +175,7 @@
     guint busy = 0;
     guint number = 0;
     guint moved = 0;
-    page->full = false;
+    page->is_full = false;
     for (guint i = 0; i < page->machines->len; i++) {
         const machine_t *machine = g_ptr_array_index(page->machines, i);
         total += machine->attempts->len;
@@ -183,7 +183,7 @@
     }
     for (guint i = 0; busy == 1 && i < page->machines->len; i++) {
         machine_t *machine = g_ptr_array_index(page->machines, i);
-        machine->crowded = machine->attempts->len > 0;
+        machine->is_page_full = machine->attempts->len > 0;
     }
     if (busy < 2)
         return;
@@ -199,16 +199,16 @@
         g_ptr_array_remove_index(page->machines, i);
         g_ptr_array_add(half->machines, machine);
     }
-    page->half = half;
-    half->half = page;
+    page->split_sibling = half;
+    half->split_sibling = page;
 }
 
 static gint compare_pages(gconstpointer left, gconstpointer right)
 {
     const page_t *first = *(page_t *const *)left;
     const page_t *second = *(page_t *const *)right;
-    uint64_t first_turn = first->urgent ? first->urgent : UINT64_MAX;
-    uint64_t second_turn = second->urgent ? second->urgent : UINT64_MAX;
+    uint64_t first_turn = first->flush_order ? first->flush_order : UINT64_MAX;
+    uint64_t second_turn = second->flush_order ? second->flush_order : UINT64_MAX;
     return first_turn < second_turn ? -1 : first_turn > second_turn;
 }
 
@@ -223,7 +223,8 @@
         const shard_t *shard = value;
         for (guint i = 0; i < shard->pages->len; i++) {
             page_t *page = g_ptr_array_index(shard->pages, i);
-            if (page->urgent || (page->lazy && now - page->lazy_since >= RECORD_LAZY_MS))
+            if (page->flush_order ||
+                (page->is_flush_deferred && now - page->flush_deferred_at >= RECORD_FLUSH_DELAY_MS))
                 g_ptr_array_add(due, page);
         }
     }
@@ -263,15 +264,15 @@
  */
 static bool prepare_page(partition_t *partition, page_t *page)
 {
-    if (page->batched)
+    if (page->is_in_batch)
         return false; /* with its half */
     drop_idle_terminated(partition, page);
-    if (page->full && !page->half)
+    if (page->is_full && !page->split_sibling)
         divide(partition, page);
-    if (page->half || has_change(page))
+    if (page->split_sibling || has_change(page))
         return true;
-    page->urgent = 0;
-    page->lazy = false;
+    page->flush_order = 0;
+    page->is_flush_deferred = false;
     return false;
 }
 
@@ -288,17 +289,17 @@
         page_t *page = g_ptr_array_index(due, i);
         if (!prepare_page(partition, page))
             continue;
-        gsize bound = page_bound(page, value_max) + (page->half ? value_max : 0);
-        if (page->half && batch->records->len + 2 > limits->ops)
+        gsize bound = page_bound(page, value_max) + (page->split_sibling ? value_max : 0);
+        if (page->split_sibling && batch->records->len + 2 > limits->ops)
             continue;
         if (batch->bytes > 0 && batch->bytes + bound > limits->bytes)
             break;
         batch_page(batch, page, limits->jobs, value_max);
         batch->bytes += page->size;
-        if (page->half) {
-            drop_idle_terminated(partition, page->half);
-            batch_page(batch, page->half, limits->jobs, value_max);
-            batch->bytes += page->half->size;
+        if (page->split_sibling) {
+            drop_idle_terminated(partition, page->split_sibling);
+            batch_page(batch, page->split_sibling, limits->jobs, value_max);
+            batch->bytes += page->split_sibling->size;
         }
     }
     g_ptr_array_unref(due);
@@ -318,16 +319,16 @@
             if (attempt->phase == ATTEMPT_PLACED)
                 attempt->phase = ATTEMPT_RECORDED;
             else
-                partition_touch(partition, machine);
-            partition_want_direct(partition, machine);
+                partition_flush_machine(partition, machine);
+            partition_queue_push(partition, machine);
         } else if (attempt->batch == BATCH_DROP) {
-            machine->crowded = false;
+            machine->is_page_full = false;
             if (!attempt->is_done_reported)
                 partition_add_result(partition, attempt);
             partition_attempt_drop(partition, attempt);
             continue;
         } else if (!attempt->is_in_record) {
-            partition_touch(partition, machine); /* left out, or placed since */
+            partition_flush_machine(partition, machine); /* left out, or placed since */
         }
         attempt->batch = BATCH_NONE;
     }
@@ -348,8 +349,8 @@
         const page_record_t *record = &g_array_index(batch->records, page_record_t, i);
         page_t *page = page_of_record(partition, record);
         page->revision = record->machines->len ? revision : 0;
-        page->batched = false;
-        page->half = NULL; /* its half was in the same commit */
+        page->is_in_batch = false;
+        page->split_sibling = NULL; /* its half was in the same commit */
         for (guint k = page->machines->len; k-- > 0;) {
             machine_t *machine = g_ptr_array_index(page->machines, k);
             machine_committed(partition, machine, now);
@@ -369,8 +370,8 @@
 {
     for (guint i = 0; i < batch->records->len; i++) {
         page_t *page = page_of_record(partition, &g_array_index(batch->records, page_record_t, i));
-        partition_page_touch(partition, page);
-        page->batched = false;
+        partition_flush_page(partition, page);
+        page->is_in_batch = false;
         for (guint k = 0; k < page->machines->len; k++)
             machine_undone(g_ptr_array_index(page->machines, k));
     }
--- a/src/core/reservation.c
+++ b/src/core/reservation.c
@@ -31,7 +31,7 @@
         g_array_remove_index(list, at);
 }
 
-void reservation_see_start(GArray *list, uint64_t reservation_id, uint64_t receipt)
+void reservation_record_start(GArray *list, uint64_t reservation_id, uint64_t receipt)
 {
     guint at;
     reservation_t *entry = find(list, reservation_id, &at);
@@ -63,11 +63,11 @@
     }
 }
 
-guint reservation_lapse(GArray *list, msec_t now, msec_t lapse)
+guint reservation_expire(GArray *list, msec_t now, msec_t reservation_ttl)
 {
     guint ended = 0;
     for (guint i = list->len; i-- > 0;) {
-        if (now - g_array_index(list, reservation_t, i).made_at >= lapse) {
+        if (now - g_array_index(list, reservation_t, i).made_at >= reservation_ttl) {
             g_array_remove_index(list, i);
             ended++;
         }
--- a/src/core/reservation.h
+++ b/src/core/reservation.h
@@ -21,12 +21,12 @@
 void reservation_add(GArray *list, uint64_t reservation_id, resources_t need, uint64_t receipt,
                      msec_t now);
 void reservation_free(GArray *list, uint64_t reservation_id);
-void reservation_see_start(GArray *list, uint64_t reservation_id, uint64_t receipt);
+void reservation_record_start(GArray *list, uint64_t reservation_id, uint64_t receipt);
 /* Growth of booked resources, as a heartbeat newer than `receipt` shows it, confirms older
  * reservations whose start was seen, each dimension by itself. What matches nothing is dropped. */
 void reservation_confirm(GArray *list, resources_t growth, uint64_t receipt);
 /* Ends what is older than lapse; returns how many ended. */
-guint reservation_lapse(GArray *list, msec_t now, msec_t lapse);
+guint reservation_expire(GArray *list, msec_t now, msec_t reservation_ttl);
 resources_t reservation_sum(const GArray *list);
 
 #endif
--- a/src/io/peer_protocol.h
+++ b/src/io/peer_protocol.h
@@ -15,8 +15,9 @@
     uint64_t number; /* of the batch; 0: none sent so far */
     uint64_t ack;
     msec_t kv_answer_age_ms;
-    msec_t hold_ms;                 /* an answer to a heartbeat: how long it was delayed for news */
-    msec_t worker_heartbeat_age_ms; /* since a worker that the sender owns last reported to it */
+    msec_t hold_ms; /* an answer to a heartbeat: how long it was delayed for news */
+    msec_t
+        worker_heartbeat_age_ms; /* since a worker that the dispatcher owns last reported to it */
     bool is_heartbeat;
     uint64_t acknowledged_incarnation;
     uint64_t acknowledged_index;
--- a/src/io/peer_protocol.x
+++ b/src/io/peer_protocol.x
@@ -1,5 +1,5 @@
 /* What controllers say to each other. One message serves both directions: a batch of items under a
- * number, the number of the last batch received, and the sender's machine summaries when they changed. */
+ * number, the number of the last batch received, and the dispatcher's machine summaries when they changed. */
 
 const PEER_NAME_MAX = 63;
 const PEER_ITEMS_MAX = 512;
@@ -103,13 +103,13 @@
     unsigned hyper view;
     unsigned hyper number;
     unsigned hyper ack;
-    hyper kv_answer_age_ms; /* ms since the key-value store last answered the sender */
+    hyper kv_answer_age_ms; /* ms since the key-value store last answered the dispatcher */
     hyper hold_ms;            /* an answer to a heartbeat: how long it was delayed for news */
-    hyper worker_heartbeat_age_ms;  /* ms since a worker that the sender owns last reported to it */
+    hyper worker_heartbeat_age_ms;  /* ms since a worker that the dispatcher owns last reported to it */
     bool is_heartbeat;     /* a call, or the answer to one, from any controller to any other */
     unsigned hyper acknowledged_incarnation; /* a call: of whose cancellation log the caller has ... */
     unsigned hyper acknowledged_index;     /* ... all up to this number */
-    peer_cancellation_update update;               /* an answer: what the sender told users */
+    peer_cancellation_update update;               /* an answer: what the dispatcher told users */
     unsigned hyper counts_epoch;   /* a call: of whose counts of jobs the caller has ... */
     unsigned hyper counts_version; /* ... all up to this; an answer: has with this answer */
     peer_job_counts counts<PEER_ITEMS_MAX>;
--- a/src/io/wire.h
+++ b/src/io/wire.h
@@ -25,7 +25,8 @@
 bool wire_parse_worker_heartbeat(const char *text, gsize length, worker_heartbeat_t *heartbeat,
                                  reason_t *why);
 json_t *wire_build_commands(uint64_t fencing_token, const GArray *commands);
-json_t *wire_build_direct(uint64_t fencing_token, uint64_t worker_epoch, const GArray *commands);
+json_t *wire_build_pushed_commands(uint64_t fencing_token, uint64_t worker_epoch,
+                                   const GArray *commands);
 
 /* array of machine_type_t, or NULL */
 GArray *wire_parse_machine_types(const json_t *body);
--- a/src/io/wire_worker.c
+++ b/src/io/wire_worker.c
@@ -23,7 +23,8 @@
                      build_command_list(commands));
 }
 
-json_t *wire_build_direct(uint64_t fencing_token, uint64_t worker_epoch, const GArray *commands)
+json_t *wire_build_pushed_commands(uint64_t fencing_token, uint64_t worker_epoch,
+                                   const GArray *commands)
 {
     return json_pack("{s:I,s:I,s:o}", "Helm", (json_int_t)fencing_token, "Watch",
                      (json_int_t)worker_epoch, "Calls", build_command_list(commands));
--- a/src/policy/policy.c
+++ b/src/policy/policy.c
@@ -26,7 +26,7 @@
     double low, high;
     const char *value;
 } tunables[TUNABLE_COUNT] = {
-    [TUNABLE_RESERVATION_LAPSE] = {"reservation_lapse", POLICY_SECONDS, SCOPE_NONE, 5, 600, "30 s"},
+    [TUNABLE_RESERVATION_TTL] = {"reservation_lapse", POLICY_SECONDS, SCOPE_NONE, 5, 600, "30 s"},
     [TUNABLE_PLACEMENT_REQUESTS_PER_ROUND] = {"offers_per_round", POLICY_NUMBER, SCOPE_NONE, 1, 500,
                                               "64"},
     [TUNABLE_PREEMPTIONS_PER_ROUND] = {"preemptions_per_round", POLICY_NUMBER, SCOPE_NONE, 0, 200,
--- a/tests/fakes/services.c
+++ b/tests/fakes/services.c
@@ -475,9 +475,9 @@
     return (uint64_t)json_integer_value(json_object_get(body, name));
 }
 
-static enum MHD_Result execute_direct(void *data, struct MHD_Connection *connection,
-                                      const char *path, const char *method, const char *version,
-                                      const char *upload, size_t *upload_size, void **context)
+static enum MHD_Result execute_push(void *data, struct MHD_Connection *connection, const char *path,
+                                    const char *method, const char *version, const char *upload,
+                                    size_t *upload_size, void **context)
 {
     (void)path;
     (void)method;
@@ -490,7 +490,7 @@
     GArray *commands = parse_commands(body);
     pthread_mutex_lock(&machine->lock);
     bool executed =
-        fake_worker_direct(machine->worker, number(body, "Helm"), number(body, "Watch"), commands);
+        fake_worker_push(machine->worker, number(body, "Helm"), number(body, "Watch"), commands);
     json_t *heartbeat = build_heartbeat(machine);
     pthread_mutex_unlock(&machine->lock);
     g_array_unref(commands);
@@ -503,7 +503,7 @@
     fake_machine_t *machine = g_new0(fake_machine_t, 1);
     pthread_mutex_init(&machine->lock, NULL);
     machine->worker = fake_worker_new(id);
-    machine->port = listen_anywhere(execute_direct, machine);
+    machine->port = listen_anywhere(execute_push, machine);
     return machine;
 }
 
--- a/tests/fakes/services.h
+++ b/tests/fakes/services.h
@@ -46,7 +46,7 @@
 /* A port that nobody listens on now. */
 uint16_t services_free_port(void);
 
-/* A worker: takes direct commands on a port of its own, and reports when the test says so. Owns
+/* A worker: takes pushed commands on a port of its own, and reports when the test says so. Owns
  * its worker and thread; never ends. */
 typedef struct fake_machine {
     pthread_mutex_t lock; /* guards the worker */
--- a/tests/fakes/worker.c
+++ b/tests/fakes/worker.c
@@ -78,8 +78,8 @@
     return true;
 }
 
-bool fake_worker_direct(fake_worker_t *worker, uint64_t fencing_token, uint64_t worker_epoch,
-                        const GArray *commands)
+bool fake_worker_push(fake_worker_t *worker, uint64_t fencing_token, uint64_t worker_epoch,
+                      const GArray *commands)
 {
     return worker_epoch == worker->worker_epoch &&
            fake_worker_answer(worker, fencing_token, commands);
--- a/tests/fakes/worker.h
+++ b/tests/fakes/worker.h
@@ -18,10 +18,10 @@
 void fake_worker_free(fake_worker_t *worker);
 /* The next heartbeat; worker_heartbeat_clear it. */
 worker_heartbeat_t fake_worker_heartbeat(fake_worker_t *worker);
-/* An answer to a heartbeat, or a direct command (session checked): true if executed. */
+/* An answer to a heartbeat, or a pushed command (session checked): true if executed. */
 bool fake_worker_answer(fake_worker_t *worker, uint64_t fencing_token, const GArray *commands);
-bool fake_worker_direct(fake_worker_t *worker, uint64_t fencing_token, uint64_t worker_epoch,
-                        const GArray *commands);
+bool fake_worker_push(fake_worker_t *worker, uint64_t fencing_token, uint64_t worker_epoch,
+                      const GArray *commands);
 void fake_worker_exit(fake_worker_t *worker, const char *job, uint32_t task, cause_t cause);
 /* Its lease ran out: everything is killed and forgotten. */
 void fake_worker_lose_lease(fake_worker_t *worker);
--- a/tests/test_encoding_samples.c
+++ b/tests/test_encoding_samples.c
@@ -156,7 +156,7 @@
     g_array_append_vals(list, commands, G_N_ELEMENTS(commands));
     assert_json_is_sample("worker_answer.json", wire_build_commands(41, list));
     assert_json_is_sample("worker_answer_quiet.json", wire_build_commands(42, NULL));
-    assert_json_is_sample("worker_direct.json", wire_build_direct(43, 31, list));
+    assert_json_is_sample("worker_direct.json", wire_build_pushed_commands(43, 31, list));
     g_array_unref(list);
 }
 
--- a/tests/test_leader.c
+++ b/tests/test_leader.c
@@ -198,12 +198,12 @@
 {
     (void)state;
     job_spec_t older = job("j-000001", "blue", 1);
-    job_spec_t urgent = job("j-000002", "blue", 1);
-    urgent.priority = PRIORITY_HIGH;
-    urgent.submitted_ms = 1500;
+    job_spec_t flush_order = job("j-000002", "blue", 1);
+    flush_order.priority = PRIORITY_HIGH;
+    flush_order.submitted_ms = 1500;
     set_resources(0, "north", 2);
     add(&older);
-    add(&urgent);
+    add(&flush_order);
     GArray *requests = schedule();
     assert_int_equal(count(requests, "j-000002"), 1);
     assert_int_equal(count(requests, "j-000001"), 0);
@@ -300,9 +300,9 @@
 static void test_nothing_is_requested_where_there_is_no_machine(void **state)
 {
     (void)state;
-    job_spec_t urgent = job("j-000001", "blue", 3);
-    urgent.priority = PRIORITY_HIGH;
-    add(&urgent);
+    job_spec_t flush_order = job("j-000001", "blue", 3);
+    flush_order.priority = PRIORITY_HIGH;
+    add(&flush_order);
     GArray *requests = schedule();
     assert_int_equal(requests->len, 0);
     g_array_unref(requests);
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -39,7 +39,7 @@
                              .cloud_rps = 100,
                              .list_lag_s = 1,
                              .pace = 1,
-                             .sender_connections = 2,
+                             .dispatcher_connections = 2,
                              .connections = 100};
     g_snprintf(settings->name, sizeof settings->name, "hand-%u", index);
     g_snprintf(settings->client_listen, ADDRESS_BYTES, "127.0.0.1:%u", fixture->ports[index]);
@@ -285,7 +285,7 @@
 }
 
 /* Heartbeats until the machine runs so many tasks, to whichever node it is sent; between reports
- * there is time for direct commands. */
+ * there is time for pushed commands. */
 static void send_heartbeats_until(fake_machine_t *machine, guint active)
 {
     static guint node; /* an earlier test's may not be there in this one */
@@ -802,12 +802,12 @@
     partition_batch_free(batch);
 }
 
-/* What a sender would take now. */
+/* What a dispatcher would take now. */
 static machine_t *take(node_t *node, GArray *commands, msec_t now)
 {
     g_array_set_size(commands, 0);
     partition_pause_starts(node->partition, !node_may_start(node, now));
-    return partition_direct_take(node->partition, G_MAXUINT32, now, commands);
+    return partition_take_push(node->partition, G_MAXUINT32, now, commands);
 }
 
 /* A sender has taken a start; the process stands still, and a job is called off elsewhere. On
@@ -1124,7 +1124,7 @@
     begin_ready(1);
     pthread_mutex_lock(&fixture->nodes[0]->lock);
     assert_int_equal(fixture->nodes[0]->answerers, 0);
-    assert_int_equal(fixture->nodes[0]->started_senders, 0);
+    assert_int_equal(fixture->nodes[0]->started_dispatchers, 0);
     pthread_mutex_unlock(&fixture->nodes[0]->lock);
     fake_machine_t *machine = fake_machine_new("m-000001");
     send_heartbeats_until(machine, 0);
@@ -1132,7 +1132,7 @@
     send_heartbeats_until(machine, 2);
     pthread_mutex_lock(&fixture->nodes[0]->lock);
     assert_in_range(fixture->nodes[0]->answerers, 1, API_THREADS_COUNT);
-    assert_int_equal(__builtin_popcount(fixture->nodes[0]->started_senders), 1);
+    assert_int_equal(__builtin_popcount(fixture->nodes[0]->started_dispatchers), 1);
     pthread_mutex_unlock(&fixture->nodes[0]->lock);
 }
 
--- a/tests/test_partition.c
+++ b/tests/test_partition.c
@@ -46,10 +46,10 @@
     return 0;
 }
 
-static heartbeat_verdict_t deliver(worker_heartbeat_t *heartbeat, bool direct)
+static heartbeat_verdict_t deliver(worker_heartbeat_t *heartbeat, bool is_push)
 {
     g_array_set_size(fixture->commands, 0);
-    heartbeat_verdict_t verdict = partition_handle_heartbeat(fixture->partition, heartbeat, direct,
+    heartbeat_verdict_t verdict = partition_handle_heartbeat(fixture->partition, heartbeat, is_push,
                                                              fixture->now, fixture->commands);
     worker_heartbeat_clear(heartbeat);
     return verdict;
@@ -162,7 +162,8 @@
     assert_true(fixture->partition->changes > changes);
 }
 
-/* Each machine has a sender that keeps a connection to it; others serve it only in its place. */
+/* Each machine has a dispatcher that keeps a connection to it; others serve it only in its place.
+ */
 static void test_commands_go_by_the_sender_of_their_machine(void **state)
 {
     (void)state;
@@ -170,12 +171,12 @@
     place("j-000001", 0, 100);
     commit();
     const machine_t *machine = g_hash_table_lookup(fixture->partition->machines, "m-000001");
-    uint32_t own = 1U << machine->slot;
-    assert_int_equal(partition_direct_slots(fixture->partition, fixture->now), own);
-    assert_null(partition_direct_take(fixture->partition, ~own, fixture->now, fixture->commands));
-    assert_ptr_equal(
-        partition_direct_take(fixture->partition, own, fixture->now, fixture->commands), machine);
-    assert_int_equal(partition_direct_slots(fixture->partition, fixture->now), 0);
+    uint32_t own = 1U << machine->dispatcher_index;
+    assert_int_equal(partition_due_dispatchers(fixture->partition, fixture->now), own);
+    assert_null(partition_take_push(fixture->partition, ~own, fixture->now, fixture->commands));
+    assert_ptr_equal(partition_take_push(fixture->partition, own, fixture->now, fixture->commands),
+                     machine);
+    assert_int_equal(partition_due_dispatchers(fixture->partition, fixture->now), 0);
 }
 
 /* Tasks of jobs with near ids came to lie under the same hash, a chain of them for each. */
@@ -249,7 +250,7 @@
     assert_int_equal(deliver(&late, false), HEARTBEAT_DUPLICATE);
 }
 
-/* The answer to a direct command may overtake a heartbeat. Refused, its worker would leave for
+/* The answer to a pushed command may overtake a heartbeat. Refused, its worker would leave for
  * another node; so it is answered, and nothing of it is taken. */
 static void test_overtaken_report_changes_nothing(void **state)
 {
@@ -259,8 +260,8 @@
     commit();
     worker_heartbeat_t late = fake_worker_heartbeat(fixture->worker);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    assert_non_null(partition_direct_take(fixture->partition, G_MAXUINT32, fixture->now, commands));
-    assert_true(fake_worker_direct(fixture->worker, 7, 1, commands));
+    assert_non_null(partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, commands));
+    assert_true(fake_worker_push(fixture->worker, 7, 1, commands));
     g_array_unref(commands);
     worker_heartbeat_t answer = fake_worker_heartbeat(fixture->worker);
     assert_int_equal(deliver(&answer, true), HEARTBEAT_ACCEPTED); /* the task runs and is listed */
@@ -274,7 +275,7 @@
 static void commit_later(void)
 {
     partition_tick(fixture->partition, fixture->now);
-    fixture->now += RECORD_LAZY_MS;
+    fixture->now += RECORD_FLUSH_DELAY_MS;
     commit();
 }
 
@@ -342,8 +343,8 @@
     place("j-000001", 0, 100);
     commit();
     GArray *late = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    assert_non_null(partition_direct_take(fixture->partition, G_MAXUINT32, fixture->now, late));
-    partition_direct_done(fixture->partition, "m-000001", late, 7, DIRECT_UNANSWERED);
+    assert_non_null(partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, late));
+    partition_finish_push(fixture->partition, "m-000001", late, 7, PUSH_UNANSWERED);
     exchange(); /* the heartbeat's answer starts it */
     assert_int_equal(fixture->worker->runs, 1);
     fake_worker_exit(fixture->worker, "j-000001", 0, CAUSE_ERROR);
@@ -352,14 +353,14 @@
     exchange();
     assert_int_equal(count_commands(COMMAND_FORGET), 0);
     assert_true(partition_needs_new_fencing_token(fixture->partition));
-    assert_true(fake_worker_direct(fixture->worker, 7, 1, late));
+    assert_true(fake_worker_push(fixture->worker, 7, 1, late));
     assert_int_equal(fixture->worker->runs, 1);
     /* With the fencing token moved on, the copy is void and the attempt may be forgotten. */
     partition_set_view(fixture->partition, 8);
     exchange();
     exchange();
     assert_int_equal(fixture->worker->attempts->len, 0);
-    assert_false(fake_worker_direct(fixture->worker, 7, 1, late));
+    assert_false(fake_worker_push(fixture->worker, 7, 1, late));
     assert_int_equal(fixture->worker->runs, 1);
     g_array_unref(late);
 }
@@ -371,13 +372,13 @@
     place("j-000001", 0, 100);
     commit();
     GArray *late = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    partition_direct_take(fixture->partition, G_MAXUINT32, fixture->now, late);
+    partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, late);
     partition_end_job(fixture->partition, "j-000001");
-    exchange(); /* not listed, but the direct command may still arrive */
+    exchange(); /* not listed, but the pushed command may still arrive */
     commit();
     assert_int_equal(fixture->partition->results->len, 0);
-    assert_true(fake_worker_direct(fixture->worker, 7, 1, late));
-    partition_direct_done(fixture->partition, "m-000001", late, 7, DIRECT_UNANSWERED);
+    assert_true(fake_worker_push(fixture->worker, 7, 1, late));
+    partition_finish_push(fixture->partition, "m-000001", late, 7, PUSH_UNANSWERED);
     exchange();
     assert_int_equal(fake_worker_active(fixture->worker), 0); /* stopped as soon as it is seen */
     exchange();
@@ -519,7 +520,7 @@
     partition_pause_starts(fixture->partition, true);
     exchange();
     assert_null(
-        partition_direct_take(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands));
+        partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands));
     assert_int_equal(fixture->worker->runs, 0);
     partition_end_job(fixture->partition, "j-000002"); /* a sibling says so */
     partition_pause_starts(fixture->partition, false);
@@ -629,7 +630,7 @@
     assert_int_equal(fixture->commands->len, 0);
     assert_string_equal(the_machine()->address, "10.1.0.1:9000");
     assert_int_equal(the_machine()->last_acknowledged_at, fixture->now - 5000);
-    assert_false(partition_is_reached(fixture->partition, the_machine(), fixture->now));
+    assert_false(partition_is_reachable(fixture->partition, the_machine(), fixture->now));
     commit();
     assert_int_equal(fixture->partition->results->len, 0);
     fake_worker_free(past);
@@ -684,21 +685,21 @@
     assert_non_null(partition_place(fixture->partition, &request, fixture->now));
 }
 
-static const machine_t *probe(direct_result_t result)
+static const machine_t *probe(push_result_t result)
 {
     const machine_t *machine =
-        partition_direct_take(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands);
+        partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands);
     if (!machine)
         return NULL;
     assert_int_equal(fixture->commands->len, 0);
-    partition_direct_done(fixture->partition, "m-000001", fixture->commands, 7, result);
+    partition_finish_push(fixture->partition, "m-000001", fixture->commands, 7, result);
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
-    if (result <= DIRECT_REFUSED)
+    if (result <= PUSH_REFUSED)
         assert_int_equal(deliver(&heartbeat, true), HEARTBEAT_ACCEPTED);
     else
         worker_heartbeat_clear(&heartbeat);
-    if (result == DIRECT_EXECUTED)
-        partition_probed(fixture->partition, "m-000001", fixture->now);
+    if (result == PUSH_EXECUTED)
+        partition_record_probe_answer(fixture->partition, "m-000001", fixture->now);
     return machine;
 }
 
@@ -710,7 +711,7 @@
     placement_request_t request = request_of("j-000009", 0, 900, 4);
     load_record();
     assert_null(partition_place(fixture->partition, &request, fixture->now));
-    assert_non_null(probe(DIRECT_EXECUTED));
+    assert_non_null(probe(PUSH_EXECUTED));
     assert_non_null(partition_place(fixture->partition, &request, fixture->now));
     /* It opens the machine for a moment only: leases are renewed by heartbeats. */
     request.task = 1;
@@ -732,11 +733,11 @@
     (void)state;
     partition_delay_probes(fixture->partition, 1.0);
     load_record();
-    assert_int_equal(partition_direct_slots(fixture->partition, fixture->now), 0);
-    assert_null(probe(DIRECT_EXECUTED));
+    assert_int_equal(partition_due_dispatchers(fixture->partition, fixture->now), 0);
+    assert_null(probe(PUSH_EXECUTED));
     fixture->now += fixture->partition->probe_delay;
-    assert_int_not_equal(partition_direct_slots(fixture->partition, fixture->now), 0);
-    assert_non_null(probe(DIRECT_EXECUTED));
+    assert_int_not_equal(partition_due_dispatchers(fixture->partition, fixture->now), 0);
+    assert_non_null(probe(PUSH_EXECUTED));
     /* One that reported in time is open without being asked. */
     partition_free(fixture->partition);
     fixture->partition = partition_new(fixture->machine_types, fixture->teams, 30000);
@@ -748,7 +749,7 @@
     assert_non_null(partition_place(fixture->partition, &request, fixture->now));
     fixture->now += fixture->partition->probe_delay;
     exchange();
-    partition_direct_take(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands);
+    partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands);
     assert_int_equal(fixture->partition->probes_in_flight, 0);
 }
 
@@ -757,9 +758,9 @@
     (void)state;
     placement_request_t request = request_of("j-000009", 0, 900, 4);
     load_record();
-    assert_non_null(probe(DIRECT_REFUSED)); /* another session, or a higher fencing token */
+    assert_non_null(probe(PUSH_REFUSED)); /* another session, or a higher fencing token */
     assert_null(partition_place(fixture->partition, &request, fixture->now));
-    assert_null(probe(DIRECT_EXECUTED)); /* it is asked once */
+    assert_null(probe(PUSH_EXECUTED)); /* it is asked once */
     assert_int_equal(fixture->partition->probes_in_flight, 0);
     exchange();
     assert_non_null(partition_place(fixture->partition, &request, fixture->now));
@@ -790,7 +791,7 @@
     (void)state;
     load_record();
     assert_non_null(
-        partition_direct_take(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands));
+        partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands));
     assert_int_equal(fixture->commands->len, 0);
     worker_heartbeat_t same = fake_worker_heartbeat(fixture->worker);
     assert_int_equal(deliver(&same, true),
@@ -800,7 +801,7 @@
     fake_worker_lose_lease(fixture->worker);
     worker_heartbeat_t answer = fake_worker_heartbeat(fixture->worker);
     deliver(&answer, true);
-    partition_direct_done(fixture->partition, "m-000001", fixture->commands, 7, DIRECT_REFUSED);
+    partition_finish_push(fixture->partition, "m-000001", fixture->commands, 7, PUSH_REFUSED);
     commit();
     assert_true(has_result(0, CAUSE_NONE));
     placement_request_t request = request_of("j-000009", 0, 900, 4);
@@ -809,8 +810,9 @@
                                 fixture->now)); /* its leases can't be renewed */
 }
 
-/* A command to a machine that hangs holds a sender for its whole patience. It gets no further one,
- * and no start, until it shows that it is reached; those behind it in the queue have their turn. */
+/* A command to a machine that hangs holds a dispatcher for its whole patience. It gets no further
+ * one, and no start, until it shows that it is reached; those behind it in the queue have their
+ * turn. */
 static void test_hanging_machine_blocks_one_sender_once(void **state)
 {
     (void)state;
@@ -819,12 +821,12 @@
     place("j-000001", 0, 100);
     commit();
     machine_t *machine =
-        partition_direct_take(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands);
+        partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands);
     assert_ptr_equal(machine, the_machine());
-    partition_direct_done(fixture->partition, "m-000001", fixture->commands, 7, DIRECT_UNANSWERED);
+    partition_finish_push(fixture->partition, "m-000001", fixture->commands, 7, PUSH_UNANSWERED);
     partition_end_job(fixture->partition, "j-000001"); /* wants a stop there */
     assert_null(
-        partition_direct_take(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands));
+        partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands));
     assert_null(partition_place(fixture->partition, &request, fixture->now));
     exchange();
     exchange();
@@ -904,11 +906,11 @@
 {
     (void)state;
     fill_machine();
-    placement_request_t urgent = request_of("j-000002", 0, 200, 4);
-    urgent.priority = PRIORITY_HIGH;
-    assert_null(partition_place(fixture->partition, &urgent, fixture->now));
-    urgent.may_preempt = true;
-    assert_non_null(partition_place(fixture->partition, &urgent, fixture->now));
+    placement_request_t flush_order = request_of("j-000002", 0, 200, 4);
+    flush_order.priority = PRIORITY_HIGH;
+    assert_null(partition_place(fixture->partition, &flush_order, fixture->now));
+    flush_order.may_preempt = true;
+    assert_non_null(partition_place(fixture->partition, &flush_order, fixture->now));
     commit();
     exchange();
     assert_int_equal(count_commands(COMMAND_STOP), 1);
@@ -998,15 +1000,15 @@
     place("j-000001", 0, 100);
     commit();
     GArray *late = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    assert_non_null(partition_direct_take(fixture->partition, G_MAXUINT32, fixture->now, late));
-    partition_direct_done(fixture->partition, "m-000001", late, 7, DIRECT_UNANSWERED);
+    assert_non_null(partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, late));
+    partition_finish_push(fixture->partition, "m-000001", late, 7, PUSH_UNANSWERED);
     partition_end_job(fixture->partition, "j-000001");
     for (guint i = 0; i < 16; i++) {
         exchange();
         commit();
         assert_int_equal(fixture->partition->results->len, 0);
     }
-    assert_true(fake_worker_direct(fixture->worker, 7, 1, late));
+    assert_true(fake_worker_push(fixture->worker, 7, 1, late));
     assert_int_equal(fake_worker_active(fixture->worker), 1);
     exchange();
     assert_int_equal(fake_worker_active(fixture->worker), 0);
@@ -1019,7 +1021,7 @@
     exchange();
     exchange();
     assert_int_equal(fixture->worker->attempts->len, 0);
-    assert_false(fake_worker_direct(fixture->worker, 7, 1, late));
+    assert_false(fake_worker_push(fixture->worker, 7, 1, late));
     assert_int_equal(fixture->worker->runs, 1);
     g_array_unref(late);
 }
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -474,7 +474,7 @@
     assert_int_equal(fake_kv_store_apply(store, late), KV_CONFLICT); /* carried out once more */
     assert_int_equal(g_hash_table_size(partition->attempts), 1);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    const machine_t *machine = partition_direct_take(partition, G_MAXUINT32, 1000, commands);
+    const machine_t *machine = partition_take_push(partition, G_MAXUINT32, 1000, commands);
     assert_string_equal(machine->address, "10.1.255.254:9000");
     assert_int_equal(commands->len, 0); /* asked, nothing sent */
     report_of("m-000001", "t16", 2);    /* from before the view */
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -98,7 +98,7 @@
 static void test_connections_stay_below_sockets_and_memory(void **state)
 {
     (void)state;
-    /* less 100 for calls of our own, and 16 senders' connections to workers: 6 and 16 each */
+    /* less 100 for calls of our own, and 16 dispatchers' connections to workers: 6 and 16 each */
     assert_int_equal(connections(600, 0), 404);
     assert_int_equal(connections(2537, 0), 2181);
     assert_int_equal(connections(2537, 188), 2181);
