--- a/src/app/api.c
+++ b/src/app/api.c
@@ -8,8 +8,8 @@
  * good now and then, in waiting for a thread that had ended.)
  *
  * Users' requests go straight against the key-value store; only a rate limiter stands between. What
- * a node has told a user, no node may take back: live answers are read afresh each time, and only
- * final states are kept. */
+ * a controller has told a user, no controller may take back: live answers are read afresh each
+ * time, and only final states are kept. */
 #include "app/api_internal.h"
 
 #include <arpa/inet.h>
@@ -28,24 +28,24 @@
         .status = status, .body = json_pack("{s:s}", "error", why), .retry_after_s = retry_after_s};
 }
 
-reply_t api_come_back(void)
+reply_t api_retry_later(void)
 {
     return api_refuse(HTTP_UNAVAILABLE, "the state service can't be asked now", 1);
 }
 
-static void count_reply(node_t *node, const reply_t *reply)
+static void count_reply(controller_t *controller, const reply_t *reply)
 {
     if (reply->status == HTTP_CREATED)
-        metrics_count(node->metrics, COUNT_SUBMITTED, 1);
+        metrics_count(controller->metrics, COUNT_SUBMITTED, 1);
     else if (reply->status == HTTP_TOO_MANY_REQUESTS || reply->status == HTTP_UNAVAILABLE)
-        metrics_count(node->metrics, COUNT_COME_BACK, 1);
+        metrics_count(controller->metrics, COUNT_RETRY_LATER, 1);
     else if (reply->status >= HTTP_BAD_REQUEST && reply->status != HTTP_MISDIRECTED)
-        metrics_count(node->metrics, COUNT_REFUSED, 1);
+        metrics_count(controller->metrics, COUNT_REFUSED, 1);
 }
 
 /* The answer to a heartbeat that calls for nothing: the same for all workers of a view, so each
  * thread of the HTTP server builds it once. */
-static struct MHD_Response *quiet_response(uint64_t fencing_token)
+static struct MHD_Response *unchanged_heartbeat_response(uint64_t fencing_token)
 {
     static _Thread_local struct MHD_Response *response;
     static _Thread_local uint64_t built_for;
@@ -67,7 +67,7 @@
 {
     if (reply.unchanged_fencing_token)
         return MHD_queue_response(connection, reply.status,
-                                  quiet_response(reply.unchanged_fencing_token));
+                                  unchanged_heartbeat_response(reply.unchanged_fencing_token));
     char *text =
         reply.body ? json_dumps(reply.body, JSON_COMPACT | JSON_REAL_PRECISION(9)) : reply.text;
     json_decref(reply.body);
@@ -89,7 +89,7 @@
 }
 
 /* Answered by the threads that hold the connections: nothing in it waits. */
-static bool is_quick(const char *path)
+static bool is_answered_without_waiting(const char *path)
 {
     return strcmp(path, "/hello") == 0 || strcmp(path, "/ready") == 0 ||
            strcmp(path, "/metrics") == 0;
@@ -99,7 +99,7 @@
 static void finish(request_t *request, reply_t reply)
 {
     request->reply = reply;
-    request->answered = true;
+    request->is_answered = true;
     MHD_resume_connection(request->connection);
 }
 
@@ -108,17 +108,17 @@
     return api_refuse(HTTP_UNAVAILABLE, "too many requests wait here", 1);
 }
 
-static void *answer_run(void *data)
+static void *request_worker_run(void *data)
 {
-    node_t *node = data;
+    controller_t *controller = data;
     for (;;) {
         request_t *request;
-        pthread_mutex_lock(&node->requests_lock);
-        node->answerers_free++;
-        while (!(request = request_queue_pop(&node->requests)))
-            pthread_cond_wait(&node->requests_come, &node->requests_lock);
-        node->answerers_free--;
-        pthread_mutex_unlock(&node->requests_lock);
+        pthread_mutex_lock(&controller->request_lock);
+        controller->idle_request_worker_count++;
+        while (!(request = request_queue_pop(&controller->request_queue)))
+            pthread_cond_wait(&controller->request_available, &controller->request_lock);
+        controller->idle_request_worker_count--;
+        pthread_mutex_unlock(&controller->request_lock);
         bool late = clock_steady() >= request->wait_deadline;
         reply_t reply =
             late ? refuse_expired() : api_route(request, request->method, request->path);
@@ -131,36 +131,38 @@
 /* Answers the requests that are given up while all others who answer are busy. */
 static void *expire_run(void *data)
 {
-    node_t *node = data;
-    pthread_mutex_lock(&node->requests_lock);
+    controller_t *controller = data;
+    pthread_mutex_lock(&controller->request_lock);
     for (;;) {
-        request_t *request = request_queue_pop_expired(&node->requests, clock_steady());
-        msec_t next = request_queue_next(&node->requests);
+        request_t *request = request_queue_pop_expired(&controller->request_queue, clock_steady());
+        msec_t next = request_queue_next(&controller->request_queue);
         struct timespec at = {.tv_sec = next / MS_PER_S, .tv_nsec = next % MS_PER_S * NS_PER_MS};
         if (request)
             finish(request, refuse_expired());
         else if (next == G_MAXINT64)
-            pthread_cond_wait(&node->requests_blocked, &node->requests_lock);
+            pthread_cond_wait(&controller->request_workers_busy, &controller->request_lock);
         else
-            pthread_cond_timedwait(&node->requests_blocked, &node->requests_lock, &at);
+            pthread_cond_timedwait(&controller->request_workers_busy, &controller->request_lock,
+                                   &at);
     }
     return NULL;
 }
 
 /* With the lock of the requests held: one more thread that answers, if all are busy. */
-static void start_answerer(node_t *node)
+static void start_request_worker(controller_t *controller)
 {
-    if (g_queue_get_length(&node->requests.waiting) <= node->answerers_free ||
-        node->answerers == API_THREADS_COUNT)
+    if (g_queue_get_length(&controller->request_queue.waiting) <=
+            controller->idle_request_worker_count ||
+        controller->request_worker_count == REQUEST_WORKERS_COUNT)
         return;
-    node->answerers++;
-    threads_start("answer", answer_run, node);
+    controller->request_worker_count++;
+    threads_start("request_worker", request_worker_run, controller);
 }
 
 /* Whether the request now waits in the queue; else it is answered at once. */
 static bool enqueue(request_t *request, const char *method, const char *path)
 {
-    node_t *node = request->node;
+    controller_t *controller = request->controller;
     if (g_strlcpy(request->method, method, sizeof request->method) >= sizeof request->method ||
         g_strlcpy(request->path, path, sizeof request->path) >= sizeof request->path) {
         request->reply = api_refuse(HTTP_NOT_FOUND, "no such path", 0);
@@ -169,16 +171,18 @@
     msec_t now = clock_steady();
     request->wait_deadline = now + API_WAIT_MS;
     request->deadline = now + (strcmp(method, "GET") == 0 ? API_STATUS_MS : API_SUBMIT_MS);
-    pthread_mutex_lock(&node->requests_lock);
-    bool has_space = request_queue_push(&node->requests, request, request->wait_deadline);
+    pthread_mutex_lock(&controller->request_lock);
+    bool has_space =
+        request_queue_push(&controller->request_queue, request, request->wait_deadline);
     if (has_space) {
         MHD_suspend_connection(request->connection); /* before one that answers can resume it */
-        start_answerer(node);
-        pthread_cond_signal(&node->requests_come);
-        if (g_queue_get_length(&node->requests.waiting) > node->answerers_free)
-            pthread_cond_signal(&node->requests_blocked);
+        start_request_worker(controller);
+        pthread_cond_signal(&controller->request_available);
+        if (g_queue_get_length(&controller->request_queue.waiting) >
+            controller->idle_request_worker_count)
+            pthread_cond_signal(&controller->request_workers_busy);
     }
-    pthread_mutex_unlock(&node->requests_lock);
+    pthread_mutex_unlock(&controller->request_lock);
     if (!has_space)
         request->reply = refuse_expired();
     return has_space;
@@ -193,32 +197,34 @@
     if (!request) {
         threads_adopt("http");
         request = g_new0(request_t, 1);
-        request->node = data;
+        request->controller = data;
         request->connection = connection;
         request->body = g_string_new(NULL);
         *context = request;
         return MHD_YES;
     }
     if (*upload_size) {
-        request->too_long = request->too_long || request->body->len + *upload_size > BODY_MAX_BYTES;
-        if (!request->too_long)
+        request->is_too_long =
+            request->is_too_long || request->body->len + *upload_size > BODY_MAX_BYTES;
+        if (!request->is_too_long)
             g_string_append_len(request->body, upload, (gssize)*upload_size);
         *upload_size = 0;
         return MHD_YES;
     }
-    node_t *node = data;
-    if (!request->answered) {
-        if (is_quick(path))
+    controller_t *controller = data;
+    if (!request->is_answered) {
+        if (is_answered_without_waiting(path))
             request->reply = api_route(request, method, path);
         else if (enqueue(request, method, path))
             return MHD_YES;
     }
-    request->answered = false;
-    count_reply(node, &request->reply);
+    request->is_answered = false;
+    count_reply(controller, &request->reply);
     /* A worker that finds no connection loses its lease, a user asks again: above three quarters of
      * the limit, users' connections are not kept. */
-    guint most = node->settings->connections;
-    bool crowded = atomic_load(&node->connections) > most - most / WORKER_CONNECTIONS_DIVISOR;
+    guint most = controller->settings->connections;
+    bool crowded =
+        atomic_load(&controller->open_connections) > most - most / WORKER_CONNECTIONS_DIVISOR;
     return send_reply(connection, request->reply, crowded && strcmp(path, "/hello") != 0);
 }
 
@@ -230,7 +236,7 @@
     (void)code;
     request_t *request = *context;
     if (request) {
-        if (request->answered) { /* its connection went meanwhile */
+        if (request->is_answered) { /* its connection went meanwhile */
             json_decref(request->reply.body);
             free(request->reply.text);
         }
@@ -243,28 +249,28 @@
 static void count_connection(void *data, struct MHD_Connection *connection, void **context,
                              enum MHD_ConnectionNotificationCode code)
 {
-    node_t *node = data;
+    controller_t *controller = data;
     (void)connection;
     (void)context;
-    atomic_fetch_add(&node->connections, code == MHD_CONNECTION_NOTIFY_STARTED ? 1 : -1);
+    atomic_fetch_add(&controller->open_connections, code == MHD_CONNECTION_NOTIFY_STARTED ? 1 : -1);
 }
 
-bool api_start(node_t *node)
+bool api_start(controller_t *controller)
 {
     struct sockaddr_in address = {.sin_family = AF_INET};
     char host[ADDRESS_BYTES];
-    const char *listen = node->settings->client_listen;
+    const char *listen = controller->settings->client_listen;
     const char *colon = strrchr(listen, ':');
     g_strlcpy(host, listen, (gsize)(colon - listen) + 1);
     inet_pton(AF_INET, host, &address.sin_addr);
     address.sin_port = htons((uint16_t)g_ascii_strtoull(colon + 1, NULL, DECIMAL));
-    threads_start("expire", expire_run, node);
+    threads_start("expire", expire_run, controller);
     struct MHD_Daemon *daemon = MHD_start_daemon(
         MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL,
-        handle, node, MHD_OPTION_SOCK_ADDR, &address, MHD_OPTION_THREAD_POOL_SIZE,
+        handle, controller, MHD_OPTION_SOCK_ADDR, &address, MHD_OPTION_THREAD_POOL_SIZE,
         (unsigned)HTTP_THREADS_COUNT, MHD_OPTION_NOTIFY_COMPLETED, completed, NULL,
-        MHD_OPTION_NOTIFY_CONNECTION, count_connection, node, MHD_OPTION_CONNECTION_LIMIT,
-        node->settings->connections, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+        MHD_OPTION_NOTIFY_CONNECTION, count_connection, controller, MHD_OPTION_CONNECTION_LIMIT,
+        controller->settings->connections, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
         (size_t)CONNECTION_BUFFER_BYTES, MHD_OPTION_THREAD_STACK_SIZE, (size_t)THREAD_STACK_BYTES,
         MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U,
         /* A peer behind a cut or hanging never closes: its sockets would add up to the limit. */
--- a/src/app/api_internal.h
+++ b/src/app/api_internal.h
@@ -7,7 +7,7 @@
 
 #include <microhttpd.h>
 
-#include "app/node.h"
+#include "app/controller.h"
 
 /* An answer to be sent; body may be NULL. */
 typedef struct reply {
@@ -23,16 +23,16 @@
  * connection or no answer by its deadline is given up, and its user told so at that moment: nobody
  * is kept waiting for an answer that is known already. */
 typedef struct request {
-    node_t *node;
+    controller_t *controller;
     GString *body; /* of a body that is too long, how it begins */
-    bool too_long;
+    bool is_too_long;
     struct MHD_Connection *connection;
     http_client_t *client; /* its connection to the key-value store; NULL: not yet */
     msec_t wait_deadline;  /* given up without such a connection by then */
     msec_t deadline;       /* given up without an answer of the key-value store by then */
     char method[METHOD_BYTES];
     char path[REQUEST_PATH_BYTES];
-    bool answered; /* reply stands; it was not sent yet */
+    bool is_answered; /* reply stands; it was not sent yet */
     reply_t reply;
 } request_t;
 
@@ -45,7 +45,7 @@
 /* An answer with a reason in its body. retry_after_s: 0: none. */
 reply_t api_refuse(unsigned status, const char *why, unsigned retry_after_s);
 /* The answer where the key-value store is needed and can't be asked. */
-reply_t api_come_back(void);
+reply_t api_retry_later(void);
 
 /* Routes (api_route.c). */
 
@@ -62,7 +62,7 @@
 kv_result_t api_commit(request_t *request, const kv_txn_t *txn, GPtrArray *failed);
 /* Every road on which a user can be told a final state begins here: it is known to the other
  * threads, and noted for the siblings, before it can be told. */
-job_state_t api_record_terminal_state(node_t *node, const char *id, bool done);
+job_state_t api_record_terminal_state(controller_t *controller, const char *id, bool done);
 /* Reads <prefix>/<id>. entry: api_entry_clear it. KV_NOT_EXECUTED also where the deadline has
  * passed.
  */
@@ -71,13 +71,14 @@
 /* A job goes from jobs/ to ended/ and never back: one that is found in neither, asked in that
  * order, had not been accepted when the first was asked. */
 job_state_t api_look_up(request_t *request, const char *id, bool likely_live);
-/* What this node knows without asking: a final state, or whether it is probably live. */
-job_state_t api_known_state(node_t *node, const char *id, bool *likely_live);
+/* What this controller knows without asking: a final state, or whether it is probably live. */
+job_state_t api_known_state(controller_t *controller, const char *id, bool *likely_live);
 
 /* Status (api_status.c). */
 
 /* The answer that tells a job's state. live_status: the HTTP status where it is live. */
-reply_t api_status_reply(node_t *node, const char *id, job_state_t state, unsigned live_status);
+reply_t api_status_reply(controller_t *controller, const char *id, job_state_t state,
+                         unsigned live_status);
 reply_t api_get_status(request_t *request, const char *id);
 /* Whether a question about a job, or its abort, has its answer without the key-value store: the id
  * is none, the job's final state is known here, or the key-value store can't be asked. */
@@ -91,14 +92,14 @@
 
 /* Workers' heartbeats (api_reports.c). */
 
-reply_t api_handle_worker_heartbeat(node_t *node, const request_t *request);
+reply_t api_handle_worker_heartbeat(controller_t *controller, const request_t *request);
 
 /* Health (api_health.c). */
 
 /* With the lock held: others are served, or may be: whoever asks here should ask there, at once. */
-bool api_is_shut_out(const node_t *node);
+bool api_is_isolated(const controller_t *controller);
 /* Requests that can't be answered without the key-value store don't wait for it in vain. */
-bool api_must_turn_away(node_t *node);
-reply_t api_ready(node_t *node);
+bool api_must_shed(controller_t *controller);
+reply_t api_ready(controller_t *controller);
 
 #endif
--- a/src/app/api_jobs.c
+++ b/src/app/api_jobs.c
@@ -13,19 +13,19 @@
  * repeat, whatever else it says. Reads for it are limited: anybody can send any number of these. */
 static reply_t reject(request_t *request, const char *id, reply_t reply)
 {
-    node_t *node = request->node;
+    controller_t *controller = request->controller;
     if (!wire_id_valid(id))
         return reply;
     reply_t known;
-    if (api_must_turn_away(node))
+    if (api_must_shed(controller))
         // NOLINTNEXTLINE(bugprone-branch-clone): the order of the questions counts
-        known = api_come_back();
-    else if (!rate_limiter_take(&node->api_rps, 1, clock_steady()))
+        known = api_retry_later();
+    else if (!rate_limiter_take(&controller->api_request_limiter, 1, clock_steady()))
         known = api_refuse(HTTP_TOO_MANY_REQUESTS, "too many requests", 2);
     else if (!api_acquire_client(request))
-        known = api_come_back();
+        known = api_retry_later();
     else
-        known = api_status_reply(node, id, api_look_up(request, id, true), HTTP_OK);
+        known = api_status_reply(controller, id, api_look_up(request, id, true), HTTP_OK);
     bool unknown = known.status == HTTP_NOT_FOUND;
     json_decref(unknown ? known.body : reply.body);
     return unknown ? reply : known;
@@ -40,19 +40,20 @@
            (team->max_gpus > 0 && tasks * spec->need.gpus > team->max_gpus + EPSILON);
 }
 
-static const char *find_quota_violation(node_t *node, const job_spec_t *spec, bool *undecided)
+static const char *find_quota_violation(controller_t *controller, const job_spec_t *spec,
+                                        bool *undecided)
 {
     const char *why = "unknown team";
-    pthread_mutex_lock(&node->lock);
-    *undecided = node->machine_types->len == 0;
-    for (guint i = 0; i < node->settings->teams->len; i++) {
-        const team_t *team = &g_array_index(node->settings->teams, team_t, i);
+    pthread_mutex_lock(&controller->lock);
+    *undecided = controller->machine_types->len == 0;
+    for (guint i = 0; i < controller->settings->teams->len; i++) {
+        const team_t *team = &g_array_index(controller->settings->teams, team_t, i);
         if (strcmp(team->name, spec->team) == 0)
             why = exceeds_quota(spec, team) ? "it needs more than the team's limit" : NULL;
     }
-    if (!why && !job_spec_fits_some(spec, node->machine_types))
+    if (!why && !job_spec_fits_some(spec, controller->machine_types))
         why = "a task fits no allowed machine type";
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_unlock(&controller->lock);
     return why;
 }
 
@@ -68,32 +69,32 @@
         return (reply_t){.status = HTTP_CREATED,
                          .body = wire_build_status(spec->id, "queued", 0, 0)};
     if (result == KV_NOT_EXECUTED)
-        return api_come_back();
+        return api_retry_later();
     if (result == KV_INVALID)
         return reject(request, spec->id,
                       api_refuse(HTTP_BAD_REQUEST, "too large to be recorded", 0));
     job_state_t state = api_look_up(request, spec->id, true);
     if (state == JOB_NEVER)
-        return api_come_back(); /* no answer, and not applied so far */
-    return api_status_reply(request->node, spec->id, state, HTTP_OK);
+        return api_retry_later(); /* no answer, and not applied so far */
+    return api_status_reply(request->controller, spec->id, state, HTTP_OK);
 }
 
 static reply_t submit_job(request_t *request, job_spec_t *spec)
 {
-    node_t *node = request->node;
+    controller_t *controller = request->controller;
     bool undecided = false;
-    const char *never = find_quota_violation(node, spec, &undecided);
+    const char *never = find_quota_violation(controller, spec, &undecided);
     if (undecided)
         return reject(request, spec->id,
                       api_refuse(HTTP_UNAVAILABLE, "the machine types are not known yet", 1));
     if (never)
         return reject(request, spec->id, api_refuse(HTTP_UNPROCESSABLE, never, 0));
-    if (api_must_turn_away(node))
-        return api_come_back();
-    if (!rate_limiter_take(&node->api_write, 1, clock_steady()))
+    if (api_must_shed(controller))
+        return api_retry_later();
+    if (!rate_limiter_take(&controller->api_write_limiter, 1, clock_steady()))
         return api_refuse(HTTP_TOO_MANY_REQUESTS, "too many submissions", 2);
     if (!api_acquire_client(request))
-        return api_come_back();
+        return api_retry_later();
     spec->submitted_ms = clock_day();
     return commit_job(request, spec);
 }
@@ -115,7 +116,7 @@
     char id[ID_BYTES];
     job_spec_t spec;
     reason_t why = {"a JSON object is expected"};
-    bool valid = !request->too_long && wire_parse_job(body, false, &spec, &why);
+    bool valid = !request->is_too_long && wire_parse_job(body, false, &spec, &why);
     read_id(partial, id, sizeof id);
     json_decref(body);
     json_decref(partial);
@@ -124,16 +125,16 @@
         job_spec_clear(&spec);
         return reply;
     }
-    return reject(
-        request, id,
-        api_refuse(HTTP_BAD_REQUEST, request->too_long ? "the body is over 64 KiB" : why.text, 0));
+    return reject(request, id,
+                  api_refuse(HTTP_BAD_REQUEST,
+                             request->is_too_long ? "the body is over 64 KiB" : why.text, 0));
 }
 
 reply_t api_submit(request_t *request)
 {
     msec_t begun = clock_steady();
     reply_t reply = submit(request);
-    metrics_time(request->node->metrics, TIME_SUBMIT, clock_steady() - begun);
+    metrics_time(request->controller->metrics, TIME_SUBMIT, clock_steady() - begun);
     return reply;
 }
 
@@ -141,8 +142,8 @@
                                 uint32_t tasks)
 {
     kv_txn_t txn = records_abort(id, revision, tasks);
-    rate_limiter_charge(&request->node->api_write, (double)json_array_size(txn.changes),
-                        clock_steady());
+    rate_limiter_charge(&request->controller->api_write_limiter,
+                        (double)json_array_size(txn.changes), clock_steady());
     kv_result_t result = api_commit(request, &txn, NULL);
     kv_txn_free(&txn);
     return result;
@@ -150,25 +151,26 @@
 
 static reply_t abort_with(request_t *request, const char *id)
 {
-    node_t *node = request->node;
+    controller_t *controller = request->controller;
     kv_entry_t entry = {0};
     kv_result_t result = api_read_key(request, "jobs", id, &entry);
     if (result != KV_OK && result != KV_NOT_FOUND)
-        return api_come_back();
+        return api_retry_later();
     if (result == KV_OK) {
         uint32_t tasks = (uint32_t)json_integer_value(json_object_get(entry.value, "Pieces"));
         result = commit_abort(request, id, entry.revision, tasks);
         api_entry_clear(&entry);
         if (result == KV_OK) {
             log_info("event=job_cancelled job=%s", id);
-            return api_status_reply(node, id, api_record_terminal_state(node, id, false), HTTP_OK);
+            return api_status_reply(controller, id,
+                                    api_record_terminal_state(controller, id, false), HTTP_OK);
         }
         if (result != KV_CONFLICT && result != KV_INDETERMINATE)
-            return api_come_back();
+            return api_retry_later();
     }
     /* It ended meanwhile, or the answer was lost: only a final state may be told. */
     job_state_t state = api_look_up(request, id, true);
-    return state == JOB_LIVE ? api_come_back() : api_status_reply(node, id, state, HTTP_OK);
+    return state == JOB_LIVE ? api_retry_later() : api_status_reply(controller, id, state, HTTP_OK);
 }
 
 reply_t api_abort(request_t *request, const char *id)
@@ -177,5 +179,5 @@
     reply_t reply;
     if (api_answer_at_once(request, id, &likely_live, &reply))
         return reply;
-    return api_acquire_client(request) ? abort_with(request, id) : api_come_back();
+    return api_acquire_client(request) ? abort_with(request, id) : api_retry_later();
 }
--- a/src/app/api_route.c
+++ b/src/app/api_route.c
@@ -25,16 +25,16 @@
 
 reply_t api_route(request_t *request, const char *method, const char *path)
 {
-    node_t *node = request->node;
+    controller_t *controller = request->controller;
     static const char runs[] = "/v2/runs/";
     if (strcmp(path, "/hello") == 0 && strcmp(method, "POST") == 0)
-        return api_handle_worker_heartbeat(node, request);
+        return api_handle_worker_heartbeat(controller, request);
     if (strcmp(path, "/ready") == 0 && strcmp(method, "GET") == 0)
-        return api_ready(node);
+        return api_ready(controller);
     if (strcmp(path, "/v2/runs") == 0 && strcmp(method, "POST") == 0)
         return api_submit(request);
     if (strcmp(path, "/metrics") == 0 && strcmp(method, "GET") == 0)
-        return (reply_t){.status = HTTP_OK, .text = metrics_text(node->metrics)};
+        return (reply_t){.status = HTTP_OK, .text = metrics_text(controller->metrics)};
     if (g_str_has_prefix(path, runs))
         return route_run(request, method, path + strlen(runs));
     return api_refuse(HTTP_NOT_FOUND, "no such path", 0);
--- a/src/app/api_state.c
+++ b/src/app/api_state.c
@@ -6,29 +6,31 @@
 
 bool api_acquire_client(request_t *request)
 {
-    node_t *node = request->node;
+    controller_t *controller = request->controller;
     msec_t now = clock_steady();
-    pthread_mutex_lock(&node->lock);
-    while (!request->client && node->api_clients_free == 0 && now < request->wait_deadline) {
-        node_wait(node, &node->clients, request->wait_deadline - now);
+    pthread_mutex_lock(&controller->lock);
+    while (!request->client && controller->free_api_kv_clients == 0 &&
+           now < request->wait_deadline) {
+        controller_wait(controller, &controller->api_kv_client_available,
+                        request->wait_deadline - now);
         now = clock_steady();
     }
-    if (!request->client && node->api_clients_free > 0)
-        request->client = node->api_clients[--node->api_clients_free];
-    pthread_mutex_unlock(&node->lock);
+    if (!request->client && controller->free_api_kv_clients > 0)
+        request->client = controller->api_kv_clients[--controller->free_api_kv_clients];
+    pthread_mutex_unlock(&controller->lock);
     return request->client != NULL;
 }
 
 void api_release_client(request_t *request)
 {
-    node_t *node = request->node;
+    controller_t *controller = request->controller;
     if (!request->client)
         return;
-    pthread_mutex_lock(&node->lock);
-    node->api_clients[node->api_clients_free++] = request->client;
+    pthread_mutex_lock(&controller->lock);
+    controller->api_kv_clients[controller->free_api_kv_clients++] = request->client;
     request->client = NULL;
-    pthread_cond_signal(&node->clients);
-    pthread_mutex_unlock(&node->lock);
+    pthread_cond_signal(&controller->api_kv_client_available);
+    pthread_mutex_unlock(&controller->lock);
 }
 
 /* How long the next call to the key-value store may take; 0: it is not worth asking. */
@@ -39,19 +41,19 @@
 
 kv_result_t api_commit(request_t *request, const kv_txn_t *txn, GPtrArray *failed)
 {
-    node_t *node = request->node;
+    controller_t *controller = request->controller;
     long timeout_ms = call_ms(request);
     if (timeout_ms == 0)
         return KV_NOT_EXECUTED;
-    rate_limiter_charge(&node->api_rps, 1, clock_steady());
-    return kv_commit(&node->kv_store, request->client, txn, timeout_ms, NULL, failed);
+    rate_limiter_charge(&controller->api_request_limiter, 1, clock_steady());
+    return kv_commit(&controller->kv_store, request->client, txn, timeout_ms, NULL, failed);
 }
 
-job_state_t api_record_terminal_state(node_t *node, const char *id, bool done)
+job_state_t api_record_terminal_state(controller_t *controller, const char *id, bool done)
 {
-    pthread_mutex_lock(&node->lock);
-    node_record_terminal_state(node, id, done);
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_lock(&controller->lock);
+    job_directory_record_terminal(controller, id, done);
+    pthread_mutex_unlock(&controller->lock);
     return done ? JOB_DONE : JOB_CANCELLED;
 }
 
@@ -62,8 +64,8 @@
     if (timeout_ms == 0)
         return KV_NOT_EXECUTED;
     g_snprintf(key, sizeof key, "%s/%s", prefix, id);
-    rate_limiter_charge(&request->node->api_rps, 1, clock_steady());
-    return kv_get(&request->node->kv_store, request->client, key, timeout_ms, entry);
+    rate_limiter_charge(&request->controller->api_request_limiter, 1, clock_steady());
+    return kv_get(&request->controller->kv_store, request->client, key, timeout_ms, entry);
 }
 
 void api_entry_clear(kv_entry_t *entry)
@@ -84,7 +86,7 @@
     const char *state = json_string_value(json_object_get(entry.value, "Trim"));
     bool done = g_strcmp0(state, "done") == 0;
     api_entry_clear(&entry);
-    return api_record_terminal_state(request->node, id, done);
+    return api_record_terminal_state(request->controller, id, done);
 }
 
 static job_state_t read_live(request_t *request, const char *id)
@@ -105,13 +107,13 @@
     return state;
 }
 
-job_state_t api_known_state(node_t *node, const char *id, bool *likely_live)
+job_state_t api_known_state(controller_t *controller, const char *id, bool *likely_live)
 {
-    pthread_mutex_lock(&node->lock);
+    pthread_mutex_lock(&controller->lock);
     terminal_state_t ended =
-        (terminal_state_t)GPOINTER_TO_INT(g_hash_table_lookup(node->terminal_states, id));
-    *likely_live = g_hash_table_contains(node->jobs, id);
-    pthread_mutex_unlock(&node->lock);
+        (terminal_state_t)GPOINTER_TO_INT(g_hash_table_lookup(controller->terminal_states, id));
+    *likely_live = g_hash_table_contains(controller->live_jobs, id);
+    pthread_mutex_unlock(&controller->lock);
     return ended == TERMINAL_UNKNOWN ? JOB_UNKNOWN
            : ended == TERMINAL_DONE  ? JOB_DONE
                                      : JOB_CANCELLED;
--- a/src/app/api_worker_heartbeats.c
+++ b/src/app/api_worker_heartbeats.c
@@ -5,32 +5,32 @@
 #include "io/wire.h"
 #include "log.h"
 
-/* Whether the owner is in reach of workers of the zone, as far as this node can tell. Cuts go
- * between zones or round a node: what this node or the owner reaches within the worker's zone, the
- * worker reaches too. */
-static bool owner_is_reachable(const node_t *node, const member_t *owner, const char *zone,
-                               msec_t now)
+/* Whether the owner is in reach of workers of the zone, as far as this controller can tell. Cuts go
+ * between zones or round a controller: what this controller or the owner reaches within the
+ * worker's zone, the worker reaches too. */
+static bool owner_is_reachable(const controller_t *controller, const member_t *owner,
+                               const char *zone, msec_t now)
 {
-    if (strcmp(zone, node->settings->zone) != 0 && strcmp(zone, owner->zone) != 0)
+    if (strcmp(zone, controller->settings->zone) != 0 && strcmp(zone, owner->zone) != 0)
         return false;
-    for (guint i = 0; i < node->settings->siblings->len; i++) {
-        const sibling_t *sibling = &g_array_index(node->settings->siblings, sibling_t, i);
+    for (guint i = 0; i < controller->settings->siblings->len; i++) {
+        const sibling_t *sibling = &g_array_index(controller->settings->siblings, sibling_t, i);
         if (strcmp(sibling->name, owner->name) == 0)
-            return redirection_owner_is_healthy(&node->sibling_health[i], now);
+            return redirection_owner_is_healthy(&controller->sibling_health[i], now);
     }
     return false;
 }
 
-/* A worker that this node does not own: sent to the owner or, if it can't reach that, kept alive
- * here: no starts, but stops for what is cancelled. */
-static reply_t redirect_worker(node_t *node, const worker_heartbeat_t *heartbeat,
+/* A worker that this controller does not own: sent to the owner or, if it can't reach that, kept
+ * alive here: no starts, but stops for what is cancelled. */
+static reply_t redirect_worker(controller_t *controller, const worker_heartbeat_t *heartbeat,
                                const member_t *owner, msec_t now)
 {
     char key[KV_KEY_BYTES];
     g_snprintf(key, sizeof key, "%s#%" G_GUINT64_FORMAT, owner->name, owner->incarnation);
-    bool is_reachable = owner_is_reachable(node, owner, heartbeat->zone, now);
+    bool is_reachable = owner_is_reachable(controller, owner, heartbeat->zone, now);
     redirection_verdict_t verdict =
-        redirection_handle_heartbeat(node->redirection, heartbeat, key, is_reachable, now);
+        redirection_handle_heartbeat(controller->redirection, heartbeat, key, is_reachable, now);
     if (verdict == REDIRECTION_DUPLICATE)
         return api_refuse(HTTP_UNAVAILABLE, "an old heartbeat", 0);
     if (verdict == REDIRECTION_TO_OWNER)
@@ -38,8 +38,9 @@
                          .body = json_pack("{s:s}", "Bosun", owner->name)};
     log_debug("event=worker_retained machine=%s", heartbeat->machine);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    redirection_stop_ended(heartbeat, node->jobs, commands);
-    reply_t reply = {.status = HTTP_OK, .body = wire_build_commands(node->view.number, commands)};
+    redirection_stop_ended(heartbeat, controller->live_jobs, commands);
+    reply_t reply = {.status = HTTP_OK,
+                     .body = wire_build_commands(controller->view.number, commands)};
     g_array_unref(commands);
     return reply;
 }
@@ -47,67 +48,70 @@
 /* An answer renews the lease of all that runs there, so it always stops what users were told is
  * cancelled: also where the partition is not loaded, for as long as the key-value store is away,
  * and where nothing is taken of the heartbeat. */
-static reply_t answer_own(node_t *node, const worker_heartbeat_t *heartbeat, msec_t now)
+static reply_t answer_own(controller_t *controller, const worker_heartbeat_t *heartbeat, msec_t now)
 {
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     heartbeat_verdict_t verdict = HEARTBEAT_UNVERIFIED;
     reply_t reply;
-    uint64_t changes = node->partition ? node->partition->changes : 0;
-    if (node->is_loaded) {
-        partition_pause_starts(node->partition, !node_may_start(node, now));
-        verdict = partition_handle_heartbeat(node->partition, heartbeat, false, now, commands);
+    uint64_t changes = controller->partition ? controller->partition->changes : 0;
+    if (controller->is_loaded) {
+        partition_pause_starts(controller->partition, !controller_may_start(controller, now));
+        verdict =
+            partition_handle_heartbeat(controller->partition, heartbeat, false, now, commands);
     }
     if (verdict == HEARTBEAT_ACCEPTED)
-        node->worker_heartbeat_at = now;
+        controller->worker_heartbeat_at = now;
     if (verdict == HEARTBEAT_DUPLICATE) {
         reply = api_refuse(HTTP_UNAVAILABLE, "an old heartbeat", 0);
     } else {
         if (verdict != HEARTBEAT_ACCEPTED)
-            redirection_stop_ended(heartbeat, node->jobs, commands);
-        reply = commands->len
-                    ? (reply_t){.status = HTTP_OK,
-                                .body = wire_build_commands(node->view.number, commands)}
-                    : (reply_t){.status = HTTP_OK, .unchanged_fencing_token = node->view.number};
+            redirection_stop_ended(heartbeat, controller->live_jobs, commands);
+        reply =
+            commands->len
+                ? (reply_t){.status = HTTP_OK,
+                            .body = wire_build_commands(controller->view.number, commands)}
+                : (reply_t){.status = HTTP_OK, .unchanged_fencing_token = controller->view.number};
     }
-    if (node->partition && node->partition->changes != changes)
-        node_notify_placement(node);
+    if (controller->partition && controller->partition->changes != changes)
+        controller_notify_placement(controller);
     g_array_unref(commands);
     return reply;
 }
 
-static reply_t handle_heartbeat(node_t *node, const worker_heartbeat_t *heartbeat)
+static reply_t handle_heartbeat(controller_t *controller, const worker_heartbeat_t *heartbeat)
 {
     msec_t now = clock_steady();
-    metrics_count(node->metrics, COUNT_WORKER_HEARTBEATS, 1);
-    /* A higher fencing token is out: this node's view is old, and a 200 from it would be dropped
-     * while it holds the worker here. Silence about aborts ends the answers as well. */
-    if (node->view.count == 0 ||
-        MAX(heartbeat->fencing_token, node->highest_view_seen) > node->view.number)
+    metrics_count(controller->metrics, COUNT_WORKER_HEARTBEATS, 1);
+    /* A higher fencing token is out: this controller's view is old, and a 200 from it would be
+     * dropped while it holds the worker here. Silence about aborts ends the answers as well. */
+    if (controller->view.count == 0 ||
+        MAX(heartbeat->fencing_token, controller->highest_view_seen) > controller->view.number)
         return api_refuse(HTTP_UNAVAILABLE, "not entitled now", 0);
-    if (!node_may_renew(node, now)) {
+    if (!controller_may_renew_leases(controller, now)) {
         /* It lives, though its lease may not be renewed: after an outage, machines that were only
          * refused must not be taken for dead. */
-        if (node->is_loaded)
-            partition_record_unanswered_heartbeat(node->partition, heartbeat, now);
+        if (controller->is_loaded)
+            partition_record_unanswered_heartbeat(controller->partition, heartbeat, now);
         return api_refuse(HTTP_UNAVAILABLE, "not entitled now", 0);
     }
-    guint owner = node_owner(node, heartbeat->machine, heartbeat->zone);
-    metrics_count(node->metrics, COUNT_WORKER_HEARTBEATS_NOT_OWNED, owner != node->own_index);
-    if (owner != node->own_index)
-        return redirect_worker(node, heartbeat, &node->view.members[owner], now);
-    return answer_own(node, heartbeat, now);
+    guint owner = controller_owner_index(controller, heartbeat->machine, heartbeat->zone);
+    metrics_count(controller->metrics, COUNT_WORKER_HEARTBEATS_NOT_OWNED,
+                  owner != controller->own_index);
+    if (owner != controller->own_index)
+        return redirect_worker(controller, heartbeat, &controller->view.members[owner], now);
+    return answer_own(controller, heartbeat, now);
 }
 
-reply_t api_handle_worker_heartbeat(node_t *node, const request_t *request)
+reply_t api_handle_worker_heartbeat(controller_t *controller, const request_t *request)
 {
     worker_heartbeat_t heartbeat;
     reason_t why = {"too long"};
-    if (request->too_long ||
+    if (request->is_too_long ||
         !wire_parse_worker_heartbeat(request->body->str, request->body->len, &heartbeat, &why))
         return api_refuse(HTTP_BAD_REQUEST, why.text, 0);
-    pthread_mutex_lock(&node->lock);
-    reply_t reply = handle_heartbeat(node, &heartbeat);
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_lock(&controller->lock);
+    reply_t reply = handle_heartbeat(controller, &heartbeat);
+    pthread_mutex_unlock(&controller->lock);
     worker_heartbeat_clear(&heartbeat);
     return reply;
 }
--- a/src/app/cloud.c
+++ b/src/app/cloud.c
@@ -1,4 +1,4 @@
-/* The loop of the cloud: machine types for every node; for the leader the list of machines,
+/* The loop of the cloud: machine types for every controller; for the leader the list of machines,
  * scale-out requests and returns. */
 #include "app/cloud_internal.h"
 
@@ -11,20 +11,20 @@
                json_t **answer)
 {
     char url[URL_BYTES];
-    g_snprintf(url, sizeof url, "http://%s%s", cloud->node->settings->cloud_address, path);
+    g_snprintf(url, sizeof url, "http://%s%s", cloud->controller->settings->cloud_address, path);
     return http_call(cloud->client, method, url, body, CLOUD_TIMEOUT_MS, answer);
 }
 
-static void take_machine_types(node_t *node, GArray *machine_types)
+static void take_machine_types(controller_t *controller, GArray *machine_types)
 {
-    for (guint i = 0; i < node->machine_types->len; i++)
-        g_strfreev(g_array_index(node->machine_types, machine_type_t, i).zones);
-    g_array_set_size(node->machine_types, 0);
-    g_array_append_vals(node->machine_types, machine_types->data, machine_types->len);
+    for (guint i = 0; i < controller->machine_types->len; i++)
+        g_strfreev(g_array_index(controller->machine_types, machine_type_t, i).zones);
+    g_array_set_size(controller->machine_types, 0);
+    g_array_append_vals(controller->machine_types, machine_types->data, machine_types->len);
     /* The zones' lists moved along with the values. */
     g_array_set_clear_func(machine_types, NULL);
-    if (node->partition)
-        partition_apply_machine_types(node->partition);
+    if (controller->partition)
+        partition_apply_machine_types(controller->partition);
 }
 
 static void refresh_machine_types(cloud_t *cloud)
@@ -33,9 +33,9 @@
     if (cloud_call(cloud, "GET", "/flavors", NULL, &answer) == HTTP_OK) {
         GArray *machine_types = wire_parse_machine_types(answer);
         if (machine_types && machine_types->len) {
-            pthread_mutex_lock(&cloud->node->lock);
-            take_machine_types(cloud->node, machine_types);
-            pthread_mutex_unlock(&cloud->node->lock);
+            pthread_mutex_lock(&cloud->controller->lock);
+            take_machine_types(cloud->controller, machine_types);
+            pthread_mutex_unlock(&cloud->controller->lock);
             cloud->machine_types_at = clock_steady();
         }
         if (machine_types)
@@ -44,10 +44,11 @@
     json_decref(answer);
 }
 
-const machine_summary_t *cloud_find_summary(const node_t *node, const char *id, guint *partition)
+const machine_summary_t *cloud_find_summary(const controller_t *controller, const char *id,
+                                            guint *partition)
 {
-    for (guint i = 0; i < node->leader->summaries->len; i++) {
-        const GArray *summaries = g_ptr_array_index(node->leader->summaries, i);
+    for (guint i = 0; i < controller->leader->summaries->len; i++) {
+        const GArray *summaries = g_ptr_array_index(controller->leader->summaries, i);
         for (guint k = 0; summaries && k < summaries->len; k++) {
             const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
             if (strcmp(summary->machine, id) != 0)
@@ -60,53 +61,53 @@
     return NULL;
 }
 
-bool cloud_leads(const node_t *node)
+bool cloud_leads(const controller_t *controller)
 {
-    return node->is_loaded && node->is_leader &&
-           election_may_act(&node->view, node->highest_view_seen, node->views_complete_until,
-                            clock_steady());
+    return controller->is_loaded && controller->is_leader &&
+           election_may_act(&controller->view, controller->highest_view_seen,
+                            controller->views_complete_until, clock_steady());
 }
 
 bool cloud_is_recently_terminated(const cloud_t *cloud, const char *id, msec_t now)
 {
     const msec_t *at = g_hash_table_lookup(cloud->recently_terminated, id);
-    return at &&
-           now - *at < (msec_t)(cloud->node->settings->list_lag_s * 2 * MS_PER_S) + LEADER_GRACE_MS;
+    return at && now - *at < (msec_t)(cloud->controller->settings->list_lag_s * 2 * MS_PER_S) +
+                                 LEADER_GRACE_MS;
 }
 
-void cloud_send_machine_item(node_t *node, guint partition, channel_item_kind_t kind,
+void cloud_send_machine_item(controller_t *controller, guint partition, channel_item_kind_t kind,
                              const char *id)
 {
     channel_item_t item = {.kind = kind};
     g_strlcpy(item.machine, id, sizeof item.machine);
-    node_send(node, partition, item);
+    controller_send_item(controller, partition, item);
 }
 
 /* One that has just begun to lead waits no longer: queues may have no machine yet. */
-static void wait_for_round(node_t *node, msec_t gap)
+static void wait_for_round(controller_t *controller, msec_t gap)
 {
-    pthread_mutex_lock(&node->lock);
-    node_wait(node, &node->cloud_work, gap);
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_lock(&controller->lock);
+    controller_wait(controller, &controller->autoscaler_ready, gap);
+    pthread_mutex_unlock(&controller->lock);
 }
 
 void *cloud_run(void *data)
 {
     cloud_t cloud = {
-        .node = data,
+        .controller = data,
         .client = http_client_new(2),
         .listed_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
         .failed_machines = g_ptr_array_new_with_free_func(g_free),
         .recently_terminated = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free)};
-    node_t *node = cloud.node;
-    msec_t gap = MAX(CLOUD_GAP_MS, (msec_t)(CLOUD_ROUND_MS / node->settings->cloud_rps));
+    controller_t *controller = cloud.controller;
+    msec_t gap = MAX(CLOUD_GAP_MS, (msec_t)(CLOUD_ROUND_MS / controller->settings->cloud_rps));
     for (;;) {
         msec_t now = clock_steady();
         if (cloud.machine_types_at == 0 || now - cloud.machine_types_at > MACHINE_TYPES_MS)
             refresh_machine_types(&cloud);
-        pthread_mutex_lock(&node->lock);
-        bool is_leader = cloud_leads(node);
-        pthread_mutex_unlock(&node->lock);
+        pthread_mutex_lock(&controller->lock);
+        bool is_leader = cloud_leads(controller);
+        pthread_mutex_unlock(&controller->lock);
         if (is_leader && now - cloud.listed_at > CLOUD_LIST_GAP_MS) {
             cloud_refresh_hosts(&cloud);
             cloud_exclude_members(&cloud, now);
@@ -117,8 +118,9 @@
             has_changed = cloud_scale_out(&cloud);
             has_changed = cloud_scale_in(&cloud) || has_changed;
         }
-        msec_t quiet_gap = is_leader ? node_paced(node, gap) : MAX(gap, CLOUD_IDLE_GAP_MS);
-        wait_for_round(node, has_changed ? gap : quiet_gap);
+        msec_t quiet_gap =
+            is_leader ? controller_paced(controller, gap) : MAX(gap, CLOUD_IDLE_GAP_MS);
+        wait_for_round(controller, has_changed ? gap : quiet_gap);
     }
     return NULL;
 }
--- a/src/app/cloud_listing.c
+++ b/src/app/cloud_listing.c
@@ -39,8 +39,8 @@
 
 static void take_hosts(cloud_t *cloud, const GArray *hosts, msec_t now)
 {
-    node_t *node = cloud->node;
-    GHashTable *known = known_machines(node->leader);
+    controller_t *controller = cloud->controller;
+    GHashTable *known = known_machines(controller->leader);
     g_hash_table_remove_all(cloud->listed_machines);
     g_ptr_array_set_size(cloud->failed_machines, 0);
     for (guint i = 0; i < hosts->len; i++) {
@@ -50,16 +50,16 @@
             g_ptr_array_add(cloud->failed_machines, g_strdup(host->machine));
         else if (!g_hash_table_contains(known, host->machine) &&
                  !cloud_is_recently_terminated(cloud, host->machine, now)) /* else the list lags */
-            autoscaler_add_booting(node->autoscaler, host->machine, host->type, host->zone,
-                                   host->spot,
-                                   MAX(now - (msec_t)(host->age_s * MS_PER_S), node->loaded_at));
+            autoscaler_add_booting(
+                controller->autoscaler, host->machine, host->type, host->zone, host->spot,
+                MAX(now - (msec_t)(host->age_s * MS_PER_S), controller->loaded_at));
     }
     /* What was scaled out long enough ago to be listed and is not, was taken while it booted. */
     GHashTableIter iter;
     gpointer key;
     gpointer value;
-    msec_t lag = (msec_t)(node->settings->list_lag_s * 2 * MS_PER_S) + LEADER_GRACE_MS;
-    g_hash_table_iter_init(&iter, node->autoscaler->booting_instances);
+    msec_t lag = (msec_t)(controller->settings->list_lag_s * 2 * MS_PER_S) + LEADER_GRACE_MS;
+    g_hash_table_iter_init(&iter, controller->autoscaler->booting_instances);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
         const booting_instance_t *booting = value;
         if (g_hash_table_contains(known, key) ||
@@ -72,13 +72,13 @@
 
 void cloud_refresh_hosts(cloud_t *cloud)
 {
-    node_t *node = cloud->node;
+    controller_t *controller = cloud->controller;
     GArray *hosts = g_array_new(FALSE, FALSE, sizeof(host_t));
     if (read_hosts(cloud, hosts)) {
-        pthread_mutex_lock(&node->lock);
-        if (cloud_leads(node))
+        pthread_mutex_lock(&controller->lock);
+        if (cloud_leads(controller))
             take_hosts(cloud, hosts, clock_steady());
-        pthread_mutex_unlock(&node->lock);
+        pthread_mutex_unlock(&controller->lock);
         cloud->listed_at = clock_steady();
     }
     g_array_unref(hosts);
--- a/src/app/cloud_members.c
+++ b/src/app/cloud_members.c
@@ -1,5 +1,5 @@
-/* Controllers that their workers can't reach: what each node retains of the workers of others is
- * published, and the leader excludes members by it. */
+/* Controllers that their workers can't reach: what each controller retains of the workers of others
+ * is published, and the leader excludes members by it. */
 #include "app/cloud_internal.h"
 
 #include "io/clock.h"
@@ -9,8 +9,9 @@
 {
     GHashTable *retained = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     GArray *entries = kv_entries_new();
-    rate_limiter_charge(&cloud->node->core_rps, 1, clock_steady());
-    kv_result_t result = kv_list(&cloud->node->kv_store, cloud->client, "kept/", entries, NULL);
+    rate_limiter_charge(&cloud->controller->core_request_limiter, 1, clock_steady());
+    kv_result_t result =
+        kv_list(&cloud->controller->kv_store, cloud->client, "kept/", entries, NULL);
     int64_t day = clock_day();
     for (guint i = 0; result == KV_OK && i < entries->len; i++) {
         const json_t *value = g_array_index(entries, kv_entry_t, i).value;
@@ -27,27 +28,27 @@
         return NULL;
     }
     /* Our own list there is seconds old. */
-    pthread_mutex_lock(&cloud->node->lock);
-    redirection_add_retained(cloud->node->redirection, clock_steady(), retained);
-    pthread_mutex_unlock(&cloud->node->lock);
+    pthread_mutex_lock(&cloud->controller->lock);
+    redirection_add_retained(cloud->controller->redirection, clock_steady(), retained);
+    pthread_mutex_unlock(&cloud->controller->lock);
     return retained;
 }
 
-msec_t cloud_lost_after(const node_t *node)
+msec_t cloud_lost_after(const controller_t *controller)
 {
-    return MAX(LOST_SILENT_MS,
-               (msec_t)(node->settings->heartbeat_interval_s * REPORT_SPREAD_FACTOR * MS_PER_S) +
-                   2 * (msec_t)HEARTBEAT_LATE_MS);
+    return MAX(LOST_SILENT_MS, (msec_t)(controller->settings->heartbeat_interval_s *
+                                        REPORT_SPREAD_FACTOR * MS_PER_S) +
+                                   2 * (msec_t)HEARTBEAT_LATE_MS);
 }
 
 /* With the lock held: machines of a partition that have gone silent, if they are most of it. */
-static GPtrArray *lost_of(const node_t *node, guint partition)
+static GPtrArray *lost_of(const controller_t *controller, guint partition)
 {
-    const GArray *summaries = g_ptr_array_index(node->leader->summaries, partition);
+    const GArray *summaries = g_ptr_array_index(controller->leader->summaries, partition);
     GPtrArray *lost = g_ptr_array_new_with_free_func(g_free);
     for (guint k = 0; summaries && k < summaries->len; k++) {
         const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
-        if (summary->silent_ms > cloud_lost_after(node))
+        if (summary->silent_ms > cloud_lost_after(controller))
             g_ptr_array_add(lost, g_strdup(summary->machine));
     }
     if (lost->len < LOST_MACHINES_MIN_COUNT || 2 * lost->len <= summaries->len)
@@ -57,20 +58,22 @@
 
 void cloud_exclude_members(cloud_t *cloud, msec_t now)
 {
-    node_t *node = cloud->node;
+    controller_t *controller = cloud->controller;
     GHashTable *retained = NULL;
     guint partitions = 0;
-    pthread_mutex_lock(&node->lock);
-    uint64_t generation = node->generation;
+    pthread_mutex_lock(&controller->lock);
+    uint64_t generation = controller->data_generation;
     /* In a view's first seconds, workers are still on their way to their owners. */
-    partitions = cloud_leads(node) && now - node->loaded_at > 2 * cloud_lost_after(node)
-                     ? node->view.count
-                     : 0;
-    pthread_mutex_unlock(&node->lock);
+    partitions =
+        cloud_leads(controller) && now - controller->loaded_at > 2 * cloud_lost_after(controller)
+            ? controller->view.count
+            : 0;
+    pthread_mutex_unlock(&controller->lock);
     for (guint i = 0; i < partitions; i++) {
-        pthread_mutex_lock(&node->lock);
-        GPtrArray *lost = node->generation == generation ? lost_of(node, i) : g_ptr_array_new();
-        pthread_mutex_unlock(&node->lock);
+        pthread_mutex_lock(&controller->lock);
+        GPtrArray *lost =
+            controller->data_generation == generation ? lost_of(controller, i) : g_ptr_array_new();
+        pthread_mutex_unlock(&controller->lock);
         if (lost->len && !retained)
             retained = cloud_read_retained(cloud);
         guint alive = 0;
@@ -78,15 +81,16 @@
             alive += g_hash_table_contains(retained, g_ptr_array_index(lost, k));
         if (lost->len && 2 * alive > lost->len) {
             msec_t until = now + EXCLUDED_MS;
-            pthread_mutex_lock(&node->lock);
-            if (node->generation == generation) {
-                log_info("event=member_excluded member=%s machines=%u", node->view.members[i].name,
-                         alive);
-                g_hash_table_insert(node->election.excluded, g_strdup(node->view.members[i].name),
+            pthread_mutex_lock(&controller->lock);
+            if (controller->data_generation == generation) {
+                log_info("event=member_excluded member=%s machines=%u",
+                         controller->view.members[i].name, alive);
+                g_hash_table_insert(controller->election.excluded,
+                                    g_strdup(controller->view.members[i].name),
                                     g_memdup2(&until, sizeof until));
-                pthread_cond_broadcast(&node->members);
+                pthread_cond_broadcast(&controller->membership_changed);
             }
-            pthread_mutex_unlock(&node->lock);
+            pthread_mutex_unlock(&controller->lock);
         }
         g_ptr_array_unref(lost);
     }
@@ -96,11 +100,11 @@
 
 void cloud_publish_retained(cloud_t *cloud, msec_t now)
 {
-    node_t *node = cloud->node;
+    controller_t *controller = cloud->controller;
     json_t *names = json_array();
-    pthread_mutex_lock(&node->lock);
-    GPtrArray *retained = redirection_retained(node->redirection, now);
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_lock(&controller->lock);
+    GPtrArray *retained = redirection_retained(controller->redirection, now);
+    pthread_mutex_unlock(&controller->lock);
     for (guint i = 0; i < retained->len; i++)
         json_array_append_new(names, json_string(g_ptr_array_index(retained, i)));
     g_ptr_array_unref(retained);
@@ -113,11 +117,11 @@
     cloud->retained_count = (guint)json_array_size(names);
     char path[URL_BYTES];
     kv_txn_t txn = kv_txn_new();
-    g_snprintf(path, sizeof path, "kept/%s", node->settings->name);
+    g_snprintf(path, sizeof path, "kept/%s", controller->settings->name);
     kv_txn_put(&txn, path, json_pack("{s:I,s:o}", "At", (json_int_t)clock_day(), "Machines", names),
                0);
-    rate_limiter_charge(&node->core_rps, 1, now);
-    kv_commit(&node->kv_store, cloud->client, &txn, KV_TIMEOUT_MS, NULL, NULL);
+    rate_limiter_charge(&controller->core_request_limiter, 1, now);
+    kv_commit(&controller->kv_store, cloud->client, &txn, KV_TIMEOUT_MS, NULL, NULL);
     kv_txn_free(&txn);
     cloud->retained_at = now;
 }
--- a/src/app/cloud_scale_out.c
+++ b/src/app/cloud_scale_out.c
@@ -6,17 +6,17 @@
 #include "log.h"
 
 /* With the lock held: a machine that is being drained is nearer than any to be scaled out. */
-static bool cancel_drain(node_t *node)
+static bool cancel_drain(controller_t *controller)
 {
-    for (guint i = 0; i < node->leader->summaries->len; i++) {
-        const GArray *summaries = g_ptr_array_index(node->leader->summaries, i);
+    for (guint i = 0; i < controller->leader->summaries->len; i++) {
+        const GArray *summaries = g_ptr_array_index(controller->leader->summaries, i);
         for (guint k = 0; summaries && k < summaries->len; k++) {
             const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
             if (!summary->draining || summary->attempts == 0 ||
-                leader_is_quarantined(node->leader, summary->machine))
+                leader_is_quarantined(controller->leader, summary->machine))
                 continue;
             log_info("event=drain_cancelled machine=%s", summary->machine);
-            cloud_send_machine_item(node, i, CHANNEL_CANCEL_DRAIN, summary->machine);
+            cloud_send_machine_item(controller, i, CHANNEL_CANCEL_DRAIN, summary->machine);
             return true;
         }
     }
@@ -25,47 +25,48 @@
 
 static void choose_scale_out(cloud_t *cloud)
 {
-    node_t *node = cloud->node;
-    pthread_mutex_lock(&node->lock);
+    controller_t *controller = cloud->controller;
+    pthread_mutex_lock(&controller->lock);
     msec_t now = clock_steady();
     pending_scale_out_t *pending = &cloud->pending_scale_out;
-    if (pending->is_pending && pending->generation != node->generation)
+    if (pending->is_pending && pending->generation != controller->data_generation)
         pending->is_pending =
             false; /* if it was carried out, its machines will appear in the list */
     /* Before the first view nobody scaled out: what the list shows is all there is. */
-    bool is_grace_over = now - node->loaded_at > LEADER_GRACE_MS ||
-                         (node->view.number == 1 && cloud->listed_at > node->loaded_at);
-    if (!pending->is_pending && cloud_leads(node) && is_grace_over &&
-        autoscaler_next_scale_out(node->autoscaler, node->leader, node->machine_types, now,
-                                  clock_day(), &pending->request) &&
-        !cancel_drain(node)) {
+    bool is_grace_over = now - controller->loaded_at > LEADER_GRACE_MS ||
+                         (controller->view.number == 1 && cloud->listed_at > controller->loaded_at);
+    if (!pending->is_pending && cloud_leads(controller) && is_grace_over &&
+        autoscaler_next_scale_out(controller->autoscaler, controller->leader,
+                                  controller->machine_types, now, clock_day(), &pending->request) &&
+        !cancel_drain(controller)) {
         /* The number is this leadership's alone, so the name can never have been used. */
         g_snprintf(pending->idempotency_key, sizeof pending->idempotency_key,
-                   "c-%" G_GUINT64_FORMAT "-%u", node->view.number, ++cloud->idempotency_key_count);
+                   "c-%" G_GUINT64_FORMAT "-%u", controller->view.number,
+                   ++cloud->idempotency_key_count);
         pending->is_pending = true;
-        pending->generation = node->generation;
+        pending->generation = controller->data_generation;
     }
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_unlock(&controller->lock);
 }
 
 static void handle_scale_out_answer(cloud_t *cloud, const json_t *answer)
 {
-    node_t *node = cloud->node;
+    controller_t *controller = cloud->controller;
     const scale_out_request_t *request = &cloud->pending_scale_out.request;
     const json_t *names = json_object_get(answer, "Winches");
     size_t i;
     json_t *name;
-    pthread_mutex_lock(&node->lock);
+    pthread_mutex_lock(&controller->lock);
     msec_t now = clock_steady();
-    if (cloud_leads(node)) {
+    if (cloud_leads(controller)) {
         json_array_foreach(names, i, name) if (json_is_string(name))
-            autoscaler_add_booting(node->autoscaler, json_string_value(name), request->type,
+            autoscaler_add_booting(controller->autoscaler, json_string_value(name), request->type,
                                    request->zone, request->spot, now);
         if (json_array_size(names) < request->count)
-            autoscaler_record_refusal(node->autoscaler, request, now + CAPACITY_MEMORY_MS);
+            autoscaler_record_refusal(controller->autoscaler, request, now + CAPACITY_MEMORY_MS);
     }
-    pthread_mutex_unlock(&node->lock);
-    metrics_count(node->metrics, COUNT_SCALED_OUT, json_array_size(names));
+    pthread_mutex_unlock(&controller->lock);
+    metrics_count(controller->metrics, COUNT_SCALED_OUT, json_array_size(names));
     log_info("event=scaled_out idempotency_key=%s type=%s zone=%s spot=%d asked=%u got=%zu",
              cloud->pending_scale_out.idempotency_key, request->type, request->zone, request->spot,
              request->count, json_array_size(names));
@@ -89,11 +90,11 @@
         pending->is_pending = false;
     } else if (status == HTTP_BAD_REQUEST ||
                (status == HTTP_UNAVAILABLE && g_strcmp0(error, "no capacity") == 0)) {
-        pthread_mutex_lock(&cloud->node->lock);
-        if (cloud->node->autoscaler)
-            autoscaler_record_refusal(cloud->node->autoscaler, &pending->request,
+        pthread_mutex_lock(&cloud->controller->lock);
+        if (cloud->controller->autoscaler)
+            autoscaler_record_refusal(cloud->controller->autoscaler, &pending->request,
                                       clock_steady() + CAPACITY_MEMORY_MS);
-        pthread_mutex_unlock(&cloud->node->lock);
+        pthread_mutex_unlock(&cloud->controller->lock);
         log_info("event=no_capacity type=%s zone=%s spot=%d status=%d", pending->request.type,
                  pending->request.zone, pending->request.spot, status);
         pending->is_pending = false;
--- a/src/app/command_dispatcher.c
+++ b/src/app/command_dispatcher.c
@@ -9,7 +9,7 @@
  */
 #include <string.h>
 
-#include "app/node.h"
+#include "app/controller.h"
 #include "app/threads.h"
 #include "io/clock.h"
 #include "io/wire.h"
@@ -24,7 +24,7 @@
     uint64_t generation;
 } push_t;
 
-static void finish(node_t *node, const push_t *push, const GArray *commands, int status,
+static void finish(controller_t *controller, const push_t *push, const GArray *commands, int status,
                    const http_client_t *client)
 {
     worker_heartbeat_t heartbeat = {0};
@@ -38,32 +38,33 @@
                                                      : PUSH_UNANSWERED;
     log_debug("event=commands_pushed machine=%s commands=%u status=%d", push->machine,
               commands->len, status);
-    pthread_mutex_lock(&node->lock);
+    pthread_mutex_lock(&controller->lock);
     /* A view loaded meanwhile has its own data and a higher fencing token, under which this one is
      * void. */
-    if (node->generation == push->generation && node->is_loaded) {
-        partition_finish_push(node->partition, push->machine, commands, push->fencing_token,
+    if (controller->data_generation == push->generation && controller->is_loaded) {
+        partition_finish_push(controller->partition, push->machine, commands, push->fencing_token,
                               result);
         msec_t now = clock_steady();
-        uint64_t changes = node->partition->changes;
+        uint64_t changes = controller->partition->changes;
         if (reported && strcmp(heartbeat.machine, push->machine) == 0 &&
-            partition_handle_heartbeat(node->partition, &heartbeat, true, now, NULL) ==
+            partition_handle_heartbeat(controller->partition, &heartbeat, true, now, NULL) ==
                 HEARTBEAT_ACCEPTED &&
             result == PUSH_EXECUTED)
-            partition_record_probe_answer(node->partition, push->machine, now);
-        if (node->partition->changes != changes)
-            node_notify_placement(node);
+            partition_record_probe_answer(controller->partition, push->machine, now);
+        if (controller->partition->changes != changes)
+            controller_notify_placement(controller);
     }
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_unlock(&controller->lock);
     worker_heartbeat_clear(&heartbeat);
 }
 
-static bool may_push(node_t *node, const push_t *push, const GArray *commands, msec_t taken)
+static bool may_push(controller_t *controller, const push_t *push, const GArray *commands,
+                     msec_t taken)
 {
-    pthread_mutex_lock(&node->lock);
-    bool may =
-        node_may_push(node, push->machine, push->generation, commands, taken, clock_steady());
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_lock(&controller->lock);
+    bool may = controller_may_push(controller, push->machine, push->generation, commands, taken,
+                                   clock_steady());
+    pthread_mutex_unlock(&controller->lock);
     if (!may)
         log_info("event=commands_discarded machine=%s commands=%u", push->machine, commands->len);
     return may;
@@ -72,7 +73,7 @@
 /* A sender. It keeps connections to the machines of its dispatcher, and serves others only while
  * their sender is busy. */
 typedef struct dispatcher {
-    node_t *node;
+    controller_t *controller;
     guint dispatcher_index;
 } dispatcher_t;
 
@@ -80,80 +81,81 @@
  * for them now and then; the others wait until they are notified. */
 static void wait_for_commands(const dispatcher_t *dispatcher)
 {
-    node_t *node = dispatcher->node;
-    pthread_cond_t *condition = &node->dispatcher_ready[dispatcher->dispatcher_index];
-    node_notify_dispatchers(node); /* of what was left to those who have become idle meanwhile */
-    node->idle_dispatchers |= 1U << dispatcher->dispatcher_index;
-    if (node->has_polling_dispatcher) {
-        pthread_cond_wait(condition, &node->lock);
-        node->idle_dispatchers &= ~(1U << dispatcher->dispatcher_index);
+    controller_t *controller = dispatcher->controller;
+    pthread_cond_t *condition = &controller->dispatcher_ready[dispatcher->dispatcher_index];
+    controller_notify_dispatchers(
+        controller); /* of what was left to those who have become idle meanwhile */
+    controller->idle_dispatchers |= 1U << dispatcher->dispatcher_index;
+    if (controller->has_polling_dispatcher) {
+        pthread_cond_wait(condition, &controller->lock);
+        controller->idle_dispatchers &= ~(1U << dispatcher->dispatcher_index);
         return;
     }
-    node->has_polling_dispatcher = true;
-    node_wait(node, condition, DISPATCHER_IDLE_MS);
-    node->has_polling_dispatcher = false;
-    node->idle_dispatchers &= ~(1U << dispatcher->dispatcher_index);
+    controller->has_polling_dispatcher = true;
+    controller_wait(controller, condition, DISPATCHER_IDLE_MS);
+    controller->has_polling_dispatcher = false;
+    controller->idle_dispatchers &= ~(1U << dispatcher->dispatcher_index);
 }
 
 /* With the lock held: the next machine of this sender's, or of one that is busy. */
 static machine_t *take_commands(const dispatcher_t *dispatcher, msec_t now, GArray *commands)
 {
-    node_t *node = dispatcher->node;
-    if (!node->is_loaded)
+    controller_t *controller = dispatcher->controller;
+    if (!controller->is_loaded)
         return NULL;
-    partition_pause_starts(node->partition, !node_may_start(node, now));
-    uint32_t dispatchers = 1U << dispatcher->dispatcher_index | ~node->idle_dispatchers;
-    return partition_take_push(node->partition, dispatchers, now, commands);
+    partition_pause_starts(controller->partition, !controller_may_start(controller, now));
+    uint32_t dispatchers = 1U << dispatcher->dispatcher_index | ~controller->idle_dispatchers;
+    return partition_take_push(controller->partition, dispatchers, now, commands);
 }
 
 static void *dispatcher_run(void *data)
 {
     const dispatcher_t *dispatcher = data;
-    node_t *node = dispatcher->node;
-    http_client_t *client = http_client_new(node->settings->dispatcher_connections);
+    controller_t *controller = dispatcher->controller;
+    http_client_t *client = http_client_new(controller->settings->dispatcher_connections);
     http_client_hurry(client, PUSH_CONNECT_TIMEOUT_MS);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     for (;;) {
         g_array_set_size(commands, 0);
-        pthread_mutex_lock(&node->lock);
+        pthread_mutex_lock(&controller->lock);
         msec_t now = clock_steady();
         machine_t *machine = take_commands(dispatcher, now, commands);
         if (!machine) {
             wait_for_commands(dispatcher);
-            pthread_mutex_unlock(&node->lock);
+            pthread_mutex_unlock(&controller->lock);
             continue;
         }
-        push_t push = {.fencing_token = node->view.number,
+        push_t push = {.fencing_token = controller->view.number,
                        .worker_epoch = machine->worker_epoch,
-                       .generation = node->generation};
+                       .generation = controller->data_generation};
         g_strlcpy(push.machine, machine->id, sizeof push.machine);
         g_snprintf(push.url, sizeof push.url, "http://%s/do", machine->address);
-        pthread_mutex_unlock(&node->lock);
+        pthread_mutex_unlock(&controller->lock);
         json_t *body = wire_build_pushed_commands(push.fencing_token, push.worker_epoch, commands);
-        if (!may_push(node, &push, commands, now)) {
+        if (!may_push(controller, &push, commands, now)) {
             json_decref(body);
             continue;
         }
         msec_t sent = clock_steady();
         int status = http_call(client, "POST", push.url, body, PUSH_TIMEOUT_MS, NULL);
-        metrics_time(node->metrics, TIME_PUSH, clock_steady() - sent);
-        metrics_count(node->metrics,
+        metrics_time(controller->metrics, TIME_PUSH, clock_steady() - sent);
+        metrics_count(controller->metrics,
                       status <= HTTP_NO_ANSWER ? COUNT_PUSHES_UNANSWERED : COUNT_PUSHES, 1);
         json_decref(body);
-        finish(node, &push, commands, status, client);
+        finish(controller, &push, commands, status, client);
     }
     return NULL;
 }
 
-void dispatcher_notify(node_t *node, guint dispatcher_index)
+void dispatcher_notify(controller_t *controller, guint dispatcher_index)
 {
-    if (node->started_dispatchers >> dispatcher_index & 1) {
-        pthread_cond_signal(&node->dispatcher_ready[dispatcher_index]);
+    if (controller->started_dispatchers >> dispatcher_index & 1) {
+        pthread_cond_signal(&controller->dispatcher_ready[dispatcher_index]);
         return;
     }
     dispatcher_t *dispatcher = g_new(dispatcher_t, 1);
-    *dispatcher = (dispatcher_t){node, dispatcher_index};
-    node->started_dispatchers |= 1U << dispatcher_index;
-    node->idle_dispatchers &= ~(1U << dispatcher_index);
+    *dispatcher = (dispatcher_t){controller, dispatcher_index};
+    controller->started_dispatchers |= 1U << dispatcher_index;
+    controller->idle_dispatchers &= ~(1U << dispatcher_index);
     threads_start("dispatcher", dispatcher_run, dispatcher);
 }
--- a/src/app/main.c
+++ b/src/app/main.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#include "app/node.h"
+#include "app/controller.h"
 #include "log.h"
 
 typedef struct arguments {
@@ -100,10 +100,10 @@
     }
     signal(SIGPIPE, SIG_IGN);
     http_start();
-    node_t *node = node_new(settings, policy);
+    controller_t *controller = controller_new(settings, policy);
     log_info("event=process_started version=%s host=%s incarnation=%" G_GUINT64_FORMAT,
-             PEPPERPULLEY_VERSION, settings->name, node->incarnation);
-    if (!node_start(node))
+             PEPPERPULLEY_VERSION, settings->name, controller->incarnation);
+    if (!controller_start(controller))
         return EXIT_FAULT;
     for (;;)
         pause();
--- a/src/app/member.c
+++ b/src/app/member.c
@@ -1,14 +1,14 @@
 /* Our lease in the key-value store, leadership, and the leader's view of who is live. */
 #include <string.h>
 
-#include "app/node.h"
+#include "app/controller.h"
 #include "app/view.h"
 #include "io/clock.h"
 #include "io/records.h"
 #include "log.h"
 
 typedef struct member_loop {
-    node_t *node;
+    controller_t *controller;
     http_client_t *client;
     uint64_t lease;
     msec_t extended;
@@ -17,13 +17,13 @@
 
 static void keep_lease(member_loop_t *loop, msec_t now)
 {
-    node_t *node = loop->node;
-    const settings_t *settings = node->settings;
+    controller_t *controller = loop->controller;
+    const settings_t *settings = controller->settings;
     if (loop->lease && now - loop->extended < LEASE_EXTEND_GAP_MS)
         return;
-    rate_limiter_charge(&node->core_rps, 1, now);
+    rate_limiter_charge(&controller->core_request_limiter, 1, now);
     if (loop->lease) {
-        kv_result_t result = kv_lease_extend(&node->kv_store, loop->client, loop->lease);
+        kv_result_t result = kv_lease_extend(&controller->kv_store, loop->client, loop->lease);
         if (result == KV_OK)
             loop->extended = now;
         else if (result == KV_NOT_FOUND)
@@ -31,23 +31,23 @@
         return;
     }
     uint64_t lease = 0;
-    if (kv_lease_create(&node->kv_store, loop->client, LEASE_LIFE_MS, &lease) != KV_OK)
+    if (kv_lease_create(&controller->kv_store, loop->client, LEASE_LIFE_MS, &lease) != KV_OK)
         return;
     char key[KV_KEY_BYTES];
     kv_entry_t listed = {0};
     g_snprintf(key, sizeof key, "view/members/%s", settings->name);
-    rate_limiter_charge(&node->core_rps, 1, now);
-    kv_result_t read = kv_get(&node->kv_store, loop->client, key, KV_TIMEOUT_MS, &listed);
+    rate_limiter_charge(&controller->core_request_limiter, 1, now);
+    kv_result_t read = kv_get(&controller->kv_store, loop->client, key, KV_TIMEOUT_MS, &listed);
     g_free(listed.key);
     json_decref(listed.value);
     if (read != KV_OK && read != KV_NOT_FOUND)
         return;
-    member_t self = {.incarnation = node->incarnation};
+    member_t self = {.incarnation = controller->incarnation};
     g_strlcpy(self.name, settings->name, sizeof self.name);
     g_strlcpy(self.zone, settings->zone, sizeof self.zone);
     kv_txn_t txn = records_member(&self, listed.revision, lease);
-    rate_limiter_charge(&node->core_write, 1, now);
-    if (kv_commit(&node->kv_store, loop->client, &txn, KV_TIMEOUT_MS, NULL, NULL) == KV_OK) {
+    rate_limiter_charge(&controller->core_write_limiter, 1, now);
+    if (kv_commit(&controller->kv_store, loop->client, &txn, KV_TIMEOUT_MS, NULL, NULL) == KV_OK) {
         loop->lease = lease;
         loop->extended = loop->written = now;
     }
@@ -61,9 +61,9 @@
  */
 static bool is_displaced(const member_loop_t *loop, msec_t now)
 {
-    const node_t *node = loop->node;
-    return node->is_view_synced && loop->lease && now - loop->written > MEMBER_RECHECK_MS &&
-           election_is_displaced(&node->election);
+    const controller_t *controller = loop->controller;
+    return controller->is_view_synced && loop->lease && now - loop->written > MEMBER_RECHECK_MS &&
+           election_is_displaced(&controller->election);
 }
 
 static guint count_in_zone(const settings_t *settings, const char *zone)
@@ -89,75 +89,78 @@
 
 static void try_lead(member_loop_t *loop)
 {
-    node_t *node = loop->node;
-    pthread_mutex_lock(&node->lock);
+    controller_t *controller = loop->controller;
+    pthread_mutex_lock(&controller->lock);
     bool resumes =
-        node->election.lease_revision != 0; /* in our name: nobody else can have it now */
-    pthread_mutex_unlock(&node->lock);
-    node_sleep(arc4random_uniform(ELECT_SPREAD_MS) +
-               (!resumes && should_yield(node->settings) ? ELECT_YIELD_MS : 0));
-    pthread_mutex_lock(&node->lock);
-    view_t next = {.number = node->view.number + 1, .incarnation = node->incarnation};
-    uint64_t revision = node->view.revision;
-    uint64_t lease_revision = node->election.lease_revision;
-    g_strlcpy(next.leader, node->settings->name, sizeof next.leader);
-    election_members(&node->election, &next, clock_steady());
+        controller->election.lease_revision != 0; /* in our name: nobody else can have it now */
+    pthread_mutex_unlock(&controller->lock);
+    controller_sleep(arc4random_uniform(ELECT_SPREAD_MS) +
+                     (!resumes && should_yield(controller->settings) ? ELECT_YIELD_MS : 0));
+    pthread_mutex_lock(&controller->lock);
+    view_t next = {.number = controller->view.number + 1, .incarnation = controller->incarnation};
+    uint64_t revision = controller->view.revision;
+    uint64_t lease_revision = controller->election.lease_revision;
+    g_strlcpy(next.leader, controller->settings->name, sizeof next.leader);
+    election_members(&controller->election, &next, clock_steady());
     /* Someone else may have taken it while we waited. */
-    bool taken = election_is_taken(&node->election);
-    pthread_mutex_unlock(&node->lock);
+    bool taken = election_is_taken(&controller->election);
+    pthread_mutex_unlock(&controller->lock);
     if (taken)
         return;
-    if (view_change(node, loop->client, &next, revision, loop->lease, lease_revision) == KV_OK)
+    if (view_change(controller, loop->client, &next, revision, loop->lease, lease_revision) ==
+        KV_OK)
         log_info("event=leader_elected view=%" G_GUINT64_FORMAT, next.number);
     else
-        node_sleep(ELECT_SPREAD_MS);
+        controller_sleep(ELECT_SPREAD_MS);
 }
 
 static void change_members(member_loop_t *loop)
 {
-    node_t *node = loop->node;
-    pthread_mutex_lock(&node->lock);
-    view_t next = node->view;
-    election_members(&node->election, &next, clock_steady());
-    pthread_mutex_unlock(&node->lock);
+    controller_t *controller = loop->controller;
+    pthread_mutex_lock(&controller->lock);
+    view_t next = controller->view;
+    election_members(&controller->election, &next, clock_steady());
+    pthread_mutex_unlock(&controller->lock);
     uint64_t revision = next.revision;
     next.number++;
-    view_change(node, loop->client, &next, revision, 0, 0);
+    view_change(controller, loop->client, &next, revision, 0, 0);
 }
 
 /* With the lock held: how long there is nothing to do if nothing happens. is_pending: a change of
  * members waits for others. */
 static msec_t member_wait(const member_loop_t *loop, bool is_pending, msec_t now)
 {
-    const node_t *node = loop->node;
+    const controller_t *controller = loop->controller;
     msec_t wait = loop->lease ? loop->extended + LEASE_EXTEND_GAP_MS - now : 0;
     wait = MAX(wait, MEMBER_TICK_MS); /* a call that failed is not repeated sooner */
-    bool has_excluded = g_hash_table_size(node->election.excluded) > 0;
-    if (is_pending || has_excluded || (loop->lease && election_is_displaced(&node->election)))
+    bool has_excluded = g_hash_table_size(controller->election.excluded) > 0;
+    if (is_pending || has_excluded || (loop->lease && election_is_displaced(&controller->election)))
         wait = MIN(wait, MEMBER_TICK_MS);
     return wait;
 }
 
 void *member_run(void *data)
 {
-    member_loop_t loop = {.node = data, .client = http_client_new(2)};
-    node_t *node = loop.node;
+    member_loop_t loop = {.controller = data, .client = http_client_new(2)};
+    controller_t *controller = loop.controller;
     for (;;) {
         msec_t now = clock_steady();
         keep_lease(&loop, now);
-        pthread_mutex_lock(&node->lock);
+        pthread_mutex_lock(&controller->lock);
         if (is_displaced(&loop, now)) {
-            log_info("event=member_key_conflict host=%s", node->settings->name);
+            log_info("event=member_key_conflict host=%s", controller->settings->name);
             loop.lease = 0;
         }
-        bool vacant = node->is_view_synced && loop.lease && election_is_vacant(&node->election);
-        view_t next = node->view;
-        election_members(&node->election, &next, now);
-        bool is_pending = node->is_leader && !election_same_members(&next, &node->view);
-        bool changed = is_pending && now - node->election.present_since > MEMBERSHIP_BATCH_MS;
+        bool vacant =
+            controller->is_view_synced && loop.lease && election_is_vacant(&controller->election);
+        view_t next = controller->view;
+        election_members(&controller->election, &next, now);
+        bool is_pending = controller->is_leader && !election_same_members(&next, &controller->view);
+        bool changed = is_pending && now - controller->election.present_since > MEMBERSHIP_BATCH_MS;
         if (!vacant && !changed)
-            node_wait(node, &node->members, member_wait(&loop, is_pending, clock_steady()));
-        pthread_mutex_unlock(&node->lock);
+            controller_wait(controller, &controller->membership_changed,
+                            member_wait(&loop, is_pending, clock_steady()));
+        pthread_mutex_unlock(&controller->lock);
         if (vacant)
             try_lead(&loop);
         else if (changed)
--- a/src/app/metrics.h
+++ b/src/app/metrics.h
@@ -7,11 +7,11 @@
 #include "core/types.h"
 
 typedef enum {
-    COUNT_SUBMITTED, /* answered 201 */
-    COUNT_REFUSED,   /* answered 4xx for good */
-    COUNT_COME_BACK, /* answered 429 or 503 */
+    COUNT_SUBMITTED,   /* answered 201 */
+    COUNT_REFUSED,     /* answered 4xx for good */
+    COUNT_RETRY_LATER, /* answered 429 or 503 */
     COUNT_WORKER_HEARTBEATS,
-    COUNT_WORKER_HEARTBEATS_NOT_OWNED, /* reports of workers that another node owns */
+    COUNT_WORKER_HEARTBEATS_NOT_OWNED, /* reports of workers that another controller owns */
     COUNT_COMMITS,
     COUNT_COMMITS_FAILED, /* a condition did not hold, or the service refused */
     COUNT_RELOADS,
--- a/src/app/peer_client.c
+++ b/src/app/peer_client.c
@@ -6,24 +6,25 @@
 
 #include "io/clock.h"
 
-void peer_client_receive(node_t *node, const peer_message_t *message)
+void peer_client_receive(controller_t *controller, const peer_message_t *message)
 {
-    peer_exchange_receive_any(node, message);
-    if (!node->is_loaded || message->view != node->view.number ||
-        message->incarnation != node->view.incarnation)
+    peer_exchange_receive_any(controller, message);
+    if (!controller->is_loaded || message->view != controller->view.number ||
+        message->incarnation != controller->view.incarnation)
         return;
-    channel_ack(node->leader_channel, message->ack);
-    if (!message->items->len || !channel_accept(node->leader_channel, message->number))
+    channel_ack(controller->leader_channel, message->ack);
+    if (!message->items->len || !channel_accept(controller->leader_channel, message->number))
         return;
     for (guint i = 0; i < message->items->len; i++)
-        node_handle_item(node, &g_array_index(message->items, channel_item_t, i), clock_steady());
+        controller_handle_item(controller, &g_array_index(message->items, channel_item_t, i),
+                               clock_steady());
 }
 
-static const char *leader_endpoint(const node_t *node)
+static const char *leader_endpoint(const controller_t *controller)
 {
-    for (guint i = 0; i < node->settings->siblings->len; i++) {
-        const sibling_t *sibling = &g_array_index(node->settings->siblings, sibling_t, i);
-        if (strcmp(sibling->name, node->view.leader) == 0)
+    for (guint i = 0; i < controller->settings->siblings->len; i++) {
+        const sibling_t *sibling = &g_array_index(controller->settings->siblings, sibling_t, i);
+        if (strcmp(sibling->name, controller->view.leader) == 0)
             return sibling->endpoint;
     }
     return NULL;
@@ -31,7 +32,7 @@
 
 /* The partition's side of the exchange. */
 typedef struct peer_client {
-    node_t *node;
+    controller_t *controller;
     http_client_t *client;
     int fd;                        /* to the leader; -1: none */
     char endpoint[ADDRESS_BYTES];  /* of the leader */
@@ -48,41 +49,42 @@
  * With the lock held. */
 static bool wants_summaries(peer_client_t *peer)
 {
-    const node_t *node = peer->node;
-    if (node->leader_channel->received == peer->reported_batch &&
-        node->generation == peer->generation &&
+    const controller_t *controller = peer->controller;
+    if (controller->leader_channel->received == peer->reported_batch &&
+        controller->data_generation == peer->generation &&
         clock_steady() - peer->summaries_sent_at <= PEER_SUMMARIES_GAP_MS)
         return false;
-    peer->reported_batch = node->leader_channel->received;
+    peer->reported_batch = controller->leader_channel->received;
     peer->summaries_sent_at = clock_steady();
-    peer->generation = node->generation;
+    peer->generation = controller->data_generation;
     return true;
 }
 
 /* With the lock held: the summaries that go with the next message; the caller's. */
 static summary_update_t next_summaries(peer_client_t *peer)
 {
-    const node_t *node = peer->node;
+    const controller_t *controller = peer->controller;
     uint64_t generation = peer->generation;
     if (!wants_summaries(peer))
         return (summary_update_t){0};
     if (peer->generation != generation)
         summary_sender_reset(&peer->summaries);
     msec_t now = clock_steady();
-    return summary_sender_next(&peer->summaries, node_summaries(node, now), now);
+    return summary_sender_next(&peer->summaries, controller_machine_summaries(controller, now),
+                               now);
 }
 
 /* Whether the leader answered by socket. */
 static bool exchange(peer_client_t *peer, const GByteArray *frame)
 {
-    node_t *node = peer->node;
+    controller_t *controller = peer->controller;
     peer_message_t message;
     if (!peer_exchange_converse(peer->fd, frame, &message))
         return false;
-    pthread_mutex_lock(&node->lock);
-    peer_client_receive(node, &message);
+    pthread_mutex_lock(&controller->lock);
+    peer_client_receive(controller, &message);
     summary_sender_acknowledge(&peer->summaries, message.summaries.version);
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_unlock(&controller->lock);
     peer_message_clear(&message);
     return true;
 }
@@ -91,18 +93,18 @@
  * and a while has passed. */
 static GByteArray *next_frame(peer_client_t *peer)
 {
-    node_t *node = peer->node;
+    controller_t *controller = peer->controller;
     GByteArray *frame = NULL;
-    pthread_mutex_lock(&node->lock);
-    if (!node->is_leader && node->is_loaded && node->own_index != G_MAXUINT &&
-        leader_endpoint(node)) {
-        g_strlcpy(peer->endpoint, leader_endpoint(node), sizeof peer->endpoint);
+    pthread_mutex_lock(&controller->lock);
+    if (!controller->is_leader && controller->is_loaded && controller->own_index != G_MAXUINT &&
+        leader_endpoint(controller)) {
+        g_strlcpy(peer->endpoint, leader_endpoint(controller), sizeof peer->endpoint);
         summary_update_t summaries = next_summaries(peer);
-        frame = peer_exchange_compose(node, node->leader_channel, &summaries);
+        frame = peer_exchange_compose(controller, controller->leader_channel, &summaries);
     } else {
-        node_wait(node, &node->peer_work, MEMBER_TICK_MS);
+        controller_wait(controller, &controller->peer_item_available, MEMBER_TICK_MS);
     }
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_unlock(&controller->lock);
     return frame;
 }
 
@@ -131,7 +133,7 @@
         return true;
     }
     if (by_relay)
-        peer_relay_exchange(peer->node, peer->client, frame);
+        peer_relay_exchange(peer->controller, peer->client, frame);
     peer->summaries_sent_at = 0;
     summary_sender_reset(&peer->summaries);
     disconnect(peer);
@@ -141,14 +143,14 @@
 void *peer_client_run(void *data)
 {
     peer_client_t peer = {
-        .node = data, .client = http_client_new(2), .fd = -1, .reached = clock_steady()};
+        .controller = data, .client = http_client_new(2), .fd = -1, .reached = clock_steady()};
     for (;;) {
         GByteArray *frame = next_frame(&peer);
         if (!frame)
             continue;
         bool done = exchange_once(&peer, frame);
         g_byte_array_unref(frame);
-        node_sleep(done ? PEER_GAP_MS : PEER_RETRY_MS);
+        controller_sleep(done ? PEER_GAP_MS : PEER_RETRY_MS);
     }
     return NULL;
 }
--- a/src/app/peer_exchange.c
+++ b/src/app/peer_exchange.c
@@ -10,19 +10,20 @@
 
 #include "io/clock.h"
 
-peer_message_t peer_exchange_message(const node_t *node)
+peer_message_t peer_exchange_message(const controller_t *controller)
 {
-    peer_message_t message = {.incarnation = node->incarnation, .view = node->view.number};
-    message.kv_answer_age_ms = clock_steady() - atomic_load(&node->kv_store.answered_at);
-    message.worker_heartbeat_age_ms = clock_steady() - node->worker_heartbeat_at;
-    g_strlcpy(message.sender, node->settings->name, sizeof message.sender);
+    peer_message_t message = {.incarnation = controller->incarnation,
+                              .view = controller->view.number};
+    message.kv_answer_age_ms = clock_steady() - atomic_load(&controller->kv_store.answered_at);
+    message.worker_heartbeat_age_ms = clock_steady() - controller->worker_heartbeat_at;
+    g_strlcpy(message.sender, controller->settings->name, sizeof message.sender);
     return message;
 }
 
-GByteArray *peer_exchange_compose(const node_t *node, channel_t *channel,
+GByteArray *peer_exchange_compose(const controller_t *controller, channel_t *channel,
                                   const summary_update_t *summaries)
 {
-    peer_message_t message = peer_exchange_message(node);
+    peer_message_t message = peer_exchange_message(controller);
     if (channel) {
         message.items = g_array_ref((GArray *)(void *)channel_batch(channel, PEER_BATCH_COUNT));
         message.number = channel->sent;
@@ -31,19 +32,19 @@
     if (summaries) {
         message.summaries = *summaries;
         message.cpus_being_preempted =
-            summaries->summaries ? node_cpus_being_preempted(node) : NULL;
+            summaries->summaries ? controller_cpus_being_preempted(controller) : NULL;
     }
     GByteArray *frame = peer_encode(&message);
     peer_message_clear(&message);
     return frame;
 }
 
-void peer_exchange_receive_any(node_t *node, const peer_message_t *message)
+void peer_exchange_receive_any(controller_t *controller, const peer_message_t *message)
 {
-    node->highest_view_seen = MAX(node->highest_view_seen, message->view);
-    node->sibling_message_at = clock_steady();
-    node->siblings_kv_answered_at =
-        MAX(node->siblings_kv_answered_at, clock_steady() - message->kv_answer_age_ms);
+    controller->highest_view_seen = MAX(controller->highest_view_seen, message->view);
+    controller->sibling_message_at = clock_steady();
+    controller->siblings_kv_answered_at =
+        MAX(controller->siblings_kv_answered_at, clock_steady() - message->kv_answer_age_ms);
 }
 
 bool peer_exchange_converse(int fd, const GByteArray *frame, peer_message_t *message)
--- a/src/app/peer_heartbeat.c
+++ b/src/app/peer_heartbeat.c
@@ -9,87 +9,92 @@
 
 /* A sibling to which a thread of ours sends heartbeats. */
 typedef struct peer_heartbeat {
-    node_t *node;
+    controller_t *controller;
     guint index; /* among the settings' siblings */
 } peer_heartbeat_t;
 
 static GByteArray *compose_heartbeat(const peer_heartbeat_t *peer_heartbeat)
 {
-    node_t *node = peer_heartbeat->node;
-    pthread_mutex_lock(&node->lock);
-    const cancellation_replica_t *replica = &node->cancellations.siblings[peer_heartbeat->index];
-    peer_message_t message = peer_exchange_message(node);
+    controller_t *controller = peer_heartbeat->controller;
+    pthread_mutex_lock(&controller->lock);
+    const cancellation_replica_t *replica =
+        &controller->cancellation_log.siblings[peer_heartbeat->index];
+    peer_message_t message = peer_exchange_message(controller);
     message.is_heartbeat = true;
     message.acknowledged_incarnation = replica->incarnation;
     message.acknowledged_index = replica->last_index;
-    message.counts.epoch = node->job_counts.epoch;
-    message.counts.version = node->job_counts.version;
-    pthread_mutex_unlock(&node->lock);
+    message.counts.epoch = controller->job_counts.epoch;
+    message.counts.version = controller->job_counts.version;
+    pthread_mutex_unlock(&controller->lock);
     return peer_encode(&message);
 }
 
 /* With the lock held, which is given up meanwhile: waits until there is a cancellation that the
  * caller has not got, for a while at most. Returns how long that was. */
-static msec_t hold_answer(node_t *node, const peer_message_t *message)
+static msec_t hold_answer(controller_t *controller, const peer_message_t *message)
 {
-    const cancellation_log_t *log = &node->cancellations;
+    const cancellation_log_t *log = &controller->cancellation_log;
     msec_t begun = clock_steady();
     msec_t hold = 0;
     while (message->acknowledged_incarnation == log->incarnation &&
            message->acknowledged_index >= log->newest && hold < PEER_HEARTBEAT_HOLD_MS) {
-        node_wait(node, &node->cancellation, PEER_HEARTBEAT_HOLD_MS - hold);
+        controller_wait(controller, &controller->cancellation_appended,
+                        PEER_HEARTBEAT_HOLD_MS - hold);
         hold = clock_steady() - begun;
     }
     return hold;
 }
 
-GByteArray *peer_heartbeat_answer(node_t *node, const peer_message_t *message)
+GByteArray *peer_heartbeat_answer(controller_t *controller, const peer_message_t *message)
 {
-    pthread_mutex_lock(&node->lock);
-    peer_exchange_receive_any(node, message);
-    msec_t hold = hold_answer(node, message);
-    peer_message_t answer = peer_exchange_message(node);
+    pthread_mutex_lock(&controller->lock);
+    peer_exchange_receive_any(controller, message);
+    msec_t hold = hold_answer(controller, message);
+    peer_message_t answer = peer_exchange_message(controller);
     answer.is_heartbeat = true;
     answer.hold_ms = hold;
-    answer.update = cancellation_log_update(&node->cancellations, message->acknowledged_incarnation,
-                                            message->acknowledged_index, clock_steady());
-    if (node->is_leader && node->is_loaded)
-        answer.counts = leader_counts(node->leader, message->counts.epoch, message->counts.version,
-                                      JOB_COUNTS_BATCH_COUNT);
-    pthread_mutex_unlock(&node->lock);
+    answer.update =
+        cancellation_log_update(&controller->cancellation_log, message->acknowledged_incarnation,
+                                message->acknowledged_index, clock_steady());
+    if (controller->is_leader && controller->is_loaded)
+        answer.counts = leader_counts(controller->leader, message->counts.epoch,
+                                      message->counts.version, JOB_COUNTS_BATCH_COUNT);
+    pthread_mutex_unlock(&controller->lock);
     GByteArray *frame = peer_encode(&answer);
     peer_message_clear(&answer);
     return frame;
 }
 
 /* With the lock held. A job that is over here may still be live where it is counted. */
-static void receive_job_counts(node_t *node, const job_counts_update_t *update)
+static void receive_job_counts(controller_t *controller, const job_counts_update_t *update)
 {
-    job_counts_replica_apply(&node->job_counts, update);
+    job_counts_replica_apply(&controller->job_counts, update);
     for (guint i = 0; i < update->jobs->len; i++) {
         const char *id = g_array_index(update->jobs, job_counts_t, i).job;
-        if (g_hash_table_contains(node->terminal_jobs, id))
-            job_counts_replica_remove(&node->job_counts, id);
+        if (g_hash_table_contains(controller->terminal_jobs, id))
+            job_counts_replica_remove(&controller->job_counts, id);
     }
 }
 
 /* With the lock held: what a sibling answered to a heartbeat, whose answer it made at `asked` or
  * later. */
-static void receive_heartbeat_answer(node_t *node, guint index, const peer_message_t *message,
-                                     msec_t asked)
+static void receive_heartbeat_answer(controller_t *controller, guint index,
+                                     const peer_message_t *message, msec_t asked)
 {
-    peer_exchange_receive_any(node, message);
-    node->sibling_health[index] = (owner_health_t){
+    peer_exchange_receive_any(controller, message);
+    controller->sibling_health[index] = (owner_health_t){
         .answered_at = asked, .worker_heartbeat_at = asked - message->worker_heartbeat_age_ms};
     for (guint i = 0; i < message->update.jobs->len; i++) {
         const char *id = g_ptr_array_index(message->update.jobs, i);
-        if (!g_hash_table_contains(node->terminal_jobs, id))
+        if (!g_hash_table_contains(controller->terminal_jobs, id))
             log_info("event=cancellation_update job=%s from=%s", id, message->sender);
-        node_record_terminal_state(node, id, false);
+        job_directory_record_terminal(controller, id, false);
     }
-    cancellation_log_apply(&node->cancellations, index, &message->update, asked, clock_steady());
-    if (message->view == node->view.number && message->incarnation == node->view.incarnation)
-        receive_job_counts(node, &message->counts);
+    cancellation_log_apply(&controller->cancellation_log, index, &message->update, asked,
+                           clock_steady());
+    if (message->view == controller->view.number &&
+        message->incarnation == controller->view.incarnation)
+        receive_job_counts(controller, &message->counts);
 }
 
 /* The answer was made when it had been delayed for so long after the heartbeat had left, or later.
@@ -101,7 +106,7 @@
 
 static bool send_heartbeat(const peer_heartbeat_t *peer_heartbeat, int fd)
 {
-    node_t *node = peer_heartbeat->node;
+    controller_t *controller = peer_heartbeat->controller;
     msec_t asked = clock_steady();
     GByteArray *frame = compose_heartbeat(peer_heartbeat);
     peer_message_t message;
@@ -109,10 +114,10 @@
     g_byte_array_unref(frame);
     if (!answered)
         return false;
-    pthread_mutex_lock(&node->lock);
-    receive_heartbeat_answer(node, peer_heartbeat->index, &message,
+    pthread_mutex_lock(&controller->lock);
+    receive_heartbeat_answer(controller, peer_heartbeat->index, &message,
                              answer_made_at(&message, asked));
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_unlock(&controller->lock);
     peer_message_clear(&message);
     return true;
 }
@@ -124,8 +129,8 @@
 static void *peer_heartbeat_run(void *data)
 {
     const peer_heartbeat_t *peer_heartbeat = data;
-    const sibling_t *sibling =
-        &g_array_index(peer_heartbeat->node->settings->siblings, sibling_t, peer_heartbeat->index);
+    const sibling_t *sibling = &g_array_index(peer_heartbeat->controller->settings->siblings,
+                                              sibling_t, peer_heartbeat->index);
     int fd = -1;
     for (;;) {
         if (fd < 0) {
@@ -140,18 +145,18 @@
             fd = -1;
         }
         if (!is_answered)
-            node_sleep(PEER_HEARTBEAT_GAP_MS);
+            controller_sleep(PEER_HEARTBEAT_GAP_MS);
         else if (clock_steady() - sent < PEER_HEARTBEAT_NEWS_GAP_MS)
-            node_sleep(PEER_HEARTBEAT_NEWS_GAP_MS);
+            controller_sleep(PEER_HEARTBEAT_NEWS_GAP_MS);
     }
     return NULL;
 }
 
-void peer_heartbeat_start(node_t *node)
+void peer_heartbeat_start(controller_t *controller)
 {
-    for (guint i = 0; i < node->settings->siblings->len; i++) {
+    for (guint i = 0; i < controller->settings->siblings->len; i++) {
         peer_heartbeat_t *peer_heartbeat = g_new(peer_heartbeat_t, 1);
-        *peer_heartbeat = (peer_heartbeat_t){node, i};
+        *peer_heartbeat = (peer_heartbeat_t){controller, i};
         threads_start("peer_heartbeat", peer_heartbeat_run, peer_heartbeat);
     }
 }
--- a/src/app/peer_server.c
+++ b/src/app/peer_server.c
@@ -11,15 +11,15 @@
 #include "log.h"
 
 typedef struct peer_connection {
-    node_t *node;
+    controller_t *controller;
     int fd;
 } peer_connection_t;
 
-static bool is_member(const node_t *node, const peer_message_t *message, guint *index)
+static bool is_member(const controller_t *controller, const peer_message_t *message, guint *index)
 {
-    for (guint i = 0; i < node->view.count; i++) {
-        if (strcmp(node->view.members[i].name, message->sender) == 0 &&
-            node->view.members[i].incarnation == message->incarnation) {
+    for (guint i = 0; i < controller->view.count; i++) {
+        if (strcmp(controller->view.members[i].name, message->sender) == 0 &&
+            controller->view.members[i].incarnation == message->incarnation) {
             *index = i;
             return true;
         }
@@ -29,33 +29,35 @@
 
 /* Whether the leader has other summaries now than before. Those from before the last batch of
  * placement requests would show its resources as free: they wait for the next message. */
-static bool take_summaries(node_t *node, guint index, peer_message_t *message, msec_t now)
+static bool take_summaries(controller_t *controller, guint index, peer_message_t *message,
+                           msec_t now)
 {
-    const channel_t *channel = g_ptr_array_index(node->channels, index);
-    summary_replica_t *replica = &node->summary_replicas[index];
+    const channel_t *channel = g_ptr_array_index(controller->channels, index);
+    summary_replica_t *replica = &controller->summary_replicas[index];
     if (!message->summaries.summaries || !summary_replica_apply(replica, &message->summaries, now))
         return false;
-    node->summaries_wait[index] |=
+    controller->are_summaries_pending[index] |=
         message->summaries.summaries->len > 0 || message->summaries.terminated->len > 0;
     if (message->ack != channel->sent)
         return false;
-    leader_set_summaries(node->leader, index, g_array_copy(replica->summaries));
-    leader_set_cpus_being_preempted(node->leader, index,
+    leader_set_summaries(controller->leader, index, g_array_copy(replica->summaries));
+    leader_set_cpus_being_preempted(controller->leader, index,
                                     g_steal_pointer(&message->cpus_being_preempted));
-    bool has_changed = node->summaries_wait[index];
-    node->summaries_wait[index] = false;
+    bool has_changed = controller->are_summaries_pending[index];
+    controller->are_summaries_pending[index] = false;
     return has_changed;
 }
 
-channel_t *peer_server_receive(node_t *node, peer_message_t *message)
+channel_t *peer_server_receive(controller_t *controller, peer_message_t *message)
 {
     guint index = 0;
     msec_t now = clock_steady();
-    peer_exchange_receive_any(node, message);
-    if (!node->is_leader || !node->is_loaded || message->view != node->view.number ||
-        !is_member(node, message, &index) || index == node->own_index)
+    peer_exchange_receive_any(controller, message);
+    if (!controller->is_leader || !controller->is_loaded ||
+        message->view != controller->view.number || !is_member(controller, message, &index) ||
+        index == controller->own_index)
         return NULL;
-    channel_t *channel = g_ptr_array_index(node->channels, index);
+    channel_t *channel = g_ptr_array_index(controller->channels, index);
     channel_ack(channel, message->ack);
     bool has_news = false;
     if (message->items->len && channel_accept(channel, message->number)) {
@@ -63,33 +65,33 @@
         for (guint i = 0; i < message->items->len; i++) {
             const channel_item_t *item = &g_array_index(message->items, channel_item_t, i);
             if (item->kind == CHANNEL_ATTEMPT_RESULT)
-                node_handle_result(node, index, &item->result, now);
+                controller_handle_result(controller, index, &item->result, now);
         }
     }
-    has_news = take_summaries(node, index, message, now) || has_news;
+    has_news = take_summaries(controller, index, message, now) || has_news;
     if (has_news)
-        node_notify_placement(node);
+        controller_notify_placement(controller);
     return channel;
 }
 
-static GByteArray *answer_partition(node_t *node, peer_message_t *message)
+static GByteArray *answer_partition(controller_t *controller, peer_message_t *message)
 {
-    pthread_mutex_lock(&node->lock);
-    uint64_t generation = node->generation;
-    channel_t *channel = peer_server_receive(node, message);
+    pthread_mutex_lock(&controller->lock);
+    uint64_t generation = controller->data_generation;
+    channel_t *channel = peer_server_receive(controller, message);
     guint index = 0;
-    if (channel && is_member(node, message, &index))
-        node->member_received_at[index] = clock_steady();
-    msec_t delay = node_paced(node, PEER_ANSWER_DELAY_MS);
+    if (channel && is_member(controller, message, &index))
+        controller->member_received_at[index] = clock_steady();
+    msec_t delay = controller_paced(controller, PEER_ANSWER_DELAY_MS);
     msec_t until = clock_steady() + delay;
     while (channel && !channel_busy(channel) && clock_steady() < until) {
-        node_wait(node, &node->peer_work, delay);
-        if (node->generation != generation)
+        controller_wait(controller, &controller->peer_item_available, delay);
+        if (controller->data_generation != generation)
             channel = NULL; /* freed with its view while the lock was given up */
     }
-    summary_update_t known = {.version = channel ? node->summary_replicas[index].version : 0};
-    GByteArray *frame = peer_exchange_compose(node, channel, &known);
-    pthread_mutex_unlock(&node->lock);
+    summary_update_t known = {.version = channel ? controller->summary_replicas[index].version : 0};
+    GByteArray *frame = peer_exchange_compose(controller, channel, &known);
+    pthread_mutex_unlock(&controller->lock);
     return frame;
 }
 
@@ -104,8 +106,8 @@
         if (!valid)
             break;
         GByteArray *answer = message.is_heartbeat
-                                 ? peer_heartbeat_answer(peer_connection->node, &message)
-                                 : answer_partition(peer_connection->node, &message);
+                                 ? peer_heartbeat_answer(peer_connection->controller, &message)
+                                 : answer_partition(peer_connection->controller, &message);
         peer_message_clear(&message);
         bool sent = answer && peer_send(peer_connection->fd, answer);
         if (answer)
@@ -120,21 +122,21 @@
 
 void *peer_server_run(void *data)
 {
-    node_t *node = data;
-    int listener = peer_listen(node->settings->peer_listen);
+    controller_t *controller = data;
+    int listener = peer_listen(controller->settings->peer_listen);
     if (listener < 0) {
-        log_error("event=listen_failed address=%s", node->settings->peer_listen);
+        log_error("event=listen_failed address=%s", controller->settings->peer_listen);
         return NULL;
     }
     for (;;) {
         int fd = accept(listener, NULL, NULL);
         if (fd < 0) {
-            node_sleep(PEER_RETRY_MS);
+            controller_sleep(PEER_RETRY_MS);
             continue;
         }
         peer_set_timeout(fd, PEER_IDLE_MS);
         peer_connection_t *peer_connection = g_new(peer_connection_t, 1);
-        *peer_connection = (peer_connection_t){node, fd};
+        *peer_connection = (peer_connection_t){controller, fd};
         pthread_detach(threads_start("peer_connection", peer_connection_run, peer_connection));
     }
     return NULL;
--- a/src/app/placement_loop.c
+++ b/src/app/placement_loop.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "app/node.h"
+#include "app/controller.h"
 #include "app/view.h"
 #include "io/clock.h"
 #include "io/records.h"
@@ -15,7 +15,7 @@
 #include "log.h"
 
 typedef struct loop {
-    node_t *node;
+    controller_t *controller;
     http_client_t *client;
     msec_t fencing_token_advanced_at;
 } placement_loop_t;
@@ -28,28 +28,28 @@
 
 static bool read_listing(placement_loop_t *loop, listing_t *listing, bool is_leader)
 {
-    kv_store_t *kv_store = &loop->node->kv_store;
-    rate_limiter_charge(&loop->node->core_rps, is_leader ? 3 : 2, clock_steady());
+    kv_store_t *kv_store = &loop->controller->kv_store;
+    rate_limiter_charge(&loop->controller->core_request_limiter, is_leader ? 3 : 2, clock_steady());
     /* Jobs last: a job listed then has its finished bits at hand, and one that is not, is over. */
     return kv_list(kv_store, loop->client, "machines/", listing->machines, NULL) == KV_OK &&
            (!is_leader || kv_list(kv_store, loop->client, "done/", listing->done, NULL) == KV_OK) &&
            kv_list(kv_store, loop->client, "jobs/", listing->jobs, NULL) == KV_OK;
 }
 
-static void load_jobs(node_t *node, const GArray *entries)
+static void load_jobs(controller_t *controller, const GArray *entries)
 {
     for (guint i = 0; i < entries->len; i++) {
         const kv_entry_t *entry = &g_array_index(entries, kv_entry_t, i);
         job_spec_t spec;
         if (!wire_parse_job(entry->value, true, &spec, NULL))
             continue;
-        if (!g_hash_table_contains(node->terminal_jobs, spec.id))
-            leader_add_job(node->leader, &spec, entry->revision);
+        if (!g_hash_table_contains(controller->terminal_jobs, spec.id))
+            leader_add_job(controller->leader, &spec, entry->revision);
         job_spec_clear(&spec);
     }
 }
 
-static void load_done(node_t *node, const GArray *entries)
+static void load_done(controller_t *controller, const GArray *entries)
 {
     for (guint i = 0; i < entries->len; i++) {
         const kv_entry_t *entry = &g_array_index(entries, kv_entry_t, i);
@@ -57,7 +57,7 @@
         gsize bytes = 0;
         uint8_t *bits = wire_parse_bits(entry->value, &bytes);
         if (g_strv_length(key_fields) == 3 && bits)
-            leader_load_chunk(node->leader, key_fields[1],
+            leader_load_chunk(controller->leader, key_fields[1],
                               (guint)g_ascii_strtoull(key_fields[2], NULL, DECIMAL), bits, bytes,
                               entry->revision);
         g_free(bits);
@@ -65,34 +65,35 @@
     }
 }
 
-static void load_machine(node_t *node, const machine_record_t *record, guint owner,
+static void load_machine(controller_t *controller, const machine_record_t *record, guint owner,
                          GHashTable *live_jobs)
 {
     for (guint k = 0; k < record->entries->len; k++) {
         const record_entry_t *attempt = &g_array_index(record->entries, record_entry_t, k);
-        if (node->is_leader)
-            leader_load_attempt(node->leader, attempt, record->zone, owner);
-        if (owner == node->own_index && !g_hash_table_contains(live_jobs, attempt->job))
-            partition_end_job(node->partition, attempt->job);
+        if (controller->is_leader)
+            leader_load_attempt(controller->leader, attempt, record->zone, owner);
+        if (owner == controller->own_index && !g_hash_table_contains(live_jobs, attempt->job))
+            partition_end_job(controller->partition, attempt->job);
     }
 }
 
-static void load_record(node_t *node, const page_record_t *record, GHashTable *live_jobs,
-                        msec_t now)
+static void load_record(controller_t *controller, const page_record_t *record,
+                        GHashTable *live_jobs, msec_t now)
 {
     if (record->machines->len == 0)
         return;
     const machine_record_t *first = &g_array_index(record->machines, machine_record_t, 0);
-    guint owner = node_owner(node, first->machine, first->zone);
-    if (owner == node->own_index)
-        partition_load(node->partition, record, now);
+    guint owner = controller_owner_index(controller, first->machine, first->zone);
+    if (owner == controller->own_index)
+        partition_load(controller->partition, record, now);
     for (guint i = 0; i < record->machines->len; i++)
-        load_machine(node, &g_array_index(record->machines, machine_record_t, i), owner, live_jobs);
+        load_machine(controller, &g_array_index(record->machines, machine_record_t, i), owner,
+                     live_jobs);
 }
 
 /* False: a record can't be read. Taken for empty, its tasks would run twice: then nothing is
  * loaded. */
-static bool load_machines(node_t *node, const listing_t *listing, msec_t now)
+static bool load_machines(controller_t *controller, const listing_t *listing, msec_t now)
 {
     bool valid = true;
     GHashTable *machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -101,7 +102,7 @@
         char *id = g_array_index(listing->jobs, kv_entry_t, i).key + strlen("jobs/");
         /* It may have been cancelled since it was listed, and its tasks must stop: that was told to
          * the data of the view before, and nobody tells it again. */
-        if (!g_hash_table_contains(node->terminal_jobs, id))
+        if (!g_hash_table_contains(controller->terminal_jobs, id))
             g_hash_table_add(live_jobs, id);
     }
     for (guint i = 0; i < listing->machines->len; i++) {
@@ -122,7 +123,7 @@
             }
         }
         if (valid)
-            load_record(node, &record, live_jobs, now);
+            load_record(controller, &record, live_jobs, now);
         g_array_unref(record.machines);
     }
     g_hash_table_unref(live_jobs);
@@ -130,107 +131,111 @@
     return valid;
 }
 
-static void load_all(node_t *node, const listing_t *listing, msec_t now)
+static void load_all(controller_t *controller, const listing_t *listing, msec_t now)
 {
-    partition_t *earlier = node->partition;
-    g_clear_pointer(&node->leader, leader_free);
-    if (!node->autoscaler)
-        node->autoscaler = autoscaler_new();
-    node->partition =
-        partition_new(node->machine_types, node->settings->teams,
-                      (msec_t)(tunable_value(node->policy, TUNABLE_RESERVATION_TTL) * MS_PER_S));
+    partition_t *earlier = controller->partition;
+    g_clear_pointer(&controller->leader, leader_free);
+    if (!controller->autoscaler)
+        controller->autoscaler = autoscaler_new();
+    controller->partition = partition_new(
+        controller->machine_types, controller->settings->teams,
+        (msec_t)(tunable_value(controller->policy, TUNABLE_RESERVATION_TTL) * MS_PER_S));
     if (earlier) {
-        partition_inherit_drains(node->partition, earlier);
+        partition_inherit_drains(controller->partition, earlier);
         partition_free(earlier);
     }
-    partition_set_view(node->partition, node->view.number);
-    partition_set_heartbeat_interval(node->partition, node->settings->heartbeat_interval_s);
-    if (node->settings->pace > 1)
-        partition_delay_probes(node->partition, node->settings->heartbeat_interval_s);
-    if (node->is_leader) {
-        node->leader =
-            leader_new(node->settings->teams, node->settings->slos, node->policy, node->view.count);
-        leader_set_view(node->leader, node->view.number);
-        arc4random_buf(&node->leader->counts_epoch, sizeof node->leader->counts_epoch);
-        load_jobs(node, listing->jobs);
-        load_done(node, listing->done);
+    partition_set_view(controller->partition, controller->view.number);
+    partition_set_heartbeat_interval(controller->partition,
+                                     controller->settings->heartbeat_interval_s);
+    if (controller->settings->pace > 1)
+        partition_delay_probes(controller->partition, controller->settings->heartbeat_interval_s);
+    if (controller->is_leader) {
+        controller->leader = leader_new(controller->settings->teams, controller->settings->slos,
+                                        controller->policy, controller->view.count);
+        leader_set_view(controller->leader, controller->view.number);
+        arc4random_buf(&controller->leader->counts_epoch, sizeof controller->leader->counts_epoch);
+        load_jobs(controller, listing->jobs);
+        load_done(controller, listing->done);
     }
-    node->is_loaded = load_machines(node, listing, now);
-    node->generation++;
-    node->loaded_at = now;
-    pthread_cond_broadcast(&node->peer_work);
-    pthread_cond_signal(&node->relay);
-    pthread_cond_signal(&node->cloud_work);
-    node_notify_dispatchers(node);
+    controller->is_loaded = load_machines(controller, listing, now);
+    controller->data_generation++;
+    controller->loaded_at = now;
+    pthread_cond_broadcast(&controller->peer_item_available);
+    pthread_cond_signal(&controller->relay_ready);
+    pthread_cond_signal(&controller->autoscaler_ready);
+    controller_notify_dispatchers(controller);
 }
 
 static void load(placement_loop_t *loop)
 {
-    node_t *node = loop->node;
-    pthread_mutex_lock(&node->lock);
-    uint64_t number = node->view.number;
-    bool is_leader = node->is_leader;
-    pthread_mutex_unlock(&node->lock);
+    controller_t *controller = loop->controller;
+    pthread_mutex_lock(&controller->lock);
+    uint64_t number = controller->view.number;
+    bool is_leader = controller->is_leader;
+    pthread_mutex_unlock(&controller->lock);
     listing_t listing = {kv_entries_new(), kv_entries_new(), kv_entries_new()};
     bool read = read_listing(loop, &listing, is_leader);
-    pthread_mutex_lock(&node->lock);
-    if (read && node->view.number == number) {
-        load_all(node, &listing, clock_steady());
+    pthread_mutex_lock(&controller->lock);
+    if (read && controller->view.number == number) {
+        load_all(controller, &listing, clock_steady());
         log_info("event=records_loaded view=%" G_GUINT64_FORMAT
                  " is_leader=%d jobs=%u machines=%u attempts=%u",
-                 number, is_leader, listing.jobs->len, g_hash_table_size(node->partition->machines),
-                 g_hash_table_size(node->partition->attempts));
+                 number, is_leader, listing.jobs->len,
+                 g_hash_table_size(controller->partition->machines),
+                 g_hash_table_size(controller->partition->attempts));
     }
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_unlock(&controller->lock);
     g_array_unref(listing.machines);
     g_array_unref(listing.done);
     g_array_unref(listing.jobs);
     if (!read)
-        node_sleep(ELECT_POLL_MS);
+        controller_sleep(ELECT_POLL_MS);
 }
 
 /* The data can't be trusted any more: a new number voids what is under way, then all read again. */
 static void reload(placement_loop_t *loop, const char *why)
 {
-    node_t *node = loop->node;
-    metrics_count(node->metrics, COUNT_RELOADS, 1);
+    controller_t *controller = loop->controller;
+    metrics_count(controller->metrics, COUNT_RELOADS, 1);
     log_info("event=records_reload why=%s", why);
-    pthread_mutex_lock(&node->lock);
-    node->is_loaded = false;
-    node->generation++;
-    pthread_mutex_unlock(&node->lock);
-    while (!view_advance_fencing_token(node, loop->client))
-        node_sleep(ELECT_POLL_MS);
+    pthread_mutex_lock(&controller->lock);
+    controller->is_loaded = false;
+    controller->data_generation++;
+    pthread_mutex_unlock(&controller->lock);
+    while (!view_advance_fencing_token(controller, loop->client))
+        controller_sleep(ELECT_POLL_MS);
     loop->fencing_token_advanced_at = clock_steady();
 }
 
-static void take_results(node_t *node, msec_t now)
+static void take_results(controller_t *controller, msec_t now)
 {
-    GArray *results = node->partition->results;
+    GArray *results = controller->partition->results;
     for (guint i = 0; i < results->len; i++) {
         const attempt_result_t *result = &g_array_index(results, attempt_result_t, i);
-        if (node->is_leader)
-            node_handle_result(node, node->own_index, result, now);
+        if (controller->is_leader)
+            controller_handle_result(controller, controller->own_index, result, now);
         else
-            channel_push(node->leader_channel,
+            channel_push(controller->leader_channel,
                          (channel_item_t){.kind = CHANNEL_ATTEMPT_RESULT, .result = *result});
     }
     g_array_set_size(results, 0);
 }
 
-static void send_placement_requests(node_t *node, msec_t now, guint most)
+static void send_placement_requests(controller_t *controller, msec_t now, guint most)
 {
-    leader_set_summaries(node->leader, node->own_index, node_summaries(node, now));
-    leader_set_cpus_being_preempted(node->leader, node->own_index, node_cpus_being_preempted(node));
-    GArray *requests = leader_schedule(node->leader, now, clock_day(), most);
+    leader_set_summaries(controller->leader, controller->own_index,
+                         controller_machine_summaries(controller, now));
+    leader_set_cpus_being_preempted(controller->leader, controller->own_index,
+                                    controller_cpus_being_preempted(controller));
+    GArray *requests = leader_schedule(controller->leader, now, clock_day(), most);
     for (guint i = 0; i < requests->len; i++) {
         const leader_request_t *made = &g_array_index(requests, leader_request_t, i);
         const placement_request_t *request = &made->request;
         task_ref_t ref = task_ref(request->job, request->task, request->attempt);
         channel_item_t item = {.kind = CHANNEL_PLACEMENT_REQUEST, .request = *request};
         item.request.types = g_strdupv(request->types);
-        if (leader_is_outstanding(node->leader, &ref)) /* else of a gang that was withdrawn */
-            node_send(node, made->partition, item);
+        if (leader_is_outstanding(controller->leader, &ref)) /* else of a gang that was withdrawn */
+            controller_send_item(controller, made->partition, item);
         else
             g_strfreev(item.request.types);
     }
@@ -243,37 +248,37 @@
     kv_txn_usage_t usage;
 } batch_t;
 
-static void committed(node_t *node, batch_t *batch, uint64_t revision)
+static void committed(controller_t *controller, batch_t *batch, uint64_t revision)
 {
     GArray *acknowledged = g_array_new(FALSE, FALSE, sizeof(partition_attempt_t));
-    partition_batch_commit(node->partition, batch->machines, revision, clock_steady());
+    partition_batch_commit(controller->partition, batch->machines, revision, clock_steady());
     if (batch->progress)
-        leader_progress_commit(node->leader, batch->progress, revision, acknowledged);
+        leader_progress_commit(controller->leader, batch->progress, revision, acknowledged);
     for (guint i = 0; i < acknowledged->len; i++) {
         const partition_attempt_t *entry = &g_array_index(acknowledged, partition_attempt_t, i);
-        node_send(node, entry->partition,
-                  (channel_item_t){.kind = CHANNEL_ACKNOWLEDGE, .ref = entry->ref});
+        controller_send_item(controller, entry->partition,
+                             (channel_item_t){.kind = CHANNEL_ACKNOWLEDGE, .ref = entry->ref});
     }
     for (guint i = 0; batch->progress && i < batch->progress->len; i++) {
         const progress_t *progress = &g_array_index(batch->progress, progress_t, i);
         if (!progress->is_job_end)
             continue;
         log_info("event=job_done job=%s tasks=%u", progress->job, progress->done);
-        node_remove_job(node, progress->job);
+        job_directory_remove(controller, progress->job);
     }
     g_array_unref(acknowledged);
-    node_notify_dispatchers(node);
+    controller_notify_dispatchers(controller);
 }
 
-static void undo(node_t *node, batch_t *batch)
+static void undo(controller_t *controller, batch_t *batch)
 {
-    partition_batch_undo(node->partition, batch->machines);
+    partition_batch_undo(controller->partition, batch->machines);
     if (batch->progress)
-        leader_progress_undo(node->leader, batch->progress);
+        leader_progress_undo(controller->leader, batch->progress);
 }
 
 /* What a failed condition says. Only jobs failing: they were cancelled. */
-static const char *judge(node_t *node, const GPtrArray *failed)
+static const char *judge(controller_t *controller, const GPtrArray *failed)
 {
     for (guint i = 0; i < failed->len; i++) {
         const char *key = g_ptr_array_index(failed, i);
@@ -283,69 +288,71 @@
             return "condition_failed";
     }
     for (guint i = 0; i < failed->len; i++)
-        node_remove_job(node, (char *)g_ptr_array_index(failed, i) + strlen("jobs/"));
+        job_directory_remove(controller, (char *)g_ptr_array_index(failed, i) + strlen("jobs/"));
     return failed->len ? NULL : "condition_failed";
 }
 
 static void commit(placement_loop_t *loop, batch_t *batch, uint64_t view_revision)
 {
-    node_t *node = loop->node;
+    controller_t *controller = loop->controller;
     GPtrArray *failed = g_ptr_array_new_with_free_func(g_free);
     uint64_t revision = 0;
     const char *broken = NULL;
     kv_txn_t txn = records_commit(batch->progress, batch->machines, view_revision);
     msec_t now = clock_steady();
-    rate_limiter_charge(&node->core_rps, 1, now);
-    rate_limiter_charge(&node->core_write, batch->usage.ops, now);
+    rate_limiter_charge(&controller->core_request_limiter, 1, now);
+    rate_limiter_charge(&controller->core_write_limiter, batch->usage.ops, now);
     kv_result_t result =
-        kv_commit(&node->kv_store, loop->client, &txn, KV_TIMEOUT_MS, &revision, failed);
+        kv_commit(&controller->kv_store, loop->client, &txn, KV_TIMEOUT_MS, &revision, failed);
     kv_txn_free(&txn);
-    metrics_time(node->metrics, TIME_COMMIT, clock_steady() - now);
-    metrics_count(node->metrics, result == KV_OK ? COUNT_COMMITS : COUNT_COMMITS_FAILED, 1);
-    pthread_mutex_lock(&node->lock);
+    metrics_time(controller->metrics, TIME_COMMIT, clock_steady() - now);
+    metrics_count(controller->metrics, result == KV_OK ? COUNT_COMMITS : COUNT_COMMITS_FAILED, 1);
+    pthread_mutex_lock(&controller->lock);
     switch (result) {
     case KV_OK:
-        committed(node, batch, revision);
+        committed(controller, batch, revision);
         break;
     case KV_CONFLICT:
-        undo(node, batch);
-        broken = judge(node, failed);
+        undo(controller, batch);
+        broken = judge(controller, failed);
         break;
     case KV_NOT_EXECUTED:
-        undo(node, batch);
+        undo(controller, batch);
         break;
     default:
         broken = result == KV_INDETERMINATE ? "no_answer" : "invalid";
     }
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_unlock(&controller->lock);
     g_ptr_array_unref(failed);
     if (result == KV_NOT_EXECUTED)
-        node_sleep(PLACEMENT_TICK_MS);
+        controller_sleep(PLACEMENT_TICK_MS);
     if (result == KV_INVALID)
         log_error("event=invalid_transaction ops=%u", batch->usage.ops);
     if (broken && strcmp(broken, "view_changed") == 0)
-        view_refresh(node, loop->client);
+        view_refresh(controller, loop->client);
     else if (broken)
         reload(loop, broken);
 }
 
 /* One round with the lock held; returns whether there is something to commit. */
-static bool tick(node_t *node, batch_t *batch, msec_t now)
+static bool tick(controller_t *controller, batch_t *batch, msec_t now)
 {
-    partition_tick(node->partition, now);
-    take_results(node, now);
-    double left = rate_limiter_left(&node->core_write, now);
-    guint most = left < 1 ? 0 : MIN((guint)left, node->settings->txn_ops);
-    guint full = MIN((guint)node->core_write.rate, node->settings->txn_ops);
+    partition_tick(controller->partition, now);
+    take_results(controller, now);
+    double left = rate_limiter_left(&controller->core_write_limiter, now);
+    guint most = left < 1 ? 0 : MIN((guint)left, controller->settings->txn_ops);
+    guint full = MIN((guint)controller->core_write_limiter.rate, controller->settings->txn_ops);
     batch->usage =
         (kv_txn_usage_t){.max_ops = most, .full_ops = full, .max_bytes = KV_TXN_VALUES_BYTES / 2};
-    if (node->is_leader) {
+    if (controller->is_leader) {
         send_placement_requests(
-            node, now, (guint)tunable_value(node->policy, TUNABLE_PLACEMENT_REQUESTS_PER_ROUND));
+            controller, now,
+            (guint)tunable_value(controller->policy, TUNABLE_PLACEMENT_REQUESTS_PER_ROUND));
         batch->progress = leader_progress_new();
-        leader_progress_take(node->leader, now, PROGRESS_LATE_MS, batch->progress, &batch->usage);
+        leader_progress_take(controller->leader, now, PROGRESS_LATE_MS, batch->progress,
+                             &batch->usage);
     }
-    guint conditions = 4 * node->settings->txn_ops;
+    guint conditions = 4 * controller->settings->txn_ops;
     /* The view, and two for each key written. */
     guint spoken_for = 1 + 2 * MAX(most, batch->usage.ops);
     /* Records that took each write as the rate limit gives it would leave none for the end of a
@@ -353,49 +360,51 @@
     partition_limits_t limits = {
         .ops = batch->usage.has_waiting_end ? 0 : most - MIN(most, batch->usage.ops),
         .jobs = conditions - MIN(conditions, spoken_for),
-        .value_max =
-            MIN((gsize)(node->settings->value_kb * BYTES_PER_KIB), (gsize)KV_TXN_VALUES_BYTES / 3),
+        .value_max = MIN((gsize)(controller->settings->value_kb * BYTES_PER_KIB),
+                         (gsize)KV_TXN_VALUES_BYTES / 3),
         .bytes = KV_TXN_VALUES_BYTES - batch->usage.bytes};
-    batch->machines = partition_batch_take(node->partition, &limits, now);
+    batch->machines = partition_batch_take(controller->partition, &limits, now);
     batch->usage.ops += batch->machines->records->len;
     batch->usage.bytes += batch->machines->bytes;
     batch->usage.max_bytes = KV_TXN_VALUES_BYTES;
-    if (node->is_leader)
-        leader_progress_take(node->leader, now, PROGRESS_GAP_MS, batch->progress, &batch->usage);
-    take_results(node, now);
+    if (controller->is_leader)
+        leader_progress_take(controller->leader, now, PROGRESS_GAP_MS, batch->progress,
+                             &batch->usage);
+    take_results(controller, now);
     return batch->usage.ops > 0;
 }
 
 void *placement_loop_run(void *data)
 {
-    placement_loop_t loop = {.node = data, .client = http_client_new(2)};
-    node_t *node = loop.node;
+    placement_loop_t loop = {.controller = data, .client = http_client_new(2)};
+    controller_t *controller = loop.controller;
     for (;;) {
-        pthread_mutex_lock(&node->lock);
-        node_wait(node, &node->placement_ready, node_paced(node, PLACEMENT_TICK_MS));
-        if (!node->is_loaded) {
-            bool member = node->own_index != G_MAXUINT;
-            pthread_mutex_unlock(&node->lock);
+        pthread_mutex_lock(&controller->lock);
+        controller_wait(controller, &controller->placement_ready,
+                        controller_paced(controller, PLACEMENT_TICK_MS));
+        if (!controller->is_loaded) {
+            bool member = controller->own_index != G_MAXUINT;
+            pthread_mutex_unlock(&controller->lock);
             if (member)
                 load(&loop);
             continue;
         }
         msec_t now = clock_steady();
-        node_observe_time(node, now);
+        controller_observe_time(controller, now);
         batch_t batch = {0};
-        bool changes = tick(node, &batch, now);
-        bool wants_token = partition_needs_new_fencing_token(node->partition) &&
+        bool changes = tick(controller, &batch, now);
+        bool wants_token = partition_needs_new_fencing_token(controller->partition) &&
                            now - loop.fencing_token_advanced_at > FENCING_TOKEN_GAP_MS;
-        uint64_t revision = node->view.revision;
-        pthread_mutex_unlock(&node->lock);
+        uint64_t revision = controller->view.revision;
+        pthread_mutex_unlock(&controller->lock);
         if (changes)
             commit(&loop, &batch, revision);
         if (batch.progress)
             g_array_unref(batch.progress);
         partition_batch_free(batch.machines);
-        if (wants_token && view_advance_fencing_token(node, loop.client))
+        if (wants_token && view_advance_fencing_token(controller, loop.client))
             loop.fencing_token_advanced_at = clock_steady();
-        node_sleep(node_paced(node, COMMIT_GAP_MS));
+        controller_sleep(controller_paced(controller, COMMIT_GAP_MS));
     }
     return NULL;
 }
--- a/src/app/view.c
+++ b/src/app/view.c
@@ -1,6 +1,6 @@
 /* view/ in the key-value store. view/number holds the number, which is the fencing token, with
- * leader and members; view/lease hangs on the leader's lease, view/members/<name> on each node's
- * own. */
+ * leader and members; view/lease hangs on the leader's lease, view/members/<name> on each
+ * controller's own. */
 #include "app/view.h"
 
 #include <string.h>
@@ -50,23 +50,23 @@
     return true;
 }
 
-void view_refresh(node_t *node, http_client_t *client)
+void view_refresh(controller_t *controller, http_client_t *client)
 {
     kv_entry_t entry = {0};
     view_t view;
-    rate_limiter_charge(&node->core_rps, 1, clock_steady());
-    if (kv_get(&node->kv_store, client, "view/number", KV_TIMEOUT_MS, &entry) == KV_OK &&
+    rate_limiter_charge(&controller->core_request_limiter, 1, clock_steady());
+    if (kv_get(&controller->kv_store, client, "view/number", KV_TIMEOUT_MS, &entry) == KV_OK &&
         view_parse(entry.value, entry.revision, &view)) {
-        pthread_mutex_lock(&node->lock);
-        node_install_view(node, &view);
-        pthread_mutex_unlock(&node->lock);
+        pthread_mutex_lock(&controller->lock);
+        controller_install_view(controller, &view);
+        pthread_mutex_unlock(&controller->lock);
     }
     g_free(entry.key);
     json_decref(entry.value);
 }
 
-kv_result_t view_change(node_t *node, http_client_t *client, view_t *next, uint64_t revision,
-                        uint64_t lease, uint64_t lease_revision)
+kv_result_t view_change(controller_t *controller, http_client_t *client, view_t *next,
+                        uint64_t revision, uint64_t lease, uint64_t lease_revision)
 {
     kv_txn_t txn = kv_txn_new();
     kv_txn_require_revision(&txn, "view/number", revision);
@@ -77,101 +77,103 @@
         kv_txn_require_revision(&txn, "view/lease", lease_revision);
         kv_txn_put(&txn, "view/lease", wire_build_member(&holder), lease);
     }
-    rate_limiter_charge(&node->core_rps, 1, clock_steady());
-    rate_limiter_charge(&node->core_write, lease ? 2 : 1, clock_steady());
+    rate_limiter_charge(&controller->core_request_limiter, 1, clock_steady());
+    rate_limiter_charge(&controller->core_write_limiter, lease ? 2 : 1, clock_steady());
     kv_result_t result =
-        kv_commit(&node->kv_store, client, &txn, KV_TIMEOUT_MS, &next->revision, NULL);
+        kv_commit(&controller->kv_store, client, &txn, KV_TIMEOUT_MS, &next->revision, NULL);
     kv_txn_free(&txn);
     if (result == KV_OK) {
-        pthread_mutex_lock(&node->lock);
+        pthread_mutex_lock(&controller->lock);
         if (lease) {
             /* Known before the follow tells: else the lease would look free, and be taken again. */
-            election_take_lease(&node->election, next->leader, next->incarnation, next->revision);
+            election_take_lease(&controller->election, next->leader, next->incarnation,
+                                next->revision);
         }
-        node_install_view(node, next);
-        pthread_mutex_unlock(&node->lock);
+        controller_install_view(controller, next);
+        pthread_mutex_unlock(&controller->lock);
     } else if (result != KV_NOT_EXECUTED) {
-        view_refresh(node, client); /* another was quicker, or the answer was lost */
+        view_refresh(controller, client); /* another was quicker, or the answer was lost */
     }
     return result;
 }
 
-bool view_advance_fencing_token(node_t *node, http_client_t *client)
+bool view_advance_fencing_token(controller_t *controller, http_client_t *client)
 {
-    pthread_mutex_lock(&node->lock);
-    view_t next = node->view;
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_lock(&controller->lock);
+    view_t next = controller->view;
+    pthread_mutex_unlock(&controller->lock);
     uint64_t number = next.number++;
-    view_change(node, client, &next, next.revision, 0, 0);
-    pthread_mutex_lock(&node->lock);
-    bool moved = node->view.number > number;
-    pthread_mutex_unlock(&node->lock);
+    view_change(controller, client, &next, next.revision, 0, 0);
+    pthread_mutex_lock(&controller->lock);
+    bool moved = controller->view.number > number;
+    pthread_mutex_unlock(&controller->lock);
     return moved;
 }
 
-static void take_entry(node_t *node, const kv_entry_t *entry)
+static void take_entry(controller_t *controller, const kv_entry_t *entry)
 {
     static const char members[] = "view/members/";
     member_t member = {0};
     view_t view;
     if (strcmp(entry->key, "view/number") == 0) {
         if (entry->value && view_parse(entry->value, entry->revision, &view))
-            node_install_view(node, &view);
+            controller_install_view(controller, &view);
     } else if (strcmp(entry->key, "view/lease") == 0) {
         election_take_lease(
-            &node->election, json_string_value(json_object_get(entry->value, "Name")),
+            &controller->election, json_string_value(json_object_get(entry->value, "Name")),
             (uint64_t)json_integer_value(json_object_get(entry->value, "Incarnation")),
             entry->revision);
     } else if (g_str_has_prefix(entry->key, members)) {
         const char *name = entry->key + strlen(members);
         bool listed = entry->value && parse_member(entry->value, &member);
-        election_take_member(&node->election, name, listed ? &member : NULL, clock_steady());
+        election_take_member(&controller->election, name, listed ? &member : NULL, clock_steady());
     }
 }
 
-static bool read_all(node_t *node, http_client_t *client, uint64_t *revision)
+static bool read_all(controller_t *controller, http_client_t *client, uint64_t *revision)
 {
     GArray *entries = kv_entries_new();
     msec_t sent = clock_steady();
-    rate_limiter_charge(&node->core_rps, 1, sent);
-    bool read = kv_list(&node->kv_store, client, "view/", entries, revision) == KV_OK;
+    rate_limiter_charge(&controller->core_request_limiter, 1, sent);
+    bool read = kv_list(&controller->kv_store, client, "view/", entries, revision) == KV_OK;
     if (read) {
-        pthread_mutex_lock(&node->lock);
-        election_clear(&node->election);
+        pthread_mutex_lock(&controller->lock);
+        election_clear(&controller->election);
         for (guint i = 0; i < entries->len; i++)
-            take_entry(node, &g_array_index(entries, kv_entry_t, i));
-        node->is_view_synced = true;
-        node->views_complete_until = sent;
-        pthread_cond_broadcast(&node->members);
-        pthread_mutex_unlock(&node->lock);
+            take_entry(controller, &g_array_index(entries, kv_entry_t, i));
+        controller->is_view_synced = true;
+        controller->views_complete_until = sent;
+        pthread_cond_broadcast(&controller->membership_changed);
+        pthread_mutex_unlock(&controller->lock);
     }
     g_array_unref(entries);
     return read;
 }
 
-static kv_result_t watch_changes(node_t *node, http_client_t *client, uint64_t *revision)
+static kv_result_t watch_changes(controller_t *controller, http_client_t *client,
+                                 uint64_t *revision)
 {
     GArray *changes = kv_entries_new();
     msec_t sent = clock_steady();
-    rate_limiter_charge(&node->core_rps, 1, sent);
+    rate_limiter_charge(&controller->core_request_limiter, 1, sent);
     kv_result_t result =
-        kv_watch(&node->kv_store, client, "view/", KV_WATCH_BLOCK_MS, revision, changes);
-    pthread_mutex_lock(&node->lock);
+        kv_watch(&controller->kv_store, client, "view/", KV_WATCH_BLOCK_MS, revision, changes);
+    pthread_mutex_lock(&controller->lock);
     for (guint i = 0; result == KV_OK && i < changes->len; i++)
-        take_entry(node, &g_array_index(changes, kv_entry_t, i));
+        take_entry(controller, &g_array_index(changes, kv_entry_t, i));
     if (result == KV_OK)
-        node->views_complete_until = sent;
+        controller->views_complete_until = sent;
     if (result == KV_COMPACTED)
-        node->is_view_synced = false;
+        controller->is_view_synced = false;
     if (changes->len)
-        pthread_cond_broadcast(&node->members);
-    pthread_mutex_unlock(&node->lock);
+        pthread_cond_broadcast(&controller->membership_changed);
+    pthread_mutex_unlock(&controller->lock);
     g_array_unref(changes);
     return result;
 }
 
 void *view_run(void *data)
 {
-    node_watch(data, read_all, watch_changes);
+    controller_watch(data, read_all, watch_changes);
     return NULL;
 }
--- a/src/constants.h
+++ b/src/constants.h
@@ -130,22 +130,22 @@
 /* ---- Users' requests ---- */
 
 enum {
-    API_TIMEOUT_MS = 1500,  /* a call to the key-value store */
-    API_WAIT_MS = 1000,     /* a request waits so long for a thread and a connection to the state
-                               service: half of what users wait for a status */
-    API_STATUS_MS = 1600,   /* from its arrival a status is worked on so long; users wait 2 s */
-    API_SUBMIT_MS = 4500,   /* a submission or an abort; users wait 5 s */
-    STATUS_GATHER_MS = 200, /* status reads of so long are asked together; users wait 2 s */
-    API_CLIENTS_COUNT = 10, /* connections to the key-value store; a call takes some 10 ms */
-    API_THREADS_COUNT = 48, /* requests handled at once: half a second each when things are
-                               slow, a hundred a second at one controller */
+    API_TIMEOUT_MS = 1500, /* a call to the key-value store */
+    API_WAIT_MS = 1000,    /* a request waits so long for a thread and a connection to the state
+                              service: half of what users wait for a status */
+    API_STATUS_MS = 1600,  /* from its arrival a status is worked on so long; users wait 2 s */
+    API_SUBMIT_MS = 4500,  /* a submission or an abort; users wait 5 s */
+    STATUS_BATCH_DELAY_MS = 200,  /* status reads of so long are asked together; users wait 2 s */
+    API_KV_CLIENTS_COUNT = 10,    /* connections to the key-value store; a call takes some 10 ms */
+    REQUEST_WORKERS_COUNT = 48,   /* requests handled at once: half a second each when things are
+                                 slow, a hundred a second at one controller */
     REQUESTS_WAITING_COUNT = 256, /* requests in the queue; further ones get a 503 */
     REQUEST_PATH_BYTES = 128,     /* path of a request that is queued: a job's id has under 40 */
     TERMINAL_STATE_CACHE_COUNT = 4096, /* final states in memory, about 60 bytes each */
     TERMINAL_JOBS_COUNT = 8192, /* ids of ended jobs, which an older list of jobs must not bring
                                back; a list is seconds old at most, and a hundred may end in
                                that time */
-    SHUT_OUT_MS = 3000          /* /ready is 503 after so long without the key-value store */
+    ISOLATED_AFTER_MS = 3000    /* /ready is 503 after so long without the key-value store */
 };
 
 /* ---- Connections, threads and memory ---- */
@@ -214,12 +214,12 @@
 /* ---- Redirection of workers ---- */
 
 enum {
-    REDIRECT_TIMEOUT_MS = 4000,   /* a worker waits so long for an answer (protocol) */
-    REDIRECT_PROBE_MS = 12000,    /* a worker sent to its owner and back within this can't reach it:
-                                     two controllers that don't answer cost it 5 s each */
-    RETAIN_MS = 20000,            /* such a worker is retained so long before it is sent again */
-    RETAIN_TURNED_AWAY_MS = 3000, /* one that its owner turned away is retained so long: a
-                                     controller that has just begun is ready within 1 or 2 s */
+    REDIRECT_TIMEOUT_MS = 4000, /* a worker waits so long for an answer (protocol) */
+    REDIRECT_PROBE_MS = 12000,  /* a worker sent to its owner and back within this can't reach it:
+                                   two controllers that don't answer cost it 5 s each */
+    RETAIN_MS = 20000,          /* such a worker is retained so long before it is sent again */
+    RETAIN_REFUSED_MS = 3000,   /* one that its owner turned away is retained so long: a
+                                       controller that has just begun is ready within 1 or 2 s */
     OWNER_FRESH_MS = 3000, /* workers reach a controller if one reported to it so lately: less than
                               the 5 s after which workers turn elsewhere */
     RETAINED_WRITE_GAP_MS = 3000,  /* between writes of the list of retained workers */
--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -37,8 +37,8 @@
 void autoscaler_free(autoscaler_t *autoscaler);
 void autoscaler_add_booting(autoscaler_t *autoscaler, const char *machine, const char *type,
                             const char *zone, bool spot, msec_t since);
-/* A leadership begins: what an earlier one of this node had under way may be up by now and work for
- * partitions that have yet to say so. The list tells what still boots. */
+/* A leadership begins: what an earlier one of this controller had under way may be up by now and
+ * work for partitions that have yet to say so. The list tells what still boots. */
 void autoscaler_begin_leadership(autoscaler_t *autoscaler);
 /* It reported, or is gone. */
 void autoscaler_remove_booting(autoscaler_t *autoscaler, const char *machine);
--- a/src/core/autoscaler_internal.h
+++ b/src/core/autoscaler_internal.h
@@ -1,6 +1,6 @@
 /* What the sources of the autoscaler share among themselves. Nobody else includes it.
  *
- * As for autoscaler.h: the caller holds the lock of the node. */
+ * As for autoscaler.h: the caller holds the lock of the controller. */
 #ifndef PEPPERPULLEY_AUTOSCALER_INTERNAL_H
 #define PEPPERPULLEY_AUTOSCALER_INTERNAL_H
 
--- a/src/core/cancellation_log.h
+++ b/src/core/cancellation_log.h
@@ -1,7 +1,8 @@
 /* Cancellations that users were told of, here and by the siblings.
  *
- * Owns: the list of those that this node told, in the order in which it told them first, and what
- * it has of each sibling's list. The caller holds the lock of the node; no input or output.
+ * Owns: the list of those that this controller told, in the order in which it told them first, and
+ * what it has of each sibling's list. The caller holds the lock of the controller; no input or
+ * output.
  *
  * A worker may be kept alive only as long as every cancellation that anybody was told of is known
  * here, so that its tasks can be stopped. Following jobs/ gives moments up to which that holds; in
@@ -14,15 +15,16 @@
  * Own entries are made before the answer can leave, by whatever road it was found: a first abort, a
  * repeated one, one whose commit went unanswered, a status, a repeated submission.
  *
- * All times are of this node's clock, in ms; where one is uncertain, the bound that proves less. */
+ * All times are of this controller's clock, in ms; where one is uncertain, the bound that proves
+ * less. */
 #ifndef PEPPERPULLEY_CANCELLATION_LOG_H
 #define PEPPERPULLEY_CANCELLATION_LOG_H
 
 #include "core/owner.h"
 
-/* What one node tells another: what it told users of after one number, up to another. */
+/* What one controller tells another: what it told users of after one number, up to another. */
 typedef struct cancellation_update {
-    uint64_t incarnation; /* of the node that keeps the log */
+    uint64_t incarnation; /* of the controller that keeps the log */
     uint64_t after_index;
     uint64_t last_index;
     bool is_complete; /* nothing else was told before this was put together */
--- a/src/core/election.h
+++ b/src/core/election.h
@@ -1,4 +1,5 @@
-/* Who leads, and who is in the next view: what a node decides from view/ in the key-value store.
+/* Who leads, and who is in the next view: what a controller decides from view/ in the key-value
+ * store.
  *
  * Owns: what it has followed there. A process that is back within a moment has the name of the one
  * before and nothing else of it: everything goes by incarnation. */
@@ -8,7 +9,7 @@
 #include "core/owner.h"
 #include "core/types.h"
 
-/* The view as a node last read it. */
+/* The view as a controller last read it. */
 typedef struct view {
     uint64_t number;   /* 0: none known */
     uint64_t revision; /* of view/number */
--- a/src/core/job_counts.h
+++ b/src/core/job_counts.h
@@ -4,7 +4,7 @@
  *
  * The leader numbers its changes (a job's newest change only); a replica asks for what is newer
  * than what it has. An epoch is one loading of the leader's data: of another, all is sent anew. The
- * caller holds the lock of the node. */
+ * caller holds the lock of the controller. */
 #ifndef PEPPERPULLEY_JOB_COUNTS_H
 #define PEPPERPULLEY_JOB_COUNTS_H
 
--- a/src/core/leader.h
+++ b/src/core/leader.h
@@ -2,7 +2,7 @@
  *
  * Owns: the live jobs with their progress, what each team has outstanding, and the placement
  * requests made. It knows the machines only by the machine summaries that their partitions hand in.
- * The caller holds the node's lock.
+ * The caller holds the controller's lock.
  *
  * What counts against a team's limit and a job's zones is every attempt requested or recorded and
  * not proved over, machines that hang or can't be reached included. */
--- a/src/core/leader_internal.h
+++ b/src/core/leader_internal.h
@@ -1,6 +1,7 @@
 /* What the sources of the leader share among themselves. Nobody else includes it.
  *
- * As for leader.h: the caller holds the lock of the node, nothing waits or does input or output. */
+ * As for leader.h: the caller holds the lock of the controller, nothing waits or does input or
+ * output. */
 #ifndef PEPPERPULLEY_LEADER_INTERNAL_H
 #define PEPPERPULLEY_LEADER_INTERNAL_H
 
--- a/src/core/partition.c
+++ b/src/core/partition.c
@@ -250,7 +250,7 @@
 }
 
 /* A machine can be heard and not reached: its heartbeats come, our answers and commands are lost. A
- * worker without an answer waits 4 s and turns to another node a second later, so one that
+ * worker without an answer waits 4 s and turns to another controller a second later, so one that
  * heartbeats here again within that time has had the answer. */
 bool partition_is_reachable(const partition_t *partition, const machine_t *machine, msec_t now)
 {
--- a/src/core/partition.h
+++ b/src/core/partition.h
@@ -1,8 +1,8 @@
 /* A partition: the machines that one controller owns in one view.
  *
  * Owns: machines, their attempts and reservations, in memory. Wanted: every recorded attempt
- * listed by its worker, every stopped or ended one gone. The caller holds the lock of the node;
- * nothing here waits, reads a clock or does input or output.
+ * listed by its worker, every stopped or ended one gone. The caller holds the lock of the
+ * controller; nothing here waits, reads a clock or does input or output.
  *
  * An attempt is taken off a machine's record only on proof that it is over and cannot still begin:
  *  - the worker reports a newer worker epoch (commands of an older one are refused there);
--- a/src/core/partition_internal.h
+++ b/src/core/partition_internal.h
@@ -1,6 +1,7 @@
 /* What the sources of the partition share among themselves. Nobody else includes it.
  *
- * As for partition.h: the caller holds the lock of the node, nothing waits or does input or output.
+ * As for partition.h: the caller holds the lock of the controller, nothing waits or does input or
+ * output.
  */
 #ifndef PEPPERPULLEY_PARTITION_INTERNAL_H
 #define PEPPERPULLEY_PARTITION_INTERNAL_H
--- a/src/core/redirection.c
+++ b/src/core/redirection.c
@@ -109,7 +109,8 @@
         (heartbeat->worker_epoch == worker->worker_epoch &&
          heartbeat->heartbeat_sequence <= worker->heartbeat_sequence))
         return REDIRECTION_DUPLICATE;
-    /* Without the answer that retained it here it would have waited, and turned to another node. */
+    /* Without the answer that retained it here it would have waited, and turned to another
+     * controller. */
     if (now < worker->retained_until && now - worker->seen < HEARTBEAT_FOLLOWS_MS)
         worker->reached = now;
     worker->worker_epoch = heartbeat->worker_epoch;
@@ -123,7 +124,7 @@
     if (was_redirected && now - worker->redirected_at < REDIRECT_PROBE_MS) {
         /* One that is back sooner was turned away, as by a controller that has just begun. */
         bool was_turned_away = now - worker->redirected_at < REDIRECT_TIMEOUT_MS;
-        worker->retained_until = now + (was_turned_away ? RETAIN_TURNED_AWAY_MS : RETAIN_MS);
+        worker->retained_until = now + (was_turned_away ? RETAIN_REFUSED_MS : RETAIN_MS);
         if (!was_turned_away)
             owner->missed = now;
         return REDIRECTION_RETAINED;
--- a/src/core/redirection.h
+++ b/src/core/redirection.h
@@ -1,4 +1,4 @@
-/* Worker redirection: workers that heartbeat to this node, which does not own them.
+/* Worker redirection: workers that heartbeat to this controller, which does not own them.
  *
  * Owns: what each of them said last, and which of an owner's workers was sent to try it. Such a
  * worker is redirected to its owner; one that comes right back can't reach it and is retained here,
--- a/src/core/summary_update.h
+++ b/src/core/summary_update.h
@@ -3,7 +3,7 @@
  * Most summaries of a partition are as they were a moment ago, apart from ages that grow with the
  * time. So the partition sends what differs from the version that the leader said it has, and the
  * leader lets the ages of all others grow. A version that the leader does not have, whatever the
- * reason, makes the next update a whole one. The caller holds the node's lock. */
+ * reason, makes the next update a whole one. The caller holds the controller's lock. */
 #ifndef PEPPERPULLEY_SUMMARY_UPDATE_H
 #define PEPPERPULLEY_SUMMARY_UPDATE_H
 
--- a/tests/test_connectivity.c
+++ b/tests/test_connectivity.c
@@ -1,4 +1,5 @@
-/* Tests of a node without the key-value store: outage, refused alone, or cut off from everybody. */
+/* Tests of a controller without the key-value store: outage, refused alone, or cut off from
+ * everybody. */
 #include "core/connectivity.h"
 #include "unit_test.h"
 
@@ -6,10 +7,10 @@
 {
     (void)state;
     connectivity_t connectivity = {
-        .kv_answered_at = 10000, .siblings_kv_answered_at = 10100, .received_at = 19000};
+        .kv_answered_at = 10000, .siblings_kv_answered_at = 10100, .peer_message_at = 19000};
     assert_int_equal(connectivity_judge(&connectivity, 12000), CONNECTIVITY_GOOD);
     assert_int_equal(connectivity_judge(&connectivity, 20000), CONNECTIVITY_OUTAGE);
-    connectivity.received_at = 99000;
+    connectivity.peer_message_at = 99000;
     assert_true(connectivity_may_serve_workers(&connectivity, 100000)); /* other bounds end it */
 }
 
@@ -17,7 +18,7 @@
 {
     (void)state;
     connectivity_t connectivity = {
-        .kv_answered_at = 10000, .siblings_kv_answered_at = 19500, .received_at = 19500};
+        .kv_answered_at = 10000, .siblings_kv_answered_at = 19500, .peer_message_at = 19500};
     assert_int_equal(connectivity_judge(&connectivity, 20000), CONNECTIVITY_REFUSED);
 }
 
@@ -27,7 +28,7 @@
 {
     (void)state;
     connectivity_t connectivity = {
-        .kv_answered_at = 10000, .siblings_kv_answered_at = 10000, .received_at = 10000};
+        .kv_answered_at = 10000, .siblings_kv_answered_at = 10000, .peer_message_at = 10000};
     assert_int_equal(connectivity_judge(&connectivity, 14000), CONNECTIVITY_OUTAGE);
     assert_int_equal(connectivity_judge(&connectivity, 16000), CONNECTIVITY_NONE);
     assert_true(connectivity_may_serve_workers(&connectivity, 16000));
--- a/tests/test_node.c
+++ b/tests/test_controller.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <unistd.h>
 
-#include "app/node.h"
+#include "app/controller.h"
 #include "app/peer_exchange.h"
 #include "io/clock.h"
 #include "io/records.h"
@@ -18,7 +18,7 @@
 
 typedef struct fixture {
     services_t *services;
-    node_t *nodes[2];
+    controller_t *controllers[2];
     uint16_t ports[2]; /* of users and workers */
     http_client_t *client;
 } fixture_t;
@@ -78,23 +78,24 @@
         peer_work[i] = services_free_port();
     }
     for (guint i = 0; i < count; i++) {
-        fixture->nodes[i] = node_new(settings_of(i, peer_work, count), policy_default());
-        assert_true(node_start(fixture->nodes[i]));
+        fixture->controllers[i] =
+            controller_new(settings_of(i, peer_work, count), policy_default());
+        assert_true(controller_start(fixture->controllers[i]));
     }
 }
 
-static int send_request(guint node, const char *method, const char *path, const json_t *body,
+static int send_request(guint controller, const char *method, const char *path, const json_t *body,
                         json_t **answer)
 {
     char url[256];
-    g_snprintf(url, sizeof url, "http://127.0.0.1:%u%s", fixture->ports[node], path);
+    g_snprintf(url, sizeof url, "http://127.0.0.1:%u%s", fixture->ports[controller], path);
     return http_call(fixture->client, method, url, body, 10000, answer);
 }
 
-static void wait_ready(guint node)
+static void wait_ready(guint controller)
 {
-    while (send_request(node, "GET", "/ready", NULL, NULL) != 200)
-        node_sleep(POLL_MS);
+    while (send_request(controller, "GET", "/ready", NULL, NULL) != 200)
+        controller_sleep(POLL_MS);
 }
 
 static void begin(guint count)
@@ -125,14 +126,14 @@
 }
 
 /* Repeats what is told to come back, as users do. trim: the state that the answer must bear. */
-static void expect(guint node, const char *method, const char *path, json_t *body, int status,
+static void expect(guint controller, const char *method, const char *path, json_t *body, int status,
                    const char *trim)
 {
     json_t *answer = NULL;
     int got;
-    while ((got = send_request(node, method, path, body, &answer)) == 503 || got == 429) {
+    while ((got = send_request(controller, method, path, body, &answer)) == 503 || got == 429) {
         json_decref(answer);
-        node_sleep(POLL_MS);
+        controller_sleep(POLL_MS);
     }
     assert_int_equal(got, status);
     if (trim)
@@ -141,17 +142,17 @@
     json_decref(body);
 }
 
-static void submit(guint node, const char *id)
+static void submit(guint controller, const char *id)
 {
-    expect(node, "POST", "/v2/runs", job_body(id), 201, "queued");
+    expect(controller, "POST", "/v2/runs", job_body(id), 201, "queued");
 }
 
 /* Calls the job off; trim: what the user must be told. */
-static void abort_job(guint node, const char *id, const char *trim)
+static void abort_job(guint controller, const char *id, const char *trim)
 {
     char path[64];
     g_snprintf(path, sizeof path, "/v2/runs/%s/abort", id);
-    expect(node, "POST", path, NULL, 200, trim);
+    expect(controller, "POST", path, NULL, 200, trim);
 }
 
 /* Another controller, not heard here, cancels the job. */
@@ -163,34 +164,35 @@
     assert_int_equal(services_apply(fixture->services, records_abort(id, revision, 2)), KV_OK);
 }
 
-static bool is_noted(guint node, const char *id)
+static bool is_noted(guint controller, const char *id)
 {
-    pthread_mutex_lock(&fixture->nodes[node]->lock);
-    bool noted = g_hash_table_contains(fixture->nodes[node]->cancellations.listed, id);
-    pthread_mutex_unlock(&fixture->nodes[node]->lock);
+    pthread_mutex_lock(&fixture->controllers[controller]->lock);
+    bool noted =
+        g_hash_table_contains(fixture->controllers[controller]->cancellation_log.listed, id);
+    pthread_mutex_unlock(&fixture->controllers[controller]->lock);
     return noted;
 }
 
-/* Whether the node stops the job's tasks, whatever it hears of the key-value store. */
-static bool is_stopped(guint node, const char *id)
+/* Whether the controller stops the job's tasks, whatever it hears of the key-value store. */
+static bool is_stopped(guint controller, const char *id)
 {
-    pthread_mutex_lock(&fixture->nodes[node]->lock);
-    bool stopped = g_hash_table_contains(fixture->nodes[node]->terminal_jobs, id) &&
-                   !g_hash_table_contains(fixture->nodes[node]->jobs, id);
-    pthread_mutex_unlock(&fixture->nodes[node]->lock);
+    pthread_mutex_lock(&fixture->controllers[controller]->lock);
+    bool stopped = g_hash_table_contains(fixture->controllers[controller]->terminal_jobs, id) &&
+                   !g_hash_table_contains(fixture->controllers[controller]->live_jobs, id);
+    pthread_mutex_unlock(&fixture->controllers[controller]->lock);
     return stopped;
 }
 
-static uint64_t count_noted(guint node)
+static uint64_t count_noted(guint controller)
 {
-    pthread_mutex_lock(&fixture->nodes[node]->lock);
-    uint64_t count = fixture->nodes[node]->cancellations.newest;
-    pthread_mutex_unlock(&fixture->nodes[node]->lock);
+    pthread_mutex_lock(&fixture->controllers[controller]->lock);
+    uint64_t count = fixture->controllers[controller]->cancellation_log.newest;
+    pthread_mutex_unlock(&fixture->controllers[controller]->lock);
     return count;
 }
 
 /* Whatever the road on which a user is told "cancelled", the siblings can hear of it from then on:
- * it was noted only where the node's own commit had been answered. */
+ * it was noted only where the controller's own commit had been answered. */
 static void test_every_road_to_cancelled_is_logged(void **state)
 {
     (void)state;
@@ -229,16 +231,16 @@
     abort_job(0, "j-000001", "cancelled");
     assert_true(is_stopped(0, "j-000001"));
     assert_false(is_stopped(0, "j-000002"));
-    pthread_mutex_lock(&fixture->nodes[0]->lock);
+    pthread_mutex_lock(&fixture->controllers[0]->lock);
     job_spec_t old = {.id = "j-000001", .tasks = 2};
-    node_add_job(fixture->nodes[0], &old, 1);
-    pthread_mutex_unlock(&fixture->nodes[0]->lock);
+    job_directory_add(fixture->controllers[0], &old, 1);
+    pthread_mutex_unlock(&fixture->controllers[0]->lock);
     assert_true(is_stopped(0, "j-000001"));
 }
 
 /* A worker's heartbeat with one task, running; the answer's commands, or NULL where it was not 200.
  */
-static json_t *send_heartbeat_with_task(guint node, json_int_t number, const char *task)
+static json_t *send_heartbeat_with_task(guint controller, json_int_t number, const char *task)
 {
     json_t *answer = NULL;
     json_t *body =
@@ -246,7 +248,7 @@
                   "Address", "127.0.0.1:1", "Hull", "t16", "Dock", "north", "Driftwood", 1, "Watch",
                   (json_int_t)1, "Tally", number, "Helm", (json_int_t)0, "Pieces", "Piece", task,
                   "Heave", (json_int_t)1, "Trim", "running");
-    int status = send_request(node, "POST", "/hello", body, &answer);
+    int status = send_request(controller, "POST", "/hello", body, &answer);
     json_t *commands = status == 200 ? json_incref(json_object_get(answer, "Calls")) : NULL;
     json_decref(answer);
     json_decref(body);
@@ -262,21 +264,21 @@
     submit(0, "j-000001");
     submit(0, "j-000002");
     bool known = false;
-    while (!known) { /* node 1 follows the jobs, and is of the view */
-        pthread_mutex_lock(&fixture->nodes[1]->lock);
-        known =
-            g_hash_table_size(fixture->nodes[1]->jobs) == 2 && fixture->nodes[1]->view.count == 2;
-        pthread_mutex_unlock(&fixture->nodes[1]->lock);
-        node_sleep(POLL_MS);
+    while (!known) { /* controller 1 follows the jobs, and is of the view */
+        pthread_mutex_lock(&fixture->controllers[1]->lock);
+        known = g_hash_table_size(fixture->controllers[1]->live_jobs) == 2 &&
+                fixture->controllers[1]->view.count == 2;
+        pthread_mutex_unlock(&fixture->controllers[1]->lock);
+        controller_sleep(POLL_MS);
     }
     services_refuse(fixture->services, 1, true);
     abort_job(0, "j-000001", "cancelled");
     while (!is_noted(1, "j-000001"))
-        node_sleep(POLL_MS);
+        controller_sleep(POLL_MS);
     json_t *commands = NULL;
     json_int_t number = 0;
     while (!commands && !(commands = send_heartbeat_with_task(1, ++number, "j-000001/0")))
-        node_sleep(POLL_MS);
+        controller_sleep(POLL_MS);
     assert_int_equal(json_array_size(commands), 1);
     assert_string_equal(json_string_value(json_object_get(json_array_get(commands, 0), "Call")),
                         "stop");
@@ -284,24 +286,24 @@
     expect(1, "GET", "/v2/runs/j-000001", NULL, 200, "cancelled"); /* it can tell, too */
 }
 
-/* Heartbeats until the machine runs so many tasks, to whichever node it is sent; between reports
- * there is time for pushed commands. */
+/* Heartbeats until the machine runs so many tasks, to whichever controller it is sent; between
+ * reports there is time for pushed commands. */
 static void send_heartbeats_until(fake_machine_t *machine, guint active)
 {
-    static guint node; /* an earlier test's may not be there in this one */
-    node = fixture->nodes[node] ? node : 0;
+    static guint controller; /* an earlier test's may not be there in this one */
+    controller = fixture->controllers[controller] ? controller : 0;
     do {
         json_t *answer = NULL;
         json_t *body = fake_machine_heartbeat(machine);
-        int status = send_request(node, "POST", "/hello", body, &answer);
+        int status = send_request(controller, "POST", "/hello", body, &answer);
         if (status == 200)
             fake_machine_answer(machine, answer);
         else if (status == 421)
-            node = 1 - node;
+            controller = 1 - controller;
         json_decref(answer);
         json_decref(body);
         for (guint i = 0; i < 10 && fake_machine_active(machine) != active; i++)
-            node_sleep(POLL_MS);
+            controller_sleep(POLL_MS);
     } while (fake_machine_active(machine) != active);
 }
 
@@ -335,13 +337,13 @@
     pthread_mutex_unlock(&machine->lock);
 }
 
-/* Whether the node tells so many tasks done and running. */
-static bool shows_counts(guint node, const char *id, json_int_t done, json_int_t running)
+/* Whether the controller tells so many tasks done and running. */
+static bool shows_counts(guint controller, const char *id, json_int_t done, json_int_t running)
 {
     char path[64];
     json_t *answer = NULL;
     g_snprintf(path, sizeof path, "/v2/runs/%s", id);
-    int status = send_request(node, "GET", path, NULL, &answer);
+    int status = send_request(controller, "GET", path, NULL, &answer);
     bool right = status == 200 && json_integer_value(json_object_get(answer, "done")) == done &&
                  json_integer_value(json_object_get(answer, "running")) == running &&
                  g_strcmp0(json_string_value(json_object_get(answer, "Trim")), "running") == 0;
@@ -349,7 +351,7 @@
     return right;
 }
 
-/* The leader counts; every node tells. */
+/* The leader counts; every controller tells. */
 static void test_every_node_reports_how_many_tasks_run(void **state)
 {
     (void)state;
@@ -360,14 +362,14 @@
     send_heartbeats_until(machine, 0);
     expect(0, "POST", "/v2/runs", body, 201, "queued");
     send_heartbeats_until(machine, 8);
-    for (guint node = 0; node < 2; node++)
-        while (!shows_counts(node, "j-000001", 0, 8))
-            node_sleep(POLL_MS);
+    for (guint controller = 0; controller < 2; controller++)
+        while (!shows_counts(controller, "j-000001", 0, 8))
+            controller_sleep(POLL_MS);
     fake_machine_complete(machine);
     send_heartbeats_until(machine, 2);
-    for (guint node = 0; node < 2; node++)
-        while (!shows_counts(node, "j-000001", 8, 2))
-            node_sleep(POLL_MS);
+    for (guint controller = 0; controller < 2; controller++)
+        while (!shows_counts(controller, "j-000001", 8, 2))
+            controller_sleep(POLL_MS);
     abort_job(1, "j-000001", "cancelled");
 }
 
@@ -402,7 +404,7 @@
     json_t *body = job_body("j-000001");
     int status;
     while ((status = send_request(0, "POST", "/v2/runs", body, NULL)) <= HTTP_NO_ANSWER)
-        node_sleep(POLL_MS);
+        controller_sleep(POLL_MS);
     assert_int_equal(status, 503);
     json_decref(body);
     services_apply(fixture->services, accepted_elsewhere("j-000007"));
@@ -507,7 +509,7 @@
 {
     int got;
     while ((got = submit_text(text)) == 429) /* as often as the limits let it pass */
-        node_sleep(POLL_MS);
+        controller_sleep(POLL_MS);
     if (got != status)
         print_error("%s: %d, not %d: %.150s\n", name, got, status, text->str + text->len / 2);
     return got != status;
@@ -626,12 +628,12 @@
     wait_ready(0);
 }
 
-static void wait_until_live(guint node, const char *id)
+static void wait_until_live(guint controller, const char *id)
 {
-    for (bool known = false; !known; node_sleep(POLL_MS)) {
-        pthread_mutex_lock(&fixture->nodes[node]->lock);
-        known = g_hash_table_contains(fixture->nodes[node]->jobs, id);
-        pthread_mutex_unlock(&fixture->nodes[node]->lock);
+    for (bool known = false; !known; controller_sleep(POLL_MS)) {
+        pthread_mutex_lock(&fixture->controllers[controller]->lock);
+        known = g_hash_table_contains(fixture->controllers[controller]->live_jobs, id);
+        pthread_mutex_unlock(&fixture->controllers[controller]->lock);
     }
 }
 
@@ -684,7 +686,7 @@
  * service. */
 static void expect_crowd_put_off(void)
 {
-    enum { CROWD = API_THREADS_COUNT + 20 };
+    enum { CROWD = REQUEST_WORKERS_COUNT + 20 };
     seen_t seen[CROWD];
     pthread_t threads[CROWD];
     for (guint i = 0; i < CROWD; i++)
@@ -712,9 +714,9 @@
     expect_all_put_off();
 }
 
-/* Above the node's share of the key-value store's limits nothing waits for its turn: it is told to
- * come back, and nothing is asked. Questions about live jobs are asked together, whatever else is
- * asked. */
+/* Above the controller's share of the key-value store's limits nothing waits for its turn: it is
+ * told to come back, and nothing is asked. Questions about live jobs are asked together, whatever
+ * else is asked. */
 static void test_no_answer_waits_for_a_share_of_the_limits(void **state)
 {
     (void)state;
@@ -722,9 +724,9 @@
     begin_ready(1);
     submit(0, "j-000001");
     wait_until_live(0, "j-000001");
-    node_t *node = fixture->nodes[0];
-    rate_limiter_charge(&node->api_rps, OVERDRAWN, clock_steady());
-    rate_limiter_charge(&node->api_write, OVERDRAWN, clock_steady());
+    controller_t *controller = fixture->controllers[0];
+    rate_limiter_charge(&controller->api_request_limiter, OVERDRAWN, clock_steady());
+    rate_limiter_charge(&controller->api_write_limiter, OVERDRAWN, clock_steady());
     guint before = services_asked(fixture->services);
     const guint limited[] = {1, 3, 4}; /* a question about an unknown job, submissions */
     for (guint i = 0; i < G_N_ELEMENTS(limited); i++) {
@@ -746,68 +748,71 @@
     uint16_t peers[2] = {1, 2};
     fixture = g_new0(fixture_t, 1);
     fixture->services = services_new();
-    node_t *node = node_new(settings_of(0, peers, 2), policy_default());
-    node->autoscaler = autoscaler_new();
-    view_t own = {.number = 1, .revision = 10, .incarnation = node->incarnation};
-    view_t other = {.number = 3, .revision = 30, .incarnation = node->incarnation + 1};
-    pthread_mutex_lock(&node->lock);
-    node_install_view(node, &own);
-    autoscaler_add_booting(node->autoscaler, "m-000001", "t16", "north", true, 1000);
+    controller_t *controller = controller_new(settings_of(0, peers, 2), policy_default());
+    controller->autoscaler = autoscaler_new();
+    view_t own = {.number = 1, .revision = 10, .incarnation = controller->incarnation};
+    view_t other = {.number = 3, .revision = 30, .incarnation = controller->incarnation + 1};
+    pthread_mutex_lock(&controller->lock);
+    controller_install_view(controller, &own);
+    autoscaler_add_booting(controller->autoscaler, "m-000001", "t16", "north", true, 1000);
     own.number = 2;
     own.revision = 20;
-    node_install_view(node, &own); /* the same leadership: it boots on */
-    assert_int_equal(g_hash_table_size(node->autoscaler->booting_instances), 1);
-    node_install_view(node, &other);
+    controller_install_view(controller, &own); /* the same leadership: it boots on */
+    assert_int_equal(g_hash_table_size(controller->autoscaler->booting_instances), 1);
+    controller_install_view(controller, &other);
     own.number = 4;
     own.revision = 40;
-    node_install_view(node, &own);
-    GPtrArray *stuck = autoscaler_stuck_instances(node->autoscaler, node->machine_types,
+    controller_install_view(controller, &own);
+    GPtrArray *stuck = autoscaler_stuck_instances(controller->autoscaler, controller->machine_types,
                                                   1000 + 10 * BOOT_TIMEOUT_MS);
     assert_int_equal(stuck->len, 0);
     g_ptr_array_unref(stuck);
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_unlock(&controller->lock);
 }
 
 /* A controller with one machine, alone and without its threads: the test says what time it is. */
-static node_t *owner_of_one(fake_worker_t *worker, msec_t now)
+static controller_t *owner_of_one(fake_worker_t *worker, msec_t now)
 {
     fixture = g_new0(fixture_t, 1);
     fixture->services = services_new();
-    node_t *node = node_new(settings_of(0, (uint16_t[]){1}, 1), policy_default());
+    controller_t *controller = controller_new(settings_of(0, (uint16_t[]){1}, 1), policy_default());
     machine_type_t machine_type = {.name = "t16", .capacity = {16, 0, 64}};
-    g_array_append_val(node->machine_types, machine_type);
-    node->partition = partition_new(node->machine_types, node->settings->teams, 30000);
-    partition_set_view(node->partition, 1);
-    node->is_loaded = node->is_jobs_synced = true;
-    node->jobs_complete_until = node->last_observed_at = now;
+    g_array_append_val(controller->machine_types, machine_type);
+    controller->partition =
+        partition_new(controller->machine_types, controller->settings->teams, 30000);
+    partition_set_view(controller->partition, 1);
+    controller->is_loaded = controller->is_jobs_synced = true;
+    controller->jobs_complete_until = controller->last_observed_at = now;
     worker->fencing_token = 1;
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(worker);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    assert_int_equal(partition_handle_heartbeat(node->partition, &heartbeat, false, now, commands),
-                     HEARTBEAT_ACCEPTED);
+    assert_int_equal(
+        partition_handle_heartbeat(controller->partition, &heartbeat, false, now, commands),
+        HEARTBEAT_ACCEPTED);
     worker_heartbeat_clear(&heartbeat);
     g_array_unref(commands);
-    return node;
+    return controller;
 }
 
-static void place_and_record(node_t *node, const char *job, uint64_t attempt, msec_t now)
+static void place_and_record(controller_t *controller, const char *job, uint64_t attempt,
+                             msec_t now)
 {
     placement_request_t request = {
         .need = {2, 0, 4}, .attempt = attempt, .job_revision = 5, .team = "red"};
     g_strlcpy(request.job, job, sizeof request.job);
-    assert_non_null(partition_place(node->partition, &request, now));
+    assert_non_null(partition_place(controller->partition, &request, now));
     partition_batch_t *batch = partition_batch_take(
-        node->partition, &(partition_limits_t){20, 80, 16384, KV_TXN_VALUES_BYTES}, now);
-    partition_batch_commit(node->partition, batch, attempt, now);
+        controller->partition, &(partition_limits_t){20, 80, 16384, KV_TXN_VALUES_BYTES}, now);
+    partition_batch_commit(controller->partition, batch, attempt, now);
     partition_batch_free(batch);
 }
 
 /* What a dispatcher would take now. */
-static machine_t *take(node_t *node, GArray *commands, msec_t now)
+static machine_t *take(controller_t *controller, GArray *commands, msec_t now)
 {
     g_array_set_size(commands, 0);
-    partition_pause_starts(node->partition, !node_may_start(node, now));
-    return partition_take_push(node->partition, G_MAXUINT32, now, commands);
+    partition_pause_starts(controller->partition, !controller_may_start(controller, now));
+    return partition_take_push(controller->partition, G_MAXUINT32, now, commands);
 }
 
 /* A sender has taken a start; the process stands still, and a job is called off elsewhere. On
@@ -819,24 +824,26 @@
     msec_t begun = clock_steady();
     msec_t after_stall = begun + 3 * (msec_t)STALL_MS;
     fake_worker_t *worker = fake_worker_new("m-000001");
-    node_t *node = owner_of_one(worker, begun);
+    controller_t *controller = owner_of_one(worker, begun);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    pthread_mutex_lock(&node->lock);
-    place_and_record(node, "j-000001", 100, begun);
-    place_and_record(node, "j-000002", 101, begun);
-    assert_non_null(take(node, commands, begun));
+    pthread_mutex_lock(&controller->lock);
+    place_and_record(controller, "j-000001", 100, begun);
+    place_and_record(controller, "j-000002", 101, begun);
+    assert_non_null(take(controller, commands, begun));
     assert_int_equal(commands->len, 2);
-    assert_true(node_may_push(node, "m-000001", node->generation, commands, begun, begun + 5));
-    assert_false(node_may_push(node, "m-000001", node->generation, commands, begun, after_stall));
-    assert_null(take(node, commands, after_stall)); /* it does not know yet */
-    assert_null(take(node, commands, after_stall + 100));
-    node_remove_job(node, "j-000001");
-    node->jobs_complete_until =
+    assert_true(controller_may_push(controller, "m-000001", controller->data_generation, commands,
+                                    begun, begun + 5));
+    assert_false(controller_may_push(controller, "m-000001", controller->data_generation, commands,
+                                     begun, after_stall));
+    assert_null(take(controller, commands, after_stall)); /* it does not know yet */
+    assert_null(take(controller, commands, after_stall + 100));
+    job_directory_remove(controller, "j-000001");
+    controller->jobs_complete_until =
         after_stall + 50; /* the follow that began after it woke was answered */
-    assert_non_null(take(node, commands, after_stall + 200));
+    assert_non_null(take(controller, commands, after_stall + 200));
     assert_int_equal(commands->len, 1);
     assert_string_equal(g_array_index(commands, worker_command_t, 0).job, "j-000002");
-    pthread_mutex_unlock(&node->lock);
+    pthread_mutex_unlock(&controller->lock);
     g_array_unref(commands);
     fake_worker_free(worker);
 }
@@ -846,9 +853,9 @@
 {
     bool followed = true;
     for (guint i = 0; i < 2; i++) {
-        pthread_mutex_lock(&fixture->nodes[i]->lock);
-        followed = followed && g_hash_table_contains(fixture->nodes[i]->jobs, id);
-        pthread_mutex_unlock(&fixture->nodes[i]->lock);
+        pthread_mutex_lock(&fixture->controllers[i]->lock);
+        followed = followed && g_hash_table_contains(fixture->controllers[i]->live_jobs, id);
+        pthread_mutex_unlock(&fixture->controllers[i]->lock);
     }
     return followed;
 }
@@ -871,11 +878,11 @@
 {
     char path[64];
     g_snprintf(path, sizeof path, "/v2/runs/%s", id);
-    for (guint node = 0; node < 2; node++) {
-        expect(node, "GET", path, NULL, 200, trim);
-        expect(node, "POST", "/v2/runs", job_body(id), 200, trim);
+    for (guint controller = 0; controller < 2; controller++) {
+        expect(controller, "GET", path, NULL, 200, trim);
+        expect(controller, "POST", "/v2/runs", job_body(id), 200, trim);
         if (strcmp(trim, "queued") != 0)
-            abort_job(node, id, trim);
+            abort_job(controller, id, trim);
     }
 }
 
@@ -902,7 +909,7 @@
         submit(i % 2, known[i]);
         expect_everywhere(known[i], "queued");
         while (!is_followed(known[i]))
-            node_sleep(POLL_MS);
+            controller_sleep(POLL_MS);
     }
     services_mute(fixture->services);
     atomic_bool ends = false;
@@ -939,19 +946,20 @@
     abort_job(0, "j-000001", "cancelled");
     services_apply(fixture->services, end_of("j-000002"));
     expect(0, "GET", "/v2/runs/j-000002", NULL, 200, "done");
-    node_t *node = fixture->nodes[0];
-    pthread_mutex_lock(&node->lock);
+    controller_t *controller = fixture->controllers[0];
+    pthread_mutex_lock(&controller->lock);
     for (guint i = 0; i < TERMINAL_JOBS_COUNT + TERMINAL_STATE_CACHE_COUNT; i++) {
         char id[ID_BYTES];
         g_snprintf(id, sizeof id, "j-1%05u", i);
-        node_record_terminal_state(node, id, i % 4 != 0);
+        job_directory_record_terminal(controller, id, i % 4 != 0);
     }
-    assert_false(g_hash_table_contains(node->terminal_states, "j-000001"));
-    assert_false(g_hash_table_contains(node->terminal_jobs, "j-000001"));
-    assert_in_range(g_hash_table_size(node->terminal_states), 1, TERMINAL_STATE_CACHE_COUNT);
-    assert_in_range(g_hash_table_size(node->terminal_jobs), 1, TERMINAL_JOBS_COUNT);
-    assert_in_range(g_queue_get_length(node->cancellations.entries), 1, CANCELLATION_LOG_COUNT);
-    pthread_mutex_unlock(&node->lock);
+    assert_false(g_hash_table_contains(controller->terminal_states, "j-000001"));
+    assert_false(g_hash_table_contains(controller->terminal_jobs, "j-000001"));
+    assert_in_range(g_hash_table_size(controller->terminal_states), 1, TERMINAL_STATE_CACHE_COUNT);
+    assert_in_range(g_hash_table_size(controller->terminal_jobs), 1, TERMINAL_JOBS_COUNT);
+    assert_in_range(g_queue_get_length(controller->cancellation_log.entries), 1,
+                    CANCELLATION_LOG_COUNT);
+    pthread_mutex_unlock(&controller->lock);
     expect(0, "POST", "/v2/runs", job_body("j-000001"), 200, "cancelled");
     expect(0, "GET", "/v2/runs/j-000001", NULL, 200, "cancelled");
     expect(0, "POST", "/v2/runs", job_body("j-000002"), 200, "done");
@@ -978,7 +986,7 @@
     do {
         send_heartbeat_somewhere(machine, at);
         for (guint i = 0; i < 10 && fake_machine_active(machine) != active; i++)
-            node_sleep(POLL_MS);
+            controller_sleep(POLL_MS);
     } while (fake_machine_active(machine) != active);
 }
 
@@ -1015,7 +1023,7 @@
         json_t *body = job_body(id);
         int status;
         while ((status = send_request(i % 2, "POST", "/v2/runs", body, NULL)) == 503)
-            node_sleep(POLL_MS);
+            controller_sleep(POLL_MS);
         assert_true(status == 201 || status == 200);
         json_decref(body);
         expect(1 - i % 2, "GET", path, NULL, 200, NULL);
@@ -1040,18 +1048,19 @@
     assert_int_equal(runs_of(machine), 8);
 }
 
-/* With the lock of that node held: the index of the member that owns the machine. */
-static guint owner_of_machine(const node_t *node)
+/* With the lock of that controller held: the index of the member that owns the machine. */
+static guint owner_of_machine(const controller_t *controller)
 {
-    const char *name = node->view.members[node_owner(node, "m-000001", "north")].name;
+    const char *name =
+        controller->view.members[controller_owner_index(controller, "m-000001", "north")].name;
     return (guint)(name[strlen(name) - 1] - '0');
 }
 
 static guint current_owner(guint at)
 {
-    pthread_mutex_lock(&fixture->nodes[at]->lock);
-    guint owner = owner_of_machine(fixture->nodes[at]);
-    pthread_mutex_unlock(&fixture->nodes[at]->lock);
+    pthread_mutex_lock(&fixture->controllers[at]->lock);
+    guint owner = owner_of_machine(fixture->controllers[at]);
+    pthread_mutex_unlock(&fixture->controllers[at]->lock);
     return owner;
 }
 
@@ -1066,10 +1075,10 @@
     for (guint i = 0; i < 2; i++) {
         bool both = false;
         while (!both) {
-            pthread_mutex_lock(&fixture->nodes[i]->lock);
-            both = fixture->nodes[i]->view.count == 2;
-            pthread_mutex_unlock(&fixture->nodes[i]->lock);
-            node_sleep(POLL_MS);
+            pthread_mutex_lock(&fixture->controllers[i]->lock);
+            both = fixture->controllers[i]->view.count == 2;
+            pthread_mutex_unlock(&fixture->controllers[i]->lock);
+            controller_sleep(POLL_MS);
         }
     }
     fake_machine_t *machine = fake_machine_new("m-000001");
@@ -1079,18 +1088,18 @@
     guint owner = current_owner(0);
     msec_t until = clock_steady() + EXCLUDED_MS;
     for (guint i = 0; i < 2; i++) { /* the leader is one of them */
-        pthread_mutex_lock(&fixture->nodes[i]->lock);
+        pthread_mutex_lock(&fixture->controllers[i]->lock);
         char name[ID_BYTES];
         g_snprintf(name, sizeof name, "hand-%u", owner);
-        g_hash_table_insert(fixture->nodes[i]->election.excluded, g_strdup(name),
+        g_hash_table_insert(fixture->controllers[i]->election.excluded, g_strdup(name),
                             g_memdup2(&until, sizeof until));
-        pthread_cond_broadcast(&fixture->nodes[i]->members);
-        pthread_mutex_unlock(&fixture->nodes[i]->lock);
+        pthread_cond_broadcast(&fixture->controllers[i]->membership_changed);
+        pthread_mutex_unlock(&fixture->controllers[i]->lock);
     }
     abort_job(1 - owner, "j-000001", "cancelled");
     send_heartbeats_until_active(machine, &at, 2);
     while (current_owner(0) == owner)
-        node_sleep(POLL_MS);
+        controller_sleep(POLL_MS);
     abort_job(owner, "j-000002", "cancelled");
     send_heartbeats_until_active(machine, &at, 0);
     assert_int_equal(runs_of(machine), 4);
@@ -1106,13 +1115,13 @@
     uint16_t peers[2] = {1, 2};
     prepare();
     msec_t now = clock_steady();
-    const node_t *fresh = node_new(settings_of(0, peers, 2), policy_default());
+    const controller_t *fresh = controller_new(settings_of(0, peers, 2), policy_default());
     msec_t age = clock_steady() - atomic_load(&fresh->kv_store.answered_at);
-    connectivity_t other = {.kv_answered_at = now - 2 * (msec_t)SHUT_OUT_MS,
-                            .received_at = now,
+    connectivity_t other = {.kv_answered_at = now - 2 * (msec_t)ISOLATED_AFTER_MS,
+                            .peer_message_at = now,
                             .siblings_kv_answered_at = now - age};
     assert_int_equal(connectivity_judge(&other, now), CONNECTIVITY_OUTAGE);
-    connectivity_t own = node_connectivity(fresh);
+    connectivity_t own = controller_connectivity(fresh);
     assert_int_not_equal(connectivity_judge(&own, now), CONNECTIVITY_GOOD);
 }
 
@@ -1122,29 +1131,29 @@
 {
     (void)state;
     begin_ready(1);
-    pthread_mutex_lock(&fixture->nodes[0]->lock);
-    assert_int_equal(fixture->nodes[0]->answerers, 0);
-    assert_int_equal(fixture->nodes[0]->started_dispatchers, 0);
-    pthread_mutex_unlock(&fixture->nodes[0]->lock);
+    pthread_mutex_lock(&fixture->controllers[0]->lock);
+    assert_int_equal(fixture->controllers[0]->request_worker_count, 0);
+    assert_int_equal(fixture->controllers[0]->started_dispatchers, 0);
+    pthread_mutex_unlock(&fixture->controllers[0]->lock);
     fake_machine_t *machine = fake_machine_new("m-000001");
     send_heartbeats_until(machine, 0);
     submit(0, "j-000001");
     send_heartbeats_until(machine, 2);
-    pthread_mutex_lock(&fixture->nodes[0]->lock);
-    assert_in_range(fixture->nodes[0]->answerers, 1, API_THREADS_COUNT);
-    assert_int_equal(__builtin_popcount(fixture->nodes[0]->started_dispatchers), 1);
-    pthread_mutex_unlock(&fixture->nodes[0]->lock);
+    pthread_mutex_lock(&fixture->controllers[0]->lock);
+    assert_in_range(fixture->controllers[0]->request_worker_count, 1, REQUEST_WORKERS_COUNT);
+    assert_int_equal(__builtin_popcount(fixture->controllers[0]->started_dispatchers), 1);
+    pthread_mutex_unlock(&fixture->controllers[0]->lock);
 }
 
-/* A caller that has nothing of the node's log yet. */
-static peer_message_t ask_heartbeat(node_t *node, uint64_t incarnation, uint64_t index)
+/* A caller that has nothing of the controller's log yet. */
+static peer_message_t ask_heartbeat(controller_t *controller, uint64_t incarnation, uint64_t index)
 {
     peer_message_t call = {.sender = "hand-1",
                            .is_heartbeat = true,
                            .acknowledged_incarnation = incarnation,
                            .acknowledged_index = index};
     peer_message_t answer;
-    GByteArray *frame = peer_heartbeat_answer(node, &call);
+    GByteArray *frame = peer_heartbeat_answer(controller, &call);
     assert_true(peer_decode(frame->data, frame->len, &answer));
     g_byte_array_unref(frame);
     return answer;
@@ -1157,15 +1166,17 @@
     (void)state;
     uint16_t peers[2] = {1, 2};
     prepare();
-    node_t *node = node_new(settings_of(0, peers, 2), policy_default());
-    peer_message_t first = ask_heartbeat(node, 0, 0);
+    controller_t *controller = controller_new(settings_of(0, peers, 2), policy_default());
+    peer_message_t first = ask_heartbeat(controller, 0, 0);
     assert_int_equal(first.hold_ms, 0);
-    peer_message_t second = ask_heartbeat(node, first.update.incarnation, first.update.last_index);
+    peer_message_t second =
+        ask_heartbeat(controller, first.update.incarnation, first.update.last_index);
     assert_true(second.hold_ms >= PEER_HEARTBEAT_HOLD_MS);
-    pthread_mutex_lock(&node->lock);
-    node_record_terminal_state(node, "j-000001", false);
-    pthread_mutex_unlock(&node->lock);
-    peer_message_t third = ask_heartbeat(node, second.update.incarnation, second.update.last_index);
+    pthread_mutex_lock(&controller->lock);
+    job_directory_record_terminal(controller, "j-000001", false);
+    pthread_mutex_unlock(&controller->lock);
+    peer_message_t third =
+        ask_heartbeat(controller, second.update.incarnation, second.update.last_index);
     assert_int_equal(third.hold_ms, 0);
     assert_int_equal(third.update.jobs->len, 1);
     peer_message_clear(&first);
--- a/tests/test_encoding_samples.c
+++ b/tests/test_encoding_samples.c
@@ -112,7 +112,7 @@
     (void)state;
     assert_json_is_sample("answer_status.json", wire_build_status("j-000412", "running", 7, 5));
     assert_json_is_sample("answer_refusal.json", api_refuse(HTTP_BAD_REQUEST, "Cpus", 0).body);
-    assert_json_is_sample("answer_come_back.json", api_come_back().body);
+    assert_json_is_sample("answer_come_back.json", api_retry_later().body);
 }
 
 static void test_worker_report_is_read(void **state)
--- a/tests/test_partition.c
+++ b/tests/test_partition.c
@@ -251,7 +251,7 @@
 }
 
 /* The answer to a pushed command may overtake a heartbeat. Refused, its worker would leave for
- * another node; so it is answered, and nothing of it is taken. */
+ * another controller; so it is answered, and nothing of it is taken. */
 static void test_overtaken_report_changes_nothing(void **state)
 {
     (void)state;
@@ -658,8 +658,8 @@
 }
 
 /* Heartbeats come, answers and commands are lost: the worker waits 4 s for each answer and goes
- * from node to node, so it is heard here every 15 s. Starts sent there would all be lost with its
- * lease, time after time. */
+ * from controller to controller, so it is heard here every 15 s. Starts sent there would all be
+ * lost with its lease, time after time. */
 static void test_reporting_but_unreached_machine_gets_no_starts(void **state)
 {
     (void)state;
--- a/tests/test_redirection.c
+++ b/tests/test_redirection.c
@@ -1,4 +1,4 @@
-/* Tests of workers that heartbeat to a node that does not own them. */
+/* Tests of workers that heartbeat to a controller that does not own them. */
 #include "core/redirection.h"
 #include "unit_test.h"
 
@@ -267,8 +267,8 @@
     (void)state;
     assert_int_equal(receive(1, 1, 1000), REDIRECTION_TO_OWNER);
     assert_int_equal(receive(1, 2, 2000), REDIRECTION_RETAINED);
-    assert_int_equal(receive(1, 3, 2000 + RETAIN_TURNED_AWAY_MS - 1), REDIRECTION_RETAINED);
-    assert_int_equal(receive(1, 4, 2000 + RETAIN_TURNED_AWAY_MS), REDIRECTION_TO_OWNER);
+    assert_int_equal(receive(1, 3, 2000 + RETAIN_REFUSED_MS - 1), REDIRECTION_RETAINED);
+    assert_int_equal(receive(1, 4, 2000 + RETAIN_REFUSED_MS), REDIRECTION_TO_OWNER);
 }
 
 /* The leader released a machine that it was itself keeping alive: it asked for its own list where
