--- a/src/app/main.c
+++ b/src/cli/main.c
@@ -7,8 +7,8 @@
 #include <string.h>
 #include <unistd.h>
 
-#include "app/controller.h"
-#include "log.h"
+#include "controller/controller.h"
+#include "io/log.h"
 
 typedef struct arguments {
     char *config;
--- a/src/app/api_internal.h
+++ b/src/controller/api/api_internal.h
@@ -7,7 +7,7 @@
 
 #include <microhttpd.h>
 
-#include "app/controller.h"
+#include "controller/controller.h"
 
 /* An answer to be sent; body may be NULL. */
 typedef struct reply {
--- a/src/app/api_health.c
+++ b/src/controller/api/health.c
@@ -1,5 +1,5 @@
 /* Whether this controller should get users. */
-#include "app/api_internal.h"
+#include "controller/api/api_internal.h"
 
 #include "io/clock.h"
 
--- a/src/app/api.c
+++ b/src/controller/api/http_server.c
@@ -10,17 +10,17 @@
  * Users' requests go straight against the key-value store; only a rate limiter stands between. What
  * a controller has told a user, no controller may take back: live answers are read afresh each
  * time, and only final states are kept. */
-#include "app/api_internal.h"
+#include "controller/api/api_internal.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "app/threads.h"
+#include "controller/threads.h"
 #include "io/clock.h"
-#include "io/wire.h"
-#include "log.h"
+#include "io/codec/codec.h"
+#include "io/log.h"
 
 reply_t api_refuse(unsigned status, const char *why, unsigned retry_after_s)
 {
@@ -53,7 +53,7 @@
         return response;
     if (response)
         MHD_destroy_response(response);
-    json_t *body = wire_build_commands(fencing_token, NULL);
+    json_t *body = codec_build_commands(fencing_token, NULL);
     char *text = json_dumps(body, JSON_COMPACT);
     json_decref(body);
     response = MHD_create_response_from_buffer(strlen(text), text, MHD_RESPMEM_MUST_FREE);
--- a/src/app/api_state.c
+++ b/src/controller/api/job_state.c
@@ -1,8 +1,8 @@
 /* What the key-value store says of a job, read for users. */
-#include "app/api_internal.h"
+#include "controller/api/api_internal.h"
 
 #include "io/clock.h"
-#include "log.h"
+#include "io/log.h"
 
 bool api_acquire_client(request_t *request)
 {
--- a/src/app/api_jobs.c
+++ b/src/controller/api/jobs.c
@@ -1,20 +1,20 @@
 /* Users' submissions and aborts. */
-#include "app/api_internal.h"
+#include "controller/api/api_internal.h"
 
 #include <string.h>
 
 #include "io/clock.h"
-#include "io/json_input.h"
+#include "io/codec/codec.h"
+#include "io/codec/json_input.h"
+#include "io/log.h"
 #include "io/records.h"
-#include "io/wire.h"
-#include "log.h"
 
 /* A submission that can't be taken as it is: but if its id is that of an accepted job, it is a
  * repeat, whatever else it says. Reads for it are limited: anybody can send any number of these. */
 static reply_t reject(request_t *request, const char *id, reply_t reply)
 {
     controller_t *controller = request->controller;
-    if (!wire_id_valid(id))
+    if (!codec_is_job_id(id))
         return reply;
     reply_t known;
     if (api_must_shed(controller))
@@ -67,7 +67,7 @@
                  spec->tasks);
     if (result == KV_OK)
         return (reply_t){.status = HTTP_CREATED,
-                         .body = wire_build_status(spec->id, "queued", 0, 0)};
+                         .body = codec_build_status(spec->id, "queued", 0, 0)};
     if (result == KV_NOT_EXECUTED)
         return api_retry_later();
     if (result == KV_INVALID)
@@ -116,7 +116,7 @@
     char id[ID_BYTES];
     job_spec_t spec;
     reason_t why = {"a JSON object is expected"};
-    bool valid = !request->is_too_long && wire_parse_job(body, false, &spec, &why);
+    bool valid = !request->is_too_long && codec_parse_job(body, false, &spec, &why);
     read_id(partial, id, sizeof id);
     json_decref(body);
     json_decref(partial);
--- a/src/app/api_route.c
+++ b/src/controller/api/routes.c
@@ -1,5 +1,5 @@
 /* Which handler a path goes to. */
-#include "app/api_internal.h"
+#include "controller/api/api_internal.h"
 
 #include <string.h>
 
--- a/src/app/api_status.c
+++ b/src/controller/api/status.c
@@ -1,10 +1,10 @@
 /* Users' questions about jobs. */
-#include "app/api_internal.h"
+#include "controller/api/api_internal.h"
 
 #include <string.h>
 
 #include "io/clock.h"
-#include "io/wire.h"
+#include "io/codec/codec.h"
 
 /* With the lock held: for display, as the leader counts now or counted a moment ago. */
 static job_counts_t job_counts(const controller_t *controller, const char *id)
@@ -20,9 +20,9 @@
                          unsigned live_status)
 {
     if (state == JOB_DONE || state == JOB_CANCELLED)
-        return (reply_t){.status = HTTP_OK,
-                         .body =
-                             wire_build_status(id, state == JOB_DONE ? "done" : "cancelled", 0, 0)};
+        return (reply_t){
+            .status = HTTP_OK,
+            .body = codec_build_status(id, state == JOB_DONE ? "done" : "cancelled", 0, 0)};
     if (state == JOB_NEVER)
         return api_refuse(HTTP_NOT_FOUND, "no such job", 0);
     if (state == JOB_UNKNOWN)
@@ -31,8 +31,8 @@
     job_counts_t counts = job_counts(controller, id);
     pthread_mutex_unlock(&controller->lock);
     return (reply_t){.status = live_status,
-                     .body = wire_build_status(id, counts.outstanding ? "running" : "queued",
-                                               counts.done, counts.outstanding)};
+                     .body = codec_build_status(id, counts.outstanding ? "running" : "queued",
+                                                counts.done, counts.outstanding)};
 }
 
 /* Compares the revisions of all that is asked, in as few requests as go. A job's key is written
@@ -156,7 +156,7 @@
 {
     controller_t *controller = request->controller;
     job_state_t state =
-        wire_id_valid(id) ? api_known_state(controller, id, likely_live) : JOB_NEVER;
+        codec_is_job_id(id) ? api_known_state(controller, id, likely_live) : JOB_NEVER;
     if (state == JOB_NEVER)
         *reply = api_refuse(HTTP_NOT_FOUND, "no such job", 0);
     else if (state != JOB_UNKNOWN)
--- a/src/app/api_worker_heartbeats.c
+++ b/src/controller/api/worker_heartbeats.c
@@ -1,9 +1,9 @@
 /* Workers' heartbeats. */
-#include "app/api_internal.h"
+#include "controller/api/api_internal.h"
 
 #include "io/clock.h"
-#include "io/wire.h"
-#include "log.h"
+#include "io/codec/codec.h"
+#include "io/log.h"
 
 /* Whether the owner is in reach of workers of the zone, as far as this controller can tell. Cuts go
  * between zones or round a controller: what this controller or the owner reaches within the
@@ -40,7 +40,7 @@
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     redirection_stop_ended(heartbeat, controller->live_jobs, commands);
     reply_t reply = {.status = HTTP_OK,
-                     .body = wire_build_commands(controller->view.number, commands)};
+                     .body = codec_build_commands(controller->view.number, commands)};
     g_array_unref(commands);
     return reply;
 }
@@ -69,7 +69,7 @@
         reply =
             commands->len
                 ? (reply_t){.status = HTTP_OK,
-                            .body = wire_build_commands(controller->view.number, commands)}
+                            .body = codec_build_commands(controller->view.number, commands)}
                 : (reply_t){.status = HTTP_OK, .unchanged_fencing_token = controller->view.number};
     }
     if (controller->partition && controller->partition->changes != changes)
@@ -107,7 +107,7 @@
     worker_heartbeat_t heartbeat;
     reason_t why = {"too long"};
     if (request->is_too_long ||
-        !wire_parse_worker_heartbeat(request->body->str, request->body->len, &heartbeat, &why))
+        !codec_parse_worker_heartbeat(request->body->str, request->body->len, &heartbeat, &why))
         return api_refuse(HTTP_BAD_REQUEST, why.text, 0);
     pthread_mutex_lock(&controller->lock);
     reply_t reply = handle_heartbeat(controller, &heartbeat);
--- a/src/app/cloud.c
+++ b/src/controller/autoscaler/autoscaler_loop.c
@@ -1,11 +1,11 @@
 /* The loop of the cloud: machine types for every controller; for the leader the list of machines,
  * scale-out requests and returns. */
-#include "app/cloud_internal.h"
+#include "controller/autoscaler/autoscaler_loop_internal.h"
 
 #include <string.h>
 
 #include "io/clock.h"
-#include "io/wire.h"
+#include "io/codec/codec.h"
 
 int cloud_call(cloud_t *cloud, const char *method, const char *path, const json_t *body,
                json_t **answer)
@@ -31,7 +31,7 @@
 {
     json_t *answer = NULL;
     if (cloud_call(cloud, "GET", "/flavors", NULL, &answer) == HTTP_OK) {
-        GArray *machine_types = wire_parse_machine_types(answer);
+        GArray *machine_types = codec_parse_machine_types(answer);
         if (machine_types && machine_types->len) {
             pthread_mutex_lock(&cloud->controller->lock);
             take_machine_types(cloud->controller, machine_types);
--- a/src/app/cloud_internal.h
+++ b/src/controller/autoscaler/autoscaler_loop_internal.h
@@ -1,10 +1,10 @@
 /* What the sources of the cloud's loop share among themselves. Nobody else includes it.
  *
  * All of it runs on the loop's thread; lock not held, unless said. */
-#ifndef PEPPERPULLEY_CLOUD_INTERNAL_H
-#define PEPPERPULLEY_CLOUD_INTERNAL_H
+#ifndef PEPPERPULLEY_AUTOSCALER_LOOP_INTERNAL_H
+#define PEPPERPULLEY_AUTOSCALER_LOOP_INTERNAL_H
 
-#include "app/controller.h"
+#include "controller/controller.h"
 
 /* A autoscaler whose answer is still owed: repeated under its name until it is answered. */
 typedef struct idempotency_key {
--- a/src/app/cloud_listing.c
+++ b/src/controller/autoscaler/machine_listing.c
@@ -1,8 +1,8 @@
 /* The cloud's list of machines: what boots, what failed, what is gone. */
-#include "app/cloud_internal.h"
+#include "controller/autoscaler/autoscaler_loop_internal.h"
 
 #include "io/clock.h"
-#include "io/wire.h"
+#include "io/codec/codec.h"
 
 static bool read_hosts(cloud_t *cloud, GArray *hosts)
 {
@@ -16,7 +16,7 @@
                    since ? since : "", since ? "&" : "", LIST_PAGE_COUNT);
         guint before = hosts->len;
         bool read = cloud_call(cloud, "GET", path, NULL, &answer) == HTTP_OK &&
-                    wire_parse_hosts(answer, hosts, &more);
+                    codec_parse_hosts(answer, hosts, &more);
         json_decref(answer);
         if (!read)
             return false;
--- a/src/app/cloud_members.c
+++ b/src/controller/autoscaler/member_exclusion.c
@@ -1,9 +1,9 @@
 /* Controllers that their workers can't reach: what each controller retains of the workers of others
  * is published, and the leader excludes members by it. */
-#include "app/cloud_internal.h"
+#include "controller/autoscaler/autoscaler_loop_internal.h"
 
 #include "io/clock.h"
-#include "log.h"
+#include "io/log.h"
 
 GHashTable *cloud_read_retained(cloud_t *cloud)
 {
--- a/src/app/cloud_scale_in.c
+++ b/src/controller/autoscaler/scale_in.c
@@ -1,9 +1,9 @@
 /* Releases: which machines go back, and what the confirmation proves. */
-#include "app/cloud_internal.h"
+#include "controller/autoscaler/autoscaler_loop_internal.h"
 
 #include "io/clock.h"
-#include "io/wire.h"
-#include "log.h"
+#include "io/codec/codec.h"
+#include "io/log.h"
 
 static void add_once(GPtrArray *names, const char *name)
 {
@@ -172,7 +172,7 @@
         g_hash_table_unref(retained);
     g_ptr_array_unref(silent);
     if (names->len) {
-        json_t *body = wire_build_scale_in(names);
+        json_t *body = codec_build_scale_in(names);
         int status = cloud_call(cloud, "POST", "/hosts/release", body, NULL);
         json_decref(body);
         pthread_mutex_lock(&controller->lock);
--- a/src/app/cloud_scale_out.c
+++ b/src/controller/autoscaler/scale_out.c
@@ -1,9 +1,9 @@
 /* Rentals: one at a time, repeated under its name until it is answered. */
-#include "app/cloud_internal.h"
+#include "controller/autoscaler/autoscaler_loop_internal.h"
 
 #include "io/clock.h"
-#include "io/wire.h"
-#include "log.h"
+#include "io/codec/codec.h"
+#include "io/log.h"
 
 /* With the lock held: a machine that is being drained is nearer than any to be scaled out. */
 static bool cancel_drain(controller_t *controller)
@@ -80,8 +80,8 @@
         return false;
     json_t *answer = NULL;
     json_t *body =
-        wire_build_scale_out(pending->idempotency_key, pending->request.type, pending->request.zone,
-                             pending->request.spot, pending->request.count);
+        codec_build_scale_out(pending->idempotency_key, pending->request.type,
+                              pending->request.zone, pending->request.spot, pending->request.count);
     int status = cloud_call(cloud, "POST", "/hosts", body, &answer);
     json_decref(body);
     const char *error = json_string_value(json_object_get(answer, "error"));
--- a/src/app/controller.c
+++ b/src/controller/controller.c
@@ -1,9 +1,9 @@
 /* A controller as a whole: its making, its threads, its view. */
-#include "app/controller.h"
+#include "controller/controller.h"
 
-#include "app/threads.h"
+#include "controller/threads.h"
 #include "io/clock.h"
-#include "log.h"
+#include "io/log.h"
 
 static void known_job_free(gpointer data)
 {
--- a/src/app/controller.h
+++ b/src/controller/controller.h
@@ -21,22 +21,22 @@
 #include <pthread.h>
 #include <stdatomic.h>
 
-#include "app/metrics.h"
-#include "app/settings.h"
-#include "core/autoscaler.h"
-#include "core/cancellation_log.h"
-#include "core/channel.h"
-#include "core/connectivity.h"
-#include "core/election.h"
-#include "core/leader.h"
-#include "core/owner.h"
-#include "core/partition.h"
-#include "core/redirection.h"
+#include "controller/metrics.h"
+#include "core/autoscaler/autoscaler.h"
+#include "core/leader/leader.h"
+#include "core/membership/connectivity.h"
+#include "core/membership/election.h"
+#include "core/membership/ownership.h"
+#include "core/membership/redirection.h"
+#include "core/partition/partition.h"
+#include "core/replication/cancellation_log.h"
+#include "core/replication/channel.h"
+#include "core/replication/summary_update.h"
 #include "core/request_queue.h"
-#include "core/summary_update.h"
-#include "io/http.h"
+#include "io/http_client.h"
 #include "io/kv_store.h"
 #include "io/rate_limiter.h"
+#include "io/settings.h"
 
 typedef struct live_job {
     job_spec_t spec;
--- a/src/app/job_directory.c
+++ b/src/controller/jobs/job_directory.c
@@ -1,7 +1,7 @@
 /* The jobs that a controller knows: the live ones, those that are over, and what users were told of
  * them.
  */
-#include "app/controller.h"
+#include "controller/controller.h"
 
 #include "io/clock.h"
 
--- a/src/app/job_watch.c
+++ b/src/controller/jobs/job_watch.c
@@ -1,16 +1,16 @@
 /* Keeps the live jobs of this controller as jobs/ has them. */
 #include <string.h>
 
-#include "app/controller.h"
+#include "controller/controller.h"
 #include "io/clock.h"
-#include "io/wire.h"
-#include "log.h"
+#include "io/codec/codec.h"
+#include "io/log.h"
 
 static void take_set(controller_t *controller, const kv_entry_t *entry)
 {
     job_spec_t spec;
     reason_t why;
-    if (!wire_parse_job(entry->value, true, &spec, &why)) {
+    if (!codec_parse_job(entry->value, true, &spec, &why)) {
         log_error("event=bad_job key=%s why=\"%s\"", entry->key, why.text);
         return;
     }
--- a/src/app/member.c
+++ b/src/controller/membership/member_loop.c
@@ -1,11 +1,11 @@
 /* Our lease in the key-value store, leadership, and the leader's view of who is live. */
 #include <string.h>
 
-#include "app/controller.h"
-#include "app/view.h"
+#include "controller/controller.h"
+#include "controller/membership/view.h"
 #include "io/clock.h"
+#include "io/log.h"
 #include "io/records.h"
-#include "log.h"
 
 typedef struct member_loop {
     controller_t *controller;
--- a/src/app/view.c
+++ b/src/controller/membership/view.c
@@ -1,13 +1,13 @@
 /* view/ in the key-value store. view/number holds the number, which is the fencing token, with
  * leader and members; view/lease hangs on the leader's lease, view/members/<name> on each
  * controller's own. */
-#include "app/view.h"
+#include "controller/membership/view.h"
 
 #include <string.h>
 
 #include "io/clock.h"
-#include "io/wire.h"
-#include "log.h"
+#include "io/codec/codec.h"
+#include "io/log.h"
 
 static bool parse_member(const json_t *value, member_t *member)
 {
@@ -27,7 +27,7 @@
 {
     json_t *members = json_array();
     for (guint i = 0; i < view->count; i++)
-        json_array_append_new(members, wire_build_member(&view->members[i]));
+        json_array_append_new(members, codec_build_member(&view->members[i]));
     return json_pack("{s:I,s:s,s:I,s:o}", "Number", (json_int_t)view->number, "Leader",
                      view->leader, "Incarnation", (json_int_t)view->incarnation, "Members",
                      members);
@@ -75,7 +75,7 @@
         member_t holder = {.incarnation = next->incarnation};
         g_strlcpy(holder.name, next->leader, sizeof holder.name);
         kv_txn_require_revision(&txn, "view/lease", lease_revision);
-        kv_txn_put(&txn, "view/lease", wire_build_member(&holder), lease);
+        kv_txn_put(&txn, "view/lease", codec_build_member(&holder), lease);
     }
     rate_limiter_charge(&controller->core_request_limiter, 1, clock_steady());
     rate_limiter_charge(&controller->core_write_limiter, lease ? 2 : 1, clock_steady());
--- a/src/app/view.h
+++ b/src/controller/membership/view.h
@@ -2,7 +2,7 @@
 #ifndef PEPPERPULLEY_VIEW_H
 #define PEPPERPULLEY_VIEW_H
 
-#include "app/controller.h"
+#include "controller/controller.h"
 
 json_t *view_build(const view_t *view);
 bool view_parse(const json_t *value, uint64_t revision, view_t *view);
--- a/src/app/metrics.c
+++ b/src/controller/metrics.c
@@ -1,11 +1,11 @@
-#include "app/metrics.h"
+#include "controller/metrics.h"
 
 #include <pthread.h>
 #include <sys/resource.h>
 
 #include <gsl/gsl_histogram.h>
 
-#include "app/threads.h"
+#include "controller/threads.h"
 
 static const char *const count_names[COUNT_LAST] = {"submissions_accepted",
                                                     "requests_refused",
--- a/src/app/peer_client.c
+++ b/src/controller/peer/peer_client.c
@@ -1,5 +1,5 @@
 /* The side that calls: a partition, over and over, its leader. */
-#include "app/peer_exchange.h"
+#include "controller/peer/peer_exchange.h"
 
 #include <string.h>
 #include <unistd.h>
--- a/src/app/peer_exchange.c
+++ b/src/controller/peer/peer_exchange.c
@@ -6,7 +6,7 @@
  * Each partition calls the leader, over and over: what it
  * has to tell goes with the call, what the leader wants comes with the answer, which the leader
  * holds back for a moment while it has nothing to say. */
-#include "app/peer_exchange.h"
+#include "controller/peer/peer_exchange.h"
 
 #include "io/clock.h"
 
--- a/src/app/peer_exchange.h
+++ b/src/controller/peer/peer_exchange.h
@@ -3,7 +3,7 @@
 #ifndef PEPPERPULLEY_PEER_EXCHANGE_H
 #define PEPPERPULLEY_PEER_EXCHANGE_H
 
-#include "app/controller.h"
+#include "controller/controller.h"
 #include "io/peer_protocol.h"
 #include "io/peer_socket.h"
 
--- a/src/app/peer_heartbeat.c
+++ b/src/controller/peer/peer_heartbeat.c
@@ -1,11 +1,11 @@
 /* Heartbeats: every controller asks every other what cancellations it told its users of. */
-#include "app/peer_exchange.h"
+#include "controller/peer/peer_exchange.h"
 
 #include <unistd.h>
 
-#include "app/threads.h"
+#include "controller/threads.h"
 #include "io/clock.h"
-#include "log.h"
+#include "io/log.h"
 
 /* A sibling to which a thread of ours sends heartbeats. */
 typedef struct peer_heartbeat {
--- a/src/app/peer_relay.c
+++ b/src/controller/peer/peer_relay.c
@@ -1,11 +1,11 @@
 /* The exchange by relay: messages as values in the key-value store, where sockets fail. */
-#include "app/peer_exchange.h"
+#include "controller/peer/peer_exchange.h"
 
 #include <string.h>
 
 #include "io/clock.h"
+#include "io/log.h"
 #include "io/relay.h"
-#include "log.h"
 
 static bool write_relay(controller_t *controller, http_client_t *client, const char *inbox,
                         const char *name, const GByteArray *frame)
--- a/src/app/peer_server.c
+++ b/src/controller/peer/peer_server.c
@@ -1,14 +1,14 @@
 /* The side that is called: the leader by the partitions, and every controller by its siblings'
  * heartbeats. */
-#include "app/peer_exchange.h"
+#include "controller/peer/peer_exchange.h"
 
 #include <string.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "app/threads.h"
+#include "controller/threads.h"
 #include "io/clock.h"
-#include "log.h"
+#include "io/log.h"
 
 typedef struct peer_connection {
     controller_t *controller;
--- a/src/app/command_dispatcher.c
+++ b/src/controller/placement/command_dispatcher.c
@@ -9,11 +9,11 @@
  */
 #include <string.h>
 
-#include "app/controller.h"
-#include "app/threads.h"
+#include "controller/controller.h"
+#include "controller/threads.h"
 #include "io/clock.h"
-#include "io/wire.h"
-#include "log.h"
+#include "io/codec/codec.h"
+#include "io/log.h"
 
 /* One exchange, copied out under the lock. */
 typedef struct push {
@@ -31,7 +31,7 @@
     gsize length;
     const char *answer = http_answer(client, &length);
     bool reported =
-        status > HTTP_NO_ANSWER && wire_parse_worker_heartbeat(answer, length, &heartbeat, NULL);
+        status > HTTP_NO_ANSWER && codec_parse_worker_heartbeat(answer, length, &heartbeat, NULL);
     push_result_t result = status == HTTP_OK && reported                           ? PUSH_EXECUTED
                            : status == HTTP_CONFLICT || status == HTTP_BAD_REQUEST ? PUSH_REFUSED
                            : status == HTTP_NOT_SENT                               ? PUSH_NOT_SENT
@@ -131,7 +131,7 @@
         g_strlcpy(push.machine, machine->id, sizeof push.machine);
         g_snprintf(push.url, sizeof push.url, "http://%s/do", machine->address);
         pthread_mutex_unlock(&controller->lock);
-        json_t *body = wire_build_pushed_commands(push.fencing_token, push.worker_epoch, commands);
+        json_t *body = codec_build_pushed_commands(push.fencing_token, push.worker_epoch, commands);
         if (!may_push(controller, &push, commands, now)) {
             json_decref(body);
             continue;
--- a/src/app/partition_items.c
+++ b/src/controller/placement/partition_items.c
@@ -1,8 +1,8 @@
 /* A controller's partition and the leader's data: the items that they exchange. */
-#include "app/controller.h"
+#include "controller/controller.h"
 
 #include "io/clock.h"
-#include "log.h"
+#include "io/log.h"
 
 GArray *controller_machine_summaries(const controller_t *controller, msec_t now)
 {
--- a/src/app/placement_loop.c
+++ b/src/controller/placement/placement_loop.c
@@ -7,12 +7,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "app/controller.h"
-#include "app/view.h"
+#include "controller/controller.h"
+#include "controller/membership/view.h"
 #include "io/clock.h"
+#include "io/codec/codec.h"
+#include "io/log.h"
 #include "io/records.h"
-#include "io/wire.h"
-#include "log.h"
 
 typedef struct loop {
     controller_t *controller;
@@ -41,7 +41,7 @@
     for (guint i = 0; i < entries->len; i++) {
         const kv_entry_t *entry = &g_array_index(entries, kv_entry_t, i);
         job_spec_t spec;
-        if (!wire_parse_job(entry->value, true, &spec, NULL))
+        if (!codec_parse_job(entry->value, true, &spec, NULL))
             continue;
         if (!g_hash_table_contains(controller->terminal_jobs, spec.id))
             leader_add_job(controller->leader, &spec, entry->revision);
@@ -55,7 +55,7 @@
         const kv_entry_t *entry = &g_array_index(entries, kv_entry_t, i);
         char **key_fields = g_strsplit(entry->key, "/", 3);
         gsize bytes = 0;
-        uint8_t *bits = wire_parse_bits(entry->value, &bytes);
+        uint8_t *bits = codec_parse_bits(entry->value, &bytes);
         if (g_strv_length(key_fields) == 3 && bits)
             leader_load_chunk(controller->leader, key_fields[1],
                               (guint)g_ascii_strtoull(key_fields[2], NULL, DECIMAL), bits, bytes,
@@ -108,8 +108,8 @@
     for (guint i = 0; i < listing->machines->len; i++) {
         const kv_entry_t *entry = &g_array_index(listing->machines, kv_entry_t, i);
         page_record_t record;
-        if (!wire_parse_record(entry->key + strlen("machines/"), entry->value, entry->revision,
-                               &record)) {
+        if (!codec_parse_record(entry->key + strlen("machines/"), entry->value, entry->revision,
+                                &record)) {
             log_error("event=bad_record key=%s", entry->key);
             valid = false;
             continue;
--- a/src/app/threads.c
+++ b/src/controller/threads.c
@@ -1,4 +1,4 @@
-#include "app/threads.h"
+#include "controller/threads.h"
 
 #include <errno.h>
 #include <stdbool.h>
@@ -6,7 +6,7 @@
 #include <time.h>
 
 #include "constants.h"
-#include "log.h"
+#include "io/log.h"
 
 /* One thread; `clock` is valid while it runs. */
 typedef struct thread {
--- a/src/app/worker_lease.c
+++ b/src/controller/worker_lease.c
@@ -1,8 +1,8 @@
 /* What a controller may do with what it knows: answer reports, and send starts. */
-#include "app/controller.h"
+#include "controller/controller.h"
 
 #include "io/clock.h"
-#include "log.h"
+#include "io/log.h"
 
 connectivity_t controller_connectivity(const controller_t *controller)
 {
--- a/src/core/autoscaler.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -1,5 +1,5 @@
 /* What scale-out requests depend on: machines that boot, refusals, zones that can't be reached. */
-#include "core/autoscaler_internal.h"
+#include "core/autoscaler/autoscaler_internal.h"
 
 #include <string.h>
 
--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -2,7 +2,7 @@
 #ifndef PEPPERPULLEY_AUTOSCALER_H
 #define PEPPERPULLEY_AUTOSCALER_H
 
-#include "core/leader.h"
+#include "core/leader/leader.h"
 #include "core/types.h"
 
 /* A machine that was scaled out or listed and has not reported yet. */
--- a/src/core/autoscaler_internal.h
+++ b/src/core/autoscaler/autoscaler_internal.h
@@ -4,7 +4,7 @@
 #ifndef PEPPERPULLEY_AUTOSCALER_INTERNAL_H
 #define PEPPERPULLEY_AUTOSCALER_INTERNAL_H
 
-#include "core/autoscaler.h"
+#include "core/autoscaler/autoscaler.h"
 
 /* The machine type of this name, borrowed; NULL: there is none. machine_types: array of
  * machine_type_t. */
--- a/src/core/autoscaler_balance.c
+++ b/src/core/autoscaler/demand_balance.c
@@ -1,5 +1,5 @@
 /* The balance: what is wanted against what stands and boots. */
-#include "core/autoscaler_internal.h"
+#include "core/autoscaler/autoscaler_internal.h"
 
 /* Seconds within which the waiting work of a job should be under way: the sooner it is due, the
  * more machines it deserves at once. */
--- a/src/core/autoscaler_choice.c
+++ b/src/core/autoscaler/machine_choice.c
@@ -1,5 +1,5 @@
 /* The choice: the next autoscaler, and the machine to give back. */
-#include "core/autoscaler_internal.h"
+#include "core/autoscaler/autoscaler_internal.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/core/leader_failures.c
+++ b/src/core/leader/failure_records.c
@@ -1,5 +1,5 @@
 /* Failure records: jobs that back off, machines that are quarantined. */
-#include "core/leader_internal.h"
+#include "core/leader/leader_internal.h"
 
 #include <string.h>
 
--- a/src/core/leader_progress.c
+++ b/src/core/leader/job_progress.c
@@ -1,5 +1,5 @@
 /* Job progress: the finished bits of jobs, and the batches that make them durable. */
-#include "core/leader_internal.h"
+#include "core/leader/leader_internal.h"
 
 bool leader_bit_get(const uint8_t *bits, uint32_t at)
 {
--- a/src/core/leader.c
+++ b/src/core/leader/leader.c
@@ -1,5 +1,5 @@
 /* The leader's data: jobs, outstanding attempts, what the partitions hand in, and results. */
-#include "core/leader_internal.h"
+#include "core/leader/leader_internal.h"
 
 #include <string.h>
 
--- a/src/core/leader.h
+++ b/src/core/leader/leader.h
@@ -9,8 +9,8 @@
 #ifndef PEPPERPULLEY_LEADER_H
 #define PEPPERPULLEY_LEADER_H
 
-#include "core/job_counts.h"
-#include "core/partition.h"
+#include "core/partition/partition.h"
+#include "core/replication/job_counts.h"
 #include "core/tunables.h"
 #include "core/types.h"
 
--- a/src/core/leader_internal.h
+++ b/src/core/leader/leader_internal.h
@@ -5,7 +5,7 @@
 #ifndef PEPPERPULLEY_LEADER_INTERNAL_H
 #define PEPPERPULLEY_LEADER_INTERNAL_H
 
-#include "core/leader.h"
+#include "core/leader/leader.h"
 
 /* The data (leader.c). */
 
--- a/src/core/leader_claims.c
+++ b/src/core/leader/machine_claims.c
@@ -1,5 +1,5 @@
 /* Machine claims: machines that are kept for work too large to fit anywhere now. */
-#include "core/leader_internal.h"
+#include "core/leader/leader_internal.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/core/leader_schedule.c
+++ b/src/core/leader/schedule.c
@@ -1,5 +1,5 @@
 /* Placement rounds: the requests that the partitions get for what can be placed now. */
-#include "core/leader_internal.h"
+#include "core/leader/leader_internal.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/core/leader_queues.c
+++ b/src/core/leader/team_queues.c
@@ -1,5 +1,5 @@
 /* Team queues and quota: whose work goes first, and how much of it a team may have. */
-#include "core/leader_internal.h"
+#include "core/leader/leader_internal.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/core/connectivity.c
+++ b/src/core/membership/connectivity.c
@@ -1,4 +1,4 @@
-#include "core/connectivity.h"
+#include "core/membership/connectivity.h"
 
 connectivity_state_t connectivity_judge(const connectivity_t *connectivity, msec_t now)
 {
--- a/src/core/election.c
+++ b/src/core/membership/election.c
@@ -1,4 +1,4 @@
-#include "core/election.h"
+#include "core/membership/election.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/core/election.h
+++ b/src/core/membership/election.h
@@ -6,7 +6,7 @@
 #ifndef PEPPERPULLEY_ELECTION_H
 #define PEPPERPULLEY_ELECTION_H
 
-#include "core/owner.h"
+#include "core/membership/ownership.h"
 #include "core/types.h"
 
 /* The view as a controller last read it. */
--- a/src/core/owner.c
+++ b/src/core/membership/ownership.c
@@ -1,4 +1,4 @@
-#include "core/owner.h"
+#include "core/membership/ownership.h"
 
 #include <string.h>
 
--- a/src/core/owner.h
+++ b/src/core/membership/ownership.h
@@ -3,8 +3,8 @@
  * Machines of a zone are spread over a fixed number of shards, and members own shards: what one key
  * of the key-value store records together must have one owner. A shard too large for one key has
  * several pages. */
-#ifndef PEPPERPULLEY_OWNER_H
-#define PEPPERPULLEY_OWNER_H
+#ifndef PEPPERPULLEY_OWNERSHIP_H
+#define PEPPERPULLEY_OWNERSHIP_H
 
 #include "core/types.h"
 
--- a/src/core/redirection.c
+++ b/src/core/membership/redirection.c
@@ -1,4 +1,4 @@
-#include "core/redirection.h"
+#include "core/membership/redirection.h"
 
 #include <string.h>
 
--- a/src/core/partition_attempts.c
+++ b/src/core/partition/attempts.c
@@ -1,5 +1,5 @@
 /* The attempts of a partition: how each of them stands, and the results for the leader. */
-#include "core/partition_internal.h"
+#include "core/partition/partition_internal.h"
 
 #include <string.h>
 
--- a/src/core/partition_commands.c
+++ b/src/core/partition/commands.c
@@ -1,6 +1,6 @@
 /* Commands to workers: which ones bring a machine to what is wanted, and whose turn it is to get
  * them directly. */
-#include "core/partition_internal.h"
+#include "core/partition/partition_internal.h"
 
 void partition_queue_push(partition_t *partition, machine_t *machine)
 {
--- a/src/core/partition_heartbeats.c
+++ b/src/core/partition/heartbeats.c
@@ -1,5 +1,5 @@
 /* Heartbeats: what one of them is worth, and what follows from it. */
-#include "core/partition_internal.h"
+#include "core/partition/partition_internal.h"
 
 #include <string.h>
 
--- a/src/core/partition_records.c
+++ b/src/core/partition/page_records.c
@@ -1,5 +1,5 @@
 /* Record pages: what the durable records are to hold, and the batches that are committed. */
-#include "core/partition_internal.h"
+#include "core/partition/partition_internal.h"
 
 #include <string.h>
 
--- a/src/core/partition.c
+++ b/src/core/partition/partition.c
@@ -1,5 +1,5 @@
 /* The machine table: machines, their shards and pages, and what is loaded from the records. */
-#include "core/partition_internal.h"
+#include "core/partition/partition_internal.h"
 
 #include <string.h>
 
--- a/src/core/partition.h
+++ b/src/core/partition/partition.h
@@ -15,8 +15,8 @@
 #ifndef PEPPERPULLEY_PARTITION_H
 #define PEPPERPULLEY_PARTITION_H
 
-#include "core/owner.h"
-#include "core/reservation.h"
+#include "core/membership/ownership.h"
+#include "core/partition/reservation.h"
 #include "core/types.h"
 
 /* What the leader asks a partition to place. */
--- a/src/core/partition_internal.h
+++ b/src/core/partition/partition_internal.h
@@ -6,7 +6,7 @@
 #ifndef PEPPERPULLEY_PARTITION_INTERNAL_H
 #define PEPPERPULLEY_PARTITION_INTERNAL_H
 
-#include "core/partition.h"
+#include "core/partition/partition.h"
 
 /* The machine table (partition.c). Shards, pages and machines belong to the partition. */
 
--- a/src/core/partition_placement.c
+++ b/src/core/partition/placement.c
@@ -1,5 +1,5 @@
 /* Placement: the score, and the machine that a placement request gets. */
-#include "core/partition_internal.h"
+#include "core/partition/partition_internal.h"
 
 #include <string.h>
 
--- a/src/core/partition_preemption.c
+++ b/src/core/partition/preemption.c
@@ -1,6 +1,6 @@
 /* Preemption and draining: which running work is stopped to make room for other work, or to empty a
  * machine. */
-#include "core/partition_internal.h"
+#include "core/partition/partition_internal.h"
 
 #include <string.h>
 
--- a/src/core/reservation.c
+++ b/src/core/partition/reservation.c
@@ -1,4 +1,4 @@
-#include "core/reservation.h"
+#include "core/partition/reservation.h"
 
 void reservation_add(GArray *list, uint64_t reservation_id, resources_t need, uint64_t receipt,
                      msec_t now)
--- a/src/core/cancellation_log.c
+++ b/src/core/replication/cancellation_log.c
@@ -1,4 +1,4 @@
-#include "core/cancellation_log.h"
+#include "core/replication/cancellation_log.h"
 
 void cancellation_log_init(cancellation_log_t *cancellations, uint64_t incarnation, msec_t now)
 {
--- a/src/core/cancellation_log.h
+++ b/src/core/replication/cancellation_log.h
@@ -20,7 +20,7 @@
 #ifndef PEPPERPULLEY_CANCELLATION_LOG_H
 #define PEPPERPULLEY_CANCELLATION_LOG_H
 
-#include "core/owner.h"
+#include "core/membership/ownership.h"
 
 /* What one controller tells another: what it told users of after one number, up to another. */
 typedef struct cancellation_update {
--- a/src/core/channel.c
+++ b/src/core/replication/channel.c
@@ -1,4 +1,4 @@
-#include "core/channel.h"
+#include "core/replication/channel.h"
 
 static void item_clear(gpointer data)
 {
--- a/src/core/channel.h
+++ b/src/core/replication/channel.h
@@ -7,7 +7,7 @@
 #ifndef PEPPERPULLEY_CHANNEL_H
 #define PEPPERPULLEY_CHANNEL_H
 
-#include "core/partition.h"
+#include "core/partition/partition.h"
 
 typedef enum {
     CHANNEL_PLACEMENT_REQUEST, /* leader to partition */
--- a/src/core/job_counts.c
+++ b/src/core/replication/job_counts.c
@@ -1,4 +1,4 @@
-#include "core/job_counts.h"
+#include "core/replication/job_counts.h"
 
 #include <string.h>
 
--- a/src/core/summary_update.c
+++ b/src/core/replication/summary_update.c
@@ -1,4 +1,4 @@
-#include "core/summary_update.h"
+#include "core/replication/summary_update.h"
 
 #include <string.h>
 
--- a/src/core/summary_update.h
+++ b/src/core/replication/summary_update.h
@@ -7,7 +7,7 @@
 #ifndef PEPPERPULLEY_SUMMARY_UPDATE_H
 #define PEPPERPULLEY_SUMMARY_UPDATE_H
 
-#include "core/leader.h"
+#include "core/leader/leader.h"
 
 /* What a message carries. Owns its arrays. */
 typedef struct summary_update {
--- a/src/io/wire_cloud.c
+++ b/src/io/codec/cloud.c
@@ -1,5 +1,5 @@
 /* The cloud's protocol: machine types, the list of machines, scale-out requests and returns. */
-#include "io/wire_internal.h"
+#include "io/codec/codec_internal.h"
 
 static void machine_type_clear(gpointer data)
 {
@@ -17,7 +17,7 @@
     return (char **)g_ptr_array_free(names, FALSE);
 }
 
-GArray *wire_parse_machine_types(const json_t *body)
+GArray *codec_parse_machine_types(const json_t *body)
 {
     const json_t *list = json_object_get(body, "Hulls");
     if (!json_is_array(list))
@@ -29,9 +29,9 @@
     json_array_foreach(list, i, value)
     {
         machine_type_t machine_type = {0};
-        if (!wire_get_text(value, "Name", machine_type.name, sizeof machine_type.name, NULL) ||
-            !wire_get_amount(value, "Cpus", 0, &machine_type.capacity.cpus, NULL) ||
-            !wire_get_amount(value, "MemGb", 0, &machine_type.capacity.memory, NULL))
+        if (!codec_get_text(value, "Name", machine_type.name, sizeof machine_type.name, NULL) ||
+            !codec_get_amount(value, "Cpus", 0, &machine_type.capacity.cpus, NULL) ||
+            !codec_get_amount(value, "MemGb", 0, &machine_type.capacity.memory, NULL))
             continue;
         machine_type.capacity.gpus = json_number_value(json_object_get(value, "Accelerators"));
         machine_type.price = json_number_value(json_object_get(value, "Price"));
@@ -43,7 +43,7 @@
     return machine_types;
 }
 
-bool wire_parse_hosts(const json_t *body, GArray *hosts, bool *more)
+bool codec_parse_hosts(const json_t *body, GArray *hosts, bool *more)
 {
     static const char *const states[] = {"booting", "running", "failed"};
     const json_t *list = json_object_get(body, "Winches");
@@ -55,12 +55,12 @@
     {
         host_t host = {0};
         int state = HOST_RUNNING;
-        if (!wire_get_text(value, "Uid", host.machine, sizeof host.machine, NULL))
+        if (!codec_get_text(value, "Uid", host.machine, sizeof host.machine, NULL))
             return false;
-        wire_get_text(value, "Hull", host.type, sizeof host.type, NULL);
-        wire_get_text(value, "Dock", host.zone, sizeof host.zone, NULL);
-        wire_get_flag(value, "Driftwood", &host.spot, NULL);
-        wire_get_choice(value, "Trim", states, G_N_ELEMENTS(states), &state, NULL);
+        codec_get_text(value, "Hull", host.type, sizeof host.type, NULL);
+        codec_get_text(value, "Dock", host.zone, sizeof host.zone, NULL);
+        codec_get_flag(value, "Driftwood", &host.spot, NULL);
+        codec_get_choice(value, "Trim", states, G_N_ELEMENTS(states), &state, NULL);
         host.state = (host_state_t)state;
         host.age_s = json_number_value(json_object_get(value, "HeldS"));
         g_array_append_val(hosts, host);
@@ -69,14 +69,14 @@
     return true;
 }
 
-json_t *wire_build_scale_out(const char *idempotency_key, const char *type, const char *zone,
-                             bool spot, guint count)
+json_t *codec_build_scale_out(const char *idempotency_key, const char *type, const char *zone,
+                              bool spot, guint count)
 {
     return json_pack("{s:s,s:s,s:s,s:b,s:i}", "Charter", idempotency_key, "Hull", type, "Dock",
                      zone, "Driftwood", spot, "Number", (int)count);
 }
 
-json_t *wire_build_scale_in(const GPtrArray *machines)
+json_t *codec_build_scale_in(const GPtrArray *machines)
 {
     json_t *names = json_array();
     for (guint i = 0; i < machines->len; i++)
--- a/src/io/wire_user.c
+++ b/src/io/codec/jobs.c
@@ -1,12 +1,12 @@
 /* The users' protocol: jobs and their status. */
-#include "io/wire_internal.h"
+#include "io/codec/codec_internal.h"
 
 #include <string.h>
 
 static const char *const priority_names[] = {"low", "normal", "high", "critical"};
 static const char *const kind_names[] = {"sweep", "ensemble", "daemon"};
 
-bool wire_id_valid(const char *id)
+bool codec_is_job_id(const char *id)
 {
     if (strncmp(id, "j-", 2) != 0)
         return false;
@@ -21,17 +21,17 @@
     if (!list || json_is_null(list))
         return true;
     if (!json_is_array(list))
-        return wire_fail(why, "Hulls: a list or null is expected");
+        return codec_fail(why, "Hulls: a list or null is expected");
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     size_t i;
     json_t *value;
     json_array_foreach(list, i, value)
     {
-        if (!wire_text(value)) {
+        if (!codec_text(value)) {
             g_ptr_array_unref(names);
-            return wire_fail(why, "Hulls: strings are expected");
+            return codec_fail(why, "Hulls: strings are expected");
         }
-        g_ptr_array_add(names, g_strdup(wire_text(value)));
+        g_ptr_array_add(names, g_strdup(codec_text(value)));
     }
     g_ptr_array_add(names, NULL);
     spec->types = (char **)g_ptr_array_free(names, FALSE);
@@ -54,17 +54,17 @@
     guint count = 0;
     for (char **type = spec->types; type && *type; type++, count++)
         if (!is_name(*type))
-            return wire_fail(why, "Hulls: not a name");
+            return codec_fail(why, "Hulls: not a name");
     if (count > TYPES_MAX_COUNT)
-        return wire_fail(why, "Hulls: more than %d names", TYPES_MAX_COUNT);
+        return codec_fail(why, "Hulls: more than %d names", TYPES_MAX_COUNT);
     if (!is_name(spec->class_name) || !is_name(spec->team) || !is_name(spec->image) ||
         !is_name(spec->zone))
-        return wire_fail(why, "a name has control characters");
+        return codec_fail(why, "a name has control characters");
     return true;
 }
 
 // NOLINTNEXTLINE(readability-function-size): a line for each field
-bool wire_parse_job(const json_t *body, bool stored, job_spec_t *spec, reason_t *why)
+bool codec_parse_job(const json_t *body, bool stored, job_spec_t *spec, reason_t *why)
 {
     uint64_t tasks = 0;
     uint64_t submitted = 0;
@@ -72,34 +72,34 @@
     int kind = 0;
     *spec = (job_spec_t){0};
     if (!json_is_object(body))
-        return wire_fail(why, "a JSON object is expected");
-    if (!wire_get_text(body, "Uid", spec->id, sizeof spec->id, why))
+        return codec_fail(why, "a JSON object is expected");
+    if (!codec_get_text(body, "Uid", spec->id, sizeof spec->id, why))
         return false;
-    if (!wire_id_valid(spec->id))
-        return wire_fail(why, "Uid: j- and at least six digits are expected");
+    if (!codec_is_job_id(spec->id))
+        return codec_fail(why, "Uid: j- and at least six digits are expected");
     const json_t *deadline = json_object_get(body, "TideS");
-    bool valid = wire_get_text(body, "Reel", spec->class_name, sizeof spec->class_name, why) &&
-                 wire_get_text(body, "Crew", spec->team, sizeof spec->team, why) &&
-                 wire_get_choice(body, "Rig", kind_names, G_N_ELEMENTS(kind_names), &kind, why) &&
-                 wire_get_choice(body, "Urgency", priority_names, G_N_ELEMENTS(priority_names),
-                                 &priority, why) &&
-                 wire_get_count(body, "Pieces", 1, TASKS_MAX_COUNT, &tasks, why) &&
-                 wire_get_amount(body, "Cpus", 0, &spec->need.cpus, why) &&
-                 wire_get_amount(body, "Accelerators", 0, &spec->need.gpus, why) &&
-                 wire_get_amount(body, "MemGb", 0, &spec->need.memory, why) &&
-                 wire_get_text(body, "Cargo", spec->image, sizeof spec->image, why) &&
-                 wire_get_amount(body, "ImageGb", 0, &spec->image_gb, why) &&
-                 wire_get_optional_text(body, "Dock", spec->zone, sizeof spec->zone, why) &&
-                 wire_get_flag(body, "SamePlace", &spec->same_zone, why) &&
-                 wire_get_flag(body, "Apart", &spec->spread, why) &&
-                 wire_get_flag(body, "Driftwood", &spec->spot, why) &&
-                 wire_get_amount(body, "HaulS", 0, &spec->estimate_s, why) &&
-                 wire_get_amount(body, "KnotS", 0, &spec->checkpoint_s, why) &&
-                 wire_get_amount(body, "StowS", 0, &spec->save_s, why) &&
+    bool valid = codec_get_text(body, "Reel", spec->class_name, sizeof spec->class_name, why) &&
+                 codec_get_text(body, "Crew", spec->team, sizeof spec->team, why) &&
+                 codec_get_choice(body, "Rig", kind_names, G_N_ELEMENTS(kind_names), &kind, why) &&
+                 codec_get_choice(body, "Urgency", priority_names, G_N_ELEMENTS(priority_names),
+                                  &priority, why) &&
+                 codec_get_count(body, "Pieces", 1, TASKS_MAX_COUNT, &tasks, why) &&
+                 codec_get_amount(body, "Cpus", 0, &spec->need.cpus, why) &&
+                 codec_get_amount(body, "Accelerators", 0, &spec->need.gpus, why) &&
+                 codec_get_amount(body, "MemGb", 0, &spec->need.memory, why) &&
+                 codec_get_text(body, "Cargo", spec->image, sizeof spec->image, why) &&
+                 codec_get_amount(body, "ImageGb", 0, &spec->image_gb, why) &&
+                 codec_get_optional_text(body, "Dock", spec->zone, sizeof spec->zone, why) &&
+                 codec_get_flag(body, "SamePlace", &spec->same_zone, why) &&
+                 codec_get_flag(body, "Apart", &spec->spread, why) &&
+                 codec_get_flag(body, "Driftwood", &spec->spot, why) &&
+                 codec_get_amount(body, "HaulS", 0, &spec->estimate_s, why) &&
+                 codec_get_amount(body, "KnotS", 0, &spec->checkpoint_s, why) &&
+                 codec_get_amount(body, "StowS", 0, &spec->save_s, why) &&
                  (!deadline || json_is_null(deadline) ||
-                  wire_get_amount(body, "TideS", 0, &spec->deadline_s, why)) &&
-                 (!stored || wire_get_count(body, "At", 0, G_MAXINT64, &submitted, why)) &&
-                 (spec->need.cpus > 0 || wire_fail(why, "Cpus: must be above 0")) &&
+                  codec_get_amount(body, "TideS", 0, &spec->deadline_s, why)) &&
+                 (!stored || codec_get_count(body, "At", 0, G_MAXINT64, &submitted, why)) &&
+                 (spec->need.cpus > 0 || codec_fail(why, "Cpus: must be above 0")) &&
                  get_types(body, spec, why) && (stored || check_names(spec, why));
     spec->tasks = (uint32_t)tasks;
     spec->kind = (job_kind_t)kind;
@@ -110,7 +110,7 @@
     return valid;
 }
 
-json_t *wire_build_job(const job_spec_t *spec)
+json_t *codec_build_job(const job_spec_t *spec)
 {
     json_t *types = spec->types ? json_array() : json_null();
     for (char **type = spec->types; type && *type; type++)
@@ -128,7 +128,7 @@
         "At", (json_int_t)spec->submitted_ms);
 }
 
-json_t *wire_build_status(const char *id, const char *state, uint32_t done, uint32_t running)
+json_t *codec_build_status(const char *id, const char *state, uint32_t done, uint32_t running)
 {
     return json_pack("{s:s,s:s,s:I,s:I}", "Uid", id, "Trim", state, "done", (json_int_t)done,
                      "running", (json_int_t)running);
--- a/src/io/json_input.c
+++ b/src/io/codec/json_input.c
@@ -1,4 +1,4 @@
-#include "io/json_input.h"
+#include "io/codec/json_input.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/io/wire_state.c
+++ b/src/io/codec/stored_values.c
@@ -1,5 +1,5 @@
 /* Values in the key-value store: records of machines, progress and ends of jobs, members. */
-#include "io/wire_internal.h"
+#include "io/codec/codec_internal.h"
 
 #include <string.h>
 
@@ -34,7 +34,7 @@
                      record->type, "Zone", record->zone, "Spot", record->spot, "Tasks", tasks);
 }
 
-json_t *wire_build_record(const page_record_t *record)
+json_t *codec_build_record(const page_record_t *record)
 {
     json_t *jobs = json_array();
     json_t *machines = json_array();
@@ -103,12 +103,12 @@
 
 static bool parse_machine_record(const json_t *value, const json_t *jobs, machine_record_t *record)
 {
-    bool valid = wire_get_text(value, "Id", record->machine, sizeof record->machine, NULL) &&
-                 wire_get_text(value, "Address", record->address, sizeof record->address, NULL) &&
-                 wire_get_text(value, "Type", record->type, sizeof record->type, NULL) &&
-                 wire_get_text(value, "Zone", record->zone, sizeof record->zone, NULL) &&
-                 wire_get_flag(value, "Spot", &record->spot, NULL) &&
-                 wire_get_count(value, "Session", 0, G_MAXINT64, &record->worker_epoch, NULL) &&
+    bool valid = codec_get_text(value, "Id", record->machine, sizeof record->machine, NULL) &&
+                 codec_get_text(value, "Address", record->address, sizeof record->address, NULL) &&
+                 codec_get_text(value, "Type", record->type, sizeof record->type, NULL) &&
+                 codec_get_text(value, "Zone", record->zone, sizeof record->zone, NULL) &&
+                 codec_get_flag(value, "Spot", &record->spot, NULL) &&
+                 codec_get_count(value, "Session", 0, G_MAXINT64, &record->worker_epoch, NULL) &&
                  json_is_array(json_object_get(value, "Tasks"));
     size_t i;
     json_t *task;
@@ -122,8 +122,8 @@
     return valid;
 }
 
-bool wire_parse_record(const char *page, const json_t *value, uint64_t revision,
-                       page_record_t *record)
+bool codec_parse_record(const char *page, const json_t *value, uint64_t revision,
+                        page_record_t *record)
 {
     const json_t *machines = json_object_get(value, "Machines");
     *record = (page_record_t){.revision = revision, .machines = machine_records_new()};
@@ -146,7 +146,7 @@
     return valid;
 }
 
-json_t *wire_build_bits(const uint8_t *bits, gsize bytes, uint32_t done)
+json_t *codec_build_bits(const uint8_t *bits, gsize bytes, uint32_t done)
 {
     char *text = g_base64_encode(bits, bytes);
     json_t *value = json_pack("{s:s,s:I}", "Bits", text, "Done", (json_int_t)done);
@@ -154,18 +154,18 @@
     return value;
 }
 
-uint8_t *wire_parse_bits(const json_t *value, gsize *bytes)
+uint8_t *codec_parse_bits(const json_t *value, gsize *bytes)
 {
     const char *text = json_string_value(json_object_get(value, "Bits"));
     return text ? g_base64_decode(text, bytes) : NULL;
 }
 
-json_t *wire_build_ended(bool done, uint32_t tasks)
+json_t *codec_build_ended(bool done, uint32_t tasks)
 {
     return json_pack("{s:s,s:I}", "Trim", done ? "done" : "cancelled", "Done", (json_int_t)tasks);
 }
 
-json_t *wire_build_member(const member_t *member)
+json_t *codec_build_member(const member_t *member)
 {
     return json_pack("{s:s,s:s,s:I,s:b}", "Name", member->name, "Zone", member->zone, "Incarnation",
                      (json_int_t)member->incarnation, "Aside", member->is_excluded);
--- a/src/io/wire_worker.c
+++ b/src/io/codec/worker_commands.c
@@ -1,5 +1,5 @@
 /* The workers' protocol: commands. Reports: wire_report.c. */
-#include "io/wire_internal.h"
+#include "io/codec/codec_internal.h"
 
 static json_t *build_command_list(const GArray *commands)
 {
@@ -17,14 +17,14 @@
     return list;
 }
 
-json_t *wire_build_commands(uint64_t fencing_token, const GArray *commands)
+json_t *codec_build_commands(uint64_t fencing_token, const GArray *commands)
 {
     return json_pack("{s:I,s:o}", "Helm", (json_int_t)fencing_token, "Calls",
                      build_command_list(commands));
 }
 
-json_t *wire_build_pushed_commands(uint64_t fencing_token, uint64_t worker_epoch,
-                                   const GArray *commands)
+json_t *codec_build_pushed_commands(uint64_t fencing_token, uint64_t worker_epoch,
+                                    const GArray *commands)
 {
     return json_pack("{s:I,s:I,s:o}", "Helm", (json_int_t)fencing_token, "Watch",
                      (json_int_t)worker_epoch, "Calls", build_command_list(commands));
--- a/src/io/wire_worker_heartbeat.c
+++ b/src/io/codec/worker_heartbeats.c
@@ -4,7 +4,7 @@
  * The fields of the heartbeat are those of the outermost object; those of its attempts are the ones
  * of the objects in the list of attempts. What lies deeper, or under another name, is passed over.
  */
-#include "io/wire_internal.h"
+#include "io/codec/codec_internal.h"
 
 #include <math.h>
 #include <string.h>
@@ -75,7 +75,7 @@
 /* Sets the reason and ends the parsing. */
 static int refuse(heartbeat_reader_t *reader, const char *name, const char *expected)
 {
-    wire_fail(reader->why, "%s: %s", name, expected);
+    codec_fail(reader->why, "%s: %s", name, expected);
     return READ_STOP;
 }
 
@@ -357,8 +357,8 @@
     return missing == 0;
 }
 
-bool wire_parse_worker_heartbeat(const char *text, gsize length, worker_heartbeat_t *heartbeat,
-                                 reason_t *why)
+bool codec_parse_worker_heartbeat(const char *text, gsize length, worker_heartbeat_t *heartbeat,
+                                  reason_t *why)
 {
     static const yajl_callbacks callbacks = {.yajl_null = read_null,
                                              .yajl_boolean = read_boolean,
@@ -381,6 +381,6 @@
     if (!is_valid)
         worker_heartbeat_clear(heartbeat);
     if (!is_valid && why && why->text[0] == '\0')
-        wire_fail(why, "not JSON");
+        codec_fail(why, "not JSON");
     return is_valid;
 }
--- a/src/io/http.c
+++ b/src/io/http_client.c
@@ -1,4 +1,4 @@
-#include "io/http.h"
+#include "io/http_client.h"
 
 #include <curl/curl.h>
 
--- a/src/io/http.h
+++ b/src/io/http_client.h
@@ -1,7 +1,7 @@
 /* Blocking HTTP calls with JSON bodies. One client belongs to one thread at a time and keeps its
  * connections open. */
-#ifndef PEPPERPULLEY_HTTP_H
-#define PEPPERPULLEY_HTTP_H
+#ifndef PEPPERPULLEY_HTTP_CLIENT_H
+#define PEPPERPULLEY_HTTP_CLIENT_H
 
 #include <jansson.h>
 
--- a/src/io/kv_store.h
+++ b/src/io/kv_store.h
@@ -4,7 +4,7 @@
 
 #include <stdatomic.h>
 
-#include "io/http.h"
+#include "io/http_client.h"
 
 typedef enum {
     KV_OK,
--- a/src/log.c
+++ b/src/io/log.c
@@ -1,4 +1,4 @@
-#include "log.h"
+#include "io/log.h"
 
 #include <stdarg.h>
 #include <stdio.h>
--- a/src/io/peer_protocol.h
+++ b/src/io/peer_protocol.h
@@ -2,10 +2,10 @@
 #ifndef PEPPERPULLEY_PEER_PROTOCOL_H
 #define PEPPERPULLEY_PEER_PROTOCOL_H
 
-#include "core/cancellation_log.h"
-#include "core/channel.h"
-#include "core/leader.h"
-#include "core/summary_update.h"
+#include "core/leader/leader.h"
+#include "core/replication/cancellation_log.h"
+#include "core/replication/channel.h"
+#include "core/replication/summary_update.h"
 
 /* One message, decoded. Owns its arrays. */
 typedef struct decoded_message {
--- a/src/io/records.c
+++ b/src/io/records.c
@@ -1,6 +1,6 @@
 #include "io/records.h"
 
-#include "io/wire.h"
+#include "io/codec/codec.h"
 
 static void write_progress(kv_txn_t *txn, const progress_t *progress)
 {
@@ -11,13 +11,13 @@
         g_snprintf(key, sizeof key, "done/%s/%u", progress->job, progress->chunk);
         kv_txn_require_revision(txn, job, progress->job_revision);
         kv_txn_require_revision(txn, key, progress->revision);
-        kv_txn_put(txn, key, wire_build_bits(progress->bits, progress->bytes, progress->done), 0);
+        kv_txn_put(txn, key, codec_build_bits(progress->bits, progress->bytes, progress->done), 0);
         return;
     }
     kv_txn_require_revision(txn, job, progress->job_revision);
     kv_txn_delete(txn, job);
     g_snprintf(key, sizeof key, "ended/%s", progress->job);
-    kv_txn_put(txn, key, wire_build_ended(true, progress->done), 0);
+    kv_txn_put(txn, key, codec_build_ended(true, progress->done), 0);
     for (guint i = 0; i < progress->old_revisions->len; i++) {
         uint64_t revision = g_array_index(progress->old_revisions, uint64_t, i);
         if (!revision)
@@ -39,7 +39,7 @@
         g_snprintf(key, sizeof key, "machines/%s", page);
         kv_txn_require_revision(txn, key, record->revision);
         if (record->machines->len)
-            kv_txn_put(txn, key, wire_build_record(record), 0);
+            kv_txn_put(txn, key, codec_build_record(record), 0);
         else
             kv_txn_delete(txn, key);
     }
@@ -80,7 +80,7 @@
     kv_txn_t txn = kv_txn_new();
     kv_txn_require_revision(&txn, live, 0);
     kv_txn_require_revision(&txn, ended, 0);
-    kv_txn_put(&txn, live, wire_build_job(spec), 0);
+    kv_txn_put(&txn, live, codec_build_job(spec), 0);
     return txn;
 }
 
@@ -92,7 +92,7 @@
     kv_txn_require_revision(&txn, key, revision);
     kv_txn_delete(&txn, key);
     g_snprintf(key, sizeof key, "ended/%s", id);
-    kv_txn_put(&txn, key, wire_build_ended(false, 0), 0);
+    kv_txn_put(&txn, key, codec_build_ended(false, 0), 0);
     /* A job of one task has no progress on the way, and each change is paid for. */
     for (uint32_t chunk = 0; tasks > 1 && chunk * CHUNK_BITS < tasks; chunk++) {
         g_snprintf(key, sizeof key, "done/%s/%u", id, chunk);
@@ -107,6 +107,6 @@
     kv_txn_t txn = kv_txn_new();
     g_snprintf(key, sizeof key, "view/members/%s", self->name);
     kv_txn_require_revision(&txn, key, revision);
-    kv_txn_put(&txn, key, wire_build_member(self), lease);
+    kv_txn_put(&txn, key, codec_build_member(self), lease);
     return txn;
 }
--- a/src/io/records.h
+++ b/src/io/records.h
@@ -2,8 +2,8 @@
 #ifndef PEPPERPULLEY_RECORDS_H
 #define PEPPERPULLEY_RECORDS_H
 
-#include "core/leader.h"
-#include "core/partition.h"
+#include "core/leader/leader.h"
+#include "core/partition/partition.h"
 #include "io/kv_store.h"
 
 /* The commit of a partition and, at the leader, of progress (may be NULL). It requires the view and
--- a/src/app/settings.c
+++ b/src/io/settings.c
@@ -1,11 +1,11 @@
-#include "app/settings.h"
+#include "io/settings.h"
 
 #include <arpa/inet.h>
 #include <jansson.h>
 #include <math.h>
 #include <string.h>
 
-#include "core/owner.h"
+#include "core/membership/ownership.h"
 
 /* Where parsing stands: the first fault wins. */
 typedef struct reader {
--- a/tests/test_controller.c
+++ b/tests/controller/test_controller.c
@@ -6,11 +6,11 @@
 #include <stdlib.h>
 #include <unistd.h>
 
-#include "app/controller.h"
-#include "app/peer_exchange.h"
+#include "controller/controller.h"
+#include "controller/peer/peer_exchange.h"
 #include "io/clock.h"
+#include "io/codec/codec.h"
 #include "io/records.h"
-#include "io/wire.h"
 #include "services.h"
 #include "unit_test.h"
 
@@ -387,7 +387,7 @@
 {
     job_spec_t spec;
     json_t *body = job_body(id);
-    assert_true(wire_parse_job(body, false, &spec, NULL));
+    assert_true(codec_parse_job(body, false, &spec, NULL));
     kv_txn_t txn = records_submit(&spec);
     job_spec_clear(&spec);
     json_decref(body);
--- a/tests/test_threads.c
+++ b/tests/controller/test_threads.c
@@ -1,6 +1,6 @@
 /* Tests of the registry of threads: what each role has taken stays told when its threads have
  * ended. */
-#include "app/threads.h"
+#include "controller/threads.h"
 
 #include <string.h>
 
--- a/tests/test_leader.c
+++ b/tests/core/leader/test_leader.c
@@ -1,6 +1,6 @@
 /* Tests of the leader: whose work goes first, and what counts against limits. */
-#include "core/autoscaler.h"
-#include "core/leader.h"
+#include "core/autoscaler/autoscaler.h"
+#include "core/leader/leader.h"
 #include "unit_test.h"
 
 static GArray *teams;
--- a/tests/test_connectivity.c
+++ b/tests/core/membership/test_connectivity.c
@@ -1,6 +1,6 @@
 /* Tests of a controller without the key-value store: outage, refused alone, or cut off from
  * everybody. */
-#include "core/connectivity.h"
+#include "core/membership/connectivity.h"
 #include "unit_test.h"
 
 static void test_outage_of_all_is_waited_for(void **state)
--- a/tests/test_election.c
+++ b/tests/core/membership/test_election.c
@@ -1,5 +1,5 @@
 /* Tests of elections: a process that is back within a moment is a stranger under a known name. */
-#include "core/election.h"
+#include "core/membership/election.h"
 #include "unit_test.h"
 
 static election_t election;
--- a/tests/test_redirection.c
+++ b/tests/core/membership/test_redirection.c
@@ -1,5 +1,5 @@
 /* Tests of workers that heartbeat to a controller that does not own them. */
-#include "core/redirection.h"
+#include "core/membership/redirection.h"
 #include "unit_test.h"
 
 static redirection_t *redirection;
--- a/tests/test_partition.c
+++ b/tests/core/partition/test_partition.c
@@ -1,6 +1,6 @@
 /* Tests of one partition and its workers: when a task may be placed again, and when not. */
 
-#include "core/partition.h"
+#include "core/partition/partition.h"
 #include "unit_test.h"
 #include "worker.h"
 
--- a/tests/test_cancellation_log.c
+++ b/tests/core/replication/test_cancellation_log.c
@@ -1,5 +1,5 @@
 /* Tests of cancellations that users were told of, and of how long workers may be kept alive. */
-#include "core/cancellation_log.h"
+#include "core/replication/cancellation_log.h"
 #include "unit_test.h"
 
 enum { FOLLOWED = 1000 };
--- a/tests/test_channel.c
+++ b/tests/core/replication/test_channel.c
@@ -1,6 +1,6 @@
 /* Tests of the exchange between controllers: lost, repeated and late messages; who owns what. */
-#include "core/channel.h"
-#include "core/owner.h"
+#include "core/membership/ownership.h"
+#include "core/replication/channel.h"
 #include "io/peer_protocol.h"
 #include "unit_test.h"
 
--- a/tests/test_summary_update.c
+++ b/tests/core/replication/test_summary_update.c
@@ -1,5 +1,5 @@
 /* Tests of summary updates: whatever is lost on the way, the leader has what the partition has. */
-#include "core/summary_update.h"
+#include "core/replication/summary_update.h"
 
 #include "unit_test.h"
 
--- a/tests/test_wire.c
+++ b/tests/io/codec/test_codec.c
@@ -1,5 +1,5 @@
 /* Tests of the codec: what is taken, what is refused, what comes back as it went. */
-#include "io/wire.h"
+#include "io/codec/codec.h"
 #include "unit_test.h"
 
 static json_t *job_body(void)
@@ -17,7 +17,7 @@
 {
     job_spec_t spec;
     reason_t why;
-    bool valid = wire_parse_job(body, false, &spec, &why);
+    bool valid = codec_parse_job(body, false, &spec, &why);
     if (valid)
         job_spec_clear(&spec);
     json_decref(body);
@@ -72,10 +72,10 @@
     job_spec_t spec;
     job_spec_t again;
     json_t *body = with("Hulls", json_pack("[s,s]", "g8", "g4"));
-    assert_true(wire_parse_job(body, false, &spec, NULL));
+    assert_true(codec_parse_job(body, false, &spec, NULL));
     spec.submitted_ms = 1234567;
-    json_t *stored = wire_build_job(&spec);
-    assert_true(wire_parse_job(stored, true, &again, NULL));
+    json_t *stored = codec_build_job(&spec);
+    assert_true(codec_parse_job(stored, true, &again, NULL));
     assert_string_equal(again.types[1], "g4");
     assert_int_equal(again.submitted_ms, 1234567);
     assert_int_equal(again.priority, PRIORITY_HIGH);
@@ -96,7 +96,7 @@
 {
     (void)state;
     worker_heartbeat_t heartbeat;
-    assert_true(wire_parse_worker_heartbeat(report_text, strlen(report_text), &heartbeat, NULL));
+    assert_true(codec_parse_worker_heartbeat(report_text, strlen(report_text), &heartbeat, NULL));
     assert_int_equal(heartbeat.fencing_token, 41);
     assert_true(heartbeat.interruption_in_s < 0);
     assert_int_equal(heartbeat.attempts->len, 2);
@@ -111,7 +111,7 @@
 {
     worker_heartbeat_t heartbeat;
     char *text = json_dumps(body, JSON_ENCODE_ANY);
-    bool taken = wire_parse_worker_heartbeat(text, strlen(text), &heartbeat, why);
+    bool taken = codec_parse_worker_heartbeat(text, strlen(text), &heartbeat, why);
     if (taken)
         worker_heartbeat_clear(&heartbeat);
     else
@@ -175,9 +175,9 @@
     assert_false(accepts_heartbeat(json_string("report"), &why));
     worker_heartbeat_t heartbeat;
     assert_false(
-        wire_parse_worker_heartbeat(report_text, strlen(report_text) - 1, &heartbeat, &why));
-    assert_false(wire_parse_worker_heartbeat("{}{}", 4, &heartbeat, &why));
-    assert_false(wire_parse_worker_heartbeat("", 0, &heartbeat, &why));
+        codec_parse_worker_heartbeat(report_text, strlen(report_text) - 1, &heartbeat, &why));
+    assert_false(codec_parse_worker_heartbeat("{}{}", 4, &heartbeat, &why));
+    assert_false(codec_parse_worker_heartbeat("", 0, &heartbeat, &why));
 }
 
 /* What is over is over, whatever the worker calls it. */
@@ -191,7 +191,7 @@
         "\"Winch\":\"m-1\",\"Address\":\"a\",\"Hull\":\"g8\",\"Dock\":\"a\",\"Driftwood\":false,"
         "\"Watch\":1,\"Tally\":2,\"Helm\":0}";
     worker_heartbeat_t heartbeat;
-    assert_true(wire_parse_worker_heartbeat(text, strlen(text), &heartbeat, NULL));
+    assert_true(codec_parse_worker_heartbeat(text, strlen(text), &heartbeat, NULL));
     assert_int_equal(g_array_index(heartbeat.attempts, reported_attempt_t, 0).cause, CAUSE_ERROR);
     assert_int_equal(g_array_index(heartbeat.attempts, reported_attempt_t, 1).cause, CAUSE_ERROR);
     assert_int_equal(g_array_index(heartbeat.attempts, reported_attempt_t, 2).cause, CAUSE_NONE);
@@ -225,10 +225,10 @@
     gsize bytes = 0;
     for (guint i = 0; i < sizeof bits; i++)
         bits[i] = (uint8_t)(i * 37);
-    json_t *value = wire_build_bits(bits, sizeof bits, 7);
+    json_t *value = codec_build_bits(bits, sizeof bits, 7);
     char *text = json_dumps(value, JSON_COMPACT);
     assert_true(strlen(text) < (size_t)4 * 1024); /* the least value_kb that settings may name */
-    uint8_t *back = wire_parse_bits(value, &bytes);
+    uint8_t *back = codec_parse_bits(value, &bytes);
     assert_int_equal(bytes, sizeof bits);
     assert_memory_equal(back, bits, sizeof bits);
     g_free(back);
--- a/tests/test_encoding_samples.c
+++ b/tests/io/codec/test_encoding_samples.c
@@ -1,9 +1,9 @@
 /* The exact bytes of what the service writes and reads, compared with the files of tests/samples,
  * which the builds that are in use wrote: controllers of both builds run side by side during an
  * update, and read each other's values and messages. */
-#include "app/api_internal.h"
+#include "controller/api/api_internal.h"
+#include "io/codec/codec.h"
 #include "io/records.h"
-#include "io/wire.h"
 #include "policy/policy.h"
 #include "sample_files.h"
 
@@ -18,7 +18,7 @@
 {
     job_spec_t spec;
     json_t *body = read_json_sample("job_submission.json");
-    assert_true(wire_parse_job(body, false, &spec, NULL));
+    assert_true(codec_parse_job(body, false, &spec, NULL));
     json_decref(body);
     spec.submitted_ms = 1700000000123;
     return spec;
@@ -55,7 +55,7 @@
 {
     (void)state;
     job_spec_t spec = submitted_job();
-    assert_json_is_sample("job_stored.json", wire_build_job(&spec));
+    assert_json_is_sample("job_stored.json", codec_build_job(&spec));
     job_spec_clear(&spec);
 }
 
@@ -64,7 +64,7 @@
     (void)state;
     job_spec_t spec;
     json_t *value = read_json_sample("job_stored.json");
-    assert_true(wire_parse_job(value, true, &spec, NULL));
+    assert_true(codec_parse_job(value, true, &spec, NULL));
     assert_is_submitted_job(&spec);
     assert_int_equal(spec.submitted_ms, 1700000000123);
     job_spec_clear(&spec);
@@ -86,7 +86,7 @@
                            .tasks = 1,
                            .need = {1, 0, 0.123456789},
                            .spread = true};
-        json_array_append_new(jobs, wire_build_job(&spec));
+        json_array_append_new(jobs, codec_build_job(&spec));
     }
     assert_json_is_sample("jobs_stored.json", jobs);
 }
@@ -98,7 +98,7 @@
     assert_int_equal(json_array_size(jobs), PRIORITY_CRITICAL + 1);
     for (int priority = PRIORITY_LOW; priority <= PRIORITY_CRITICAL; priority++) {
         job_spec_t spec;
-        assert_true(wire_parse_job(json_array_get(jobs, (size_t)priority), true, &spec, NULL));
+        assert_true(codec_parse_job(json_array_get(jobs, (size_t)priority), true, &spec, NULL));
         assert_int_equal(spec.priority, priority);
         assert_int_equal(spec.kind, priority % (KIND_SERVICE + 1));
         assert_true(spec.spread && !spec.types && !spec.zone[0] && spec.deadline_s == 0);
@@ -110,7 +110,7 @@
 static void test_answers_to_users_are_written_as_sampled(void **state)
 {
     (void)state;
-    assert_json_is_sample("answer_status.json", wire_build_status("j-000412", "running", 7, 5));
+    assert_json_is_sample("answer_status.json", codec_build_status("j-000412", "running", 7, 5));
     assert_json_is_sample("answer_refusal.json", api_refuse(HTTP_BAD_REQUEST, "Cpus", 0).body);
     assert_json_is_sample("answer_come_back.json", api_retry_later().body);
 }
@@ -121,7 +121,7 @@
     static const task_state_t states[] = {TASK_FETCHING, TASK_RUNNING, TASK_SAVING, TASK_FETCHING};
     worker_heartbeat_t heartbeat;
     char *text = read_sample("worker_report.json");
-    assert_true(wire_parse_worker_heartbeat(text, strlen(text), &heartbeat, NULL));
+    assert_true(codec_parse_worker_heartbeat(text, strlen(text), &heartbeat, NULL));
     assert_string_equal(heartbeat.machine, "m-000231");
     assert_string_equal(heartbeat.address, "10.1.0.232:9000");
     assert_string_equal(heartbeat.type, "g8");
@@ -154,9 +154,9 @@
                                          {COMMAND_FORGET, "j-000397", 5, 7, 0}};
     GArray *list = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     g_array_append_vals(list, commands, G_N_ELEMENTS(commands));
-    assert_json_is_sample("worker_answer.json", wire_build_commands(41, list));
-    assert_json_is_sample("worker_answer_quiet.json", wire_build_commands(42, NULL));
-    assert_json_is_sample("worker_direct.json", wire_build_pushed_commands(43, 31, list));
+    assert_json_is_sample("worker_answer.json", codec_build_commands(41, list));
+    assert_json_is_sample("worker_answer_quiet.json", codec_build_commands(42, NULL));
+    assert_json_is_sample("worker_direct.json", codec_build_pushed_commands(43, 31, list));
     g_array_unref(list);
 }
 
@@ -167,8 +167,8 @@
     g_ptr_array_add(machines, "m-000001");
     g_ptr_array_add(machines, "m-000002");
     assert_json_is_sample("cloud_rental.json",
-                          wire_build_scale_out("node-1-5", "g8", "north", true, 3));
-    assert_json_is_sample("cloud_release.json", wire_build_scale_in(machines));
+                          codec_build_scale_out("node-1-5", "g8", "north", true, 3));
+    assert_json_is_sample("cloud_release.json", codec_build_scale_in(machines));
     g_ptr_array_unref(machines);
 }
 
@@ -176,7 +176,7 @@
 {
     (void)state;
     json_t *body = read_json_sample("cloud_machine_types.json");
-    GArray *types = wire_parse_machine_types(body);
+    GArray *types = codec_parse_machine_types(body);
     assert_non_null(types);
     assert_int_equal(types->len, 1);
     const machine_type_t *type = &g_array_index(types, machine_type_t, 0);
@@ -199,7 +199,7 @@
     bool more = false;
     GArray *hosts = g_array_new(FALSE, FALSE, sizeof(host_t));
     json_t *body = read_json_sample("cloud_machines.json");
-    assert_true(wire_parse_hosts(body, hosts, &more));
+    assert_true(codec_parse_hosts(body, hosts, &more));
     assert_true(more);
     assert_int_equal(hosts->len, G_N_ELEMENTS(expected));
     for (guint i = 0; i < hosts->len; i++) {
@@ -240,7 +240,7 @@
 {
     (void)state;
     page_record_t record = sample_page(0);
-    assert_json_is_sample("machines.json", wire_build_record(&record));
+    assert_json_is_sample("machines.json", codec_build_record(&record));
     g_array_unref(record.machines);
 }
 
@@ -252,7 +252,7 @@
     json_t *value = read_json_sample("machines.json");
     char name[PAGE_NAME_BYTES];
     page_name(expected.shard, expected.page, name, sizeof name);
-    assert_true(wire_parse_record(name, value, 9, &record));
+    assert_true(codec_parse_record(name, value, 9, &record));
     const machine_record_t *machines = &g_array_index(record.machines, machine_record_t, 0);
     assert_int_equal(record.machines->len, 2);
     assert_string_equal(machines[1].machine, "m-000063");
@@ -330,7 +330,7 @@
     gsize bytes = 0;
     json_t *commit = read_json_sample("txn_commit.json");
     json_t *change = json_array_get(json_array_get(commit, 1), 0);
-    uint8_t *bits = wire_parse_bits(json_object_get(change, "Value"), &bytes);
+    uint8_t *bits = codec_parse_bits(json_object_get(change, "Value"), &bytes);
     assert_int_equal(bytes, 3);
     assert_memory_equal(bits, "\x81\xff\x02", 3);
     g_free(bits);
--- a/tests/test_records.c
+++ b/tests/io/test_records.c
@@ -1,7 +1,7 @@
 /* Tests of transactions against the key-value store: late, repeated, racing. */
 #include "fake_kv_store.h"
+#include "io/codec/codec.h"
 #include "io/records.h"
-#include "io/wire.h"
 #include "unit_test.h"
 
 static fake_kv_store_t *store;
@@ -147,8 +147,8 @@
     assert_int_equal(commit_partition(fake_kv_store_revision(store, "view/number")), KV_OK);
     const kv_entry_t *entry = fake_kv_store_get(store, record_key());
     assert_non_null(entry);
-    assert_true(wire_parse_record(entry->key + strlen("machines/"), entry->value, entry->revision,
-                                  &record));
+    assert_true(codec_parse_record(entry->key + strlen("machines/"), entry->value, entry->revision,
+                                   &record));
     assert_int_equal(record.machines->len, 1);
     const machine_record_t *machine = &g_array_index(record.machines, machine_record_t, 0);
     assert_string_equal(machine->machine, "m-000001");
@@ -159,7 +159,7 @@
     assert_true(attempt->need.cpus > 3.9 && attempt->need.memory > 3.9);
     g_array_unref(record.machines);
     /* Under another shard's key it would have two owners: it is not taken. */
-    assert_false(wire_parse_record("north.99", entry->value, entry->revision, &record));
+    assert_false(codec_parse_record("north.99", entry->value, entry->revision, &record));
 }
 
 static void test_submission_applied_late_does_not_bring_the_job_back(void **state)
@@ -296,7 +296,7 @@
     if (!g_str_has_prefix(key, "machines/"))
         return false;
     assert_true(
-        wire_parse_record(key + strlen("machines/"), entry->value, entry->revision, record));
+        codec_parse_record(key + strlen("machines/"), entry->value, entry->revision, record));
     return true;
 }
 
--- a/tests/test_settings.c
+++ b/tests/io/test_settings.c
@@ -2,7 +2,7 @@
 #include <jansson.h>
 #include <unistd.h>
 
-#include "app/settings.h"
+#include "io/settings.h"
 #include "unit_test.h"
 
 static json_t *settings_body(void)
--- a/tests/load.c
+++ b/tools/load.c
@@ -11,9 +11,9 @@
 #include <sys/resource.h>
 #include <unistd.h>
 
-#include "app/threads.h"
+#include "controller/threads.h"
 #include "io/clock.h"
-#include "io/http.h"
+#include "io/http_client.h"
 #include "services.h"
 
 enum {
