--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -8,6 +8,7 @@
 #include <unistd.h>
 
 #include "controller/controller.h"
+#include "controller/startup.h"
 #include "io/log.h"
 
 typedef struct arguments {
--- a/src/controller/api/http_server.c
+++ b/src/controller/api/http_server.c
@@ -10,6 +10,7 @@
  * Users' requests go straight against the key-value store; only a rate limiter stands between. What
  * a controller has told a user, no controller may take back: live answers are read afresh each
  * time, and only final states are kept. */
+#include "controller/api/http_server.h"
 #include "controller/api/api_internal.h"
 
 #include <arpa/inet.h>
@@ -113,12 +114,12 @@
     controller_t *controller = data;
     for (;;) {
         request_t *request;
-        pthread_mutex_lock(&controller->request_lock);
-        controller->idle_request_worker_count++;
-        while (!(request = request_queue_pop(&controller->request_queue)))
-            pthread_cond_wait(&controller->request_available, &controller->request_lock);
-        controller->idle_request_worker_count--;
-        pthread_mutex_unlock(&controller->request_lock);
+        pthread_mutex_lock(&controller->requests.lock);
+        controller->requests.idle_worker_count++;
+        while (!(request = request_queue_pop(&controller->requests.queue)))
+            pthread_cond_wait(&controller->requests.available, &controller->requests.lock);
+        controller->requests.idle_worker_count--;
+        pthread_mutex_unlock(&controller->requests.lock);
         bool late = clock_steady() >= request->wait_deadline;
         reply_t reply =
             late ? refuse_expired() : api_route(request, request->method, request->path);
@@ -132,17 +133,17 @@
 static void *expire_run(void *data)
 {
     controller_t *controller = data;
-    pthread_mutex_lock(&controller->request_lock);
+    pthread_mutex_lock(&controller->requests.lock);
     for (;;) {
-        request_t *request = request_queue_pop_expired(&controller->request_queue, clock_steady());
-        msec_t next = request_queue_next(&controller->request_queue);
+        request_t *request = request_queue_pop_expired(&controller->requests.queue, clock_steady());
+        msec_t next = request_queue_next(&controller->requests.queue);
         struct timespec at = {.tv_sec = next / MS_PER_S, .tv_nsec = next % MS_PER_S * NS_PER_MS};
         if (request)
             finish(request, refuse_expired());
         else if (next == G_MAXINT64)
-            pthread_cond_wait(&controller->request_workers_busy, &controller->request_lock);
+            pthread_cond_wait(&controller->requests.workers_busy, &controller->requests.lock);
         else
-            pthread_cond_timedwait(&controller->request_workers_busy, &controller->request_lock,
+            pthread_cond_timedwait(&controller->requests.workers_busy, &controller->requests.lock,
                                    &at);
     }
     return NULL;
@@ -151,11 +152,11 @@
 /* With the lock of the requests held: one more thread that answers, if all are busy. */
 static void start_request_worker(controller_t *controller)
 {
-    if (g_queue_get_length(&controller->request_queue.waiting) <=
-            controller->idle_request_worker_count ||
-        controller->request_worker_count == REQUEST_WORKERS_COUNT)
+    if (g_queue_get_length(&controller->requests.queue.waiting) <=
+            controller->requests.idle_worker_count ||
+        controller->requests.worker_count == REQUEST_WORKERS_COUNT)
         return;
-    controller->request_worker_count++;
+    controller->requests.worker_count++;
     threads_start("request_worker", request_worker_run, controller);
 }
 
@@ -171,18 +172,18 @@
     msec_t now = clock_steady();
     request->wait_deadline = now + API_WAIT_MS;
     request->deadline = now + (strcmp(method, "GET") == 0 ? API_STATUS_MS : API_SUBMIT_MS);
-    pthread_mutex_lock(&controller->request_lock);
+    pthread_mutex_lock(&controller->requests.lock);
     bool has_space =
-        request_queue_push(&controller->request_queue, request, request->wait_deadline);
+        request_queue_push(&controller->requests.queue, request, request->wait_deadline);
     if (has_space) {
         MHD_suspend_connection(request->connection); /* before one that answers can resume it */
         start_request_worker(controller);
-        pthread_cond_signal(&controller->request_available);
-        if (g_queue_get_length(&controller->request_queue.waiting) >
-            controller->idle_request_worker_count)
-            pthread_cond_signal(&controller->request_workers_busy);
+        pthread_cond_signal(&controller->requests.available);
+        if (g_queue_get_length(&controller->requests.queue.waiting) >
+            controller->requests.idle_worker_count)
+            pthread_cond_signal(&controller->requests.workers_busy);
     }
-    pthread_mutex_unlock(&controller->request_lock);
+    pthread_mutex_unlock(&controller->requests.lock);
     if (!has_space)
         request->reply = refuse_expired();
     return has_space;
@@ -223,8 +224,8 @@
     /* A worker that finds no connection loses its lease, a user asks again: above three quarters of
      * the limit, users' connections are not kept. */
     guint most = controller->settings->connections;
-    bool crowded =
-        atomic_load(&controller->open_connections) > most - most / WORKER_CONNECTIONS_DIVISOR;
+    bool crowded = atomic_load(&controller->requests.open_connections) >
+                   most - most / WORKER_CONNECTIONS_DIVISOR;
     return send_reply(connection, request->reply, crowded && strcmp(path, "/hello") != 0);
 }
 
@@ -252,10 +253,11 @@
     controller_t *controller = data;
     (void)connection;
     (void)context;
-    atomic_fetch_add(&controller->open_connections, code == MHD_CONNECTION_NOTIFY_STARTED ? 1 : -1);
+    atomic_fetch_add(&controller->requests.open_connections,
+                     code == MHD_CONNECTION_NOTIFY_STARTED ? 1 : -1);
 }
 
-bool api_start(controller_t *controller)
+bool http_server_start(controller_t *controller)
 {
     struct sockaddr_in address = {.sin_family = AF_INET};
     char host[ADDRESS_BYTES];
--- a/src/controller/api/job_state.c
+++ b/src/controller/api/job_state.c
@@ -9,14 +9,14 @@
     controller_t *controller = request->controller;
     msec_t now = clock_steady();
     pthread_mutex_lock(&controller->lock);
-    while (!request->client && controller->free_api_kv_clients == 0 &&
+    while (!request->client && controller->kv_clients.free_count == 0 &&
            now < request->wait_deadline) {
-        controller_wait(controller, &controller->api_kv_client_available,
+        controller_wait(controller, &controller->kv_clients.available,
                         request->wait_deadline - now);
         now = clock_steady();
     }
-    if (!request->client && controller->free_api_kv_clients > 0)
-        request->client = controller->api_kv_clients[--controller->free_api_kv_clients];
+    if (!request->client && controller->kv_clients.free_count > 0)
+        request->client = controller->kv_clients.clients[--controller->kv_clients.free_count];
     pthread_mutex_unlock(&controller->lock);
     return request->client != NULL;
 }
@@ -27,9 +27,9 @@
     if (!request->client)
         return;
     pthread_mutex_lock(&controller->lock);
-    controller->api_kv_clients[controller->free_api_kv_clients++] = request->client;
+    controller->kv_clients.clients[controller->kv_clients.free_count++] = request->client;
     request->client = NULL;
-    pthread_cond_signal(&controller->api_kv_client_available);
+    pthread_cond_signal(&controller->kv_clients.available);
     pthread_mutex_unlock(&controller->lock);
 }
 
@@ -110,9 +110,9 @@
 job_state_t api_known_state(controller_t *controller, const char *id, bool *likely_live)
 {
     pthread_mutex_lock(&controller->lock);
-    terminal_state_t ended =
-        (terminal_state_t)GPOINTER_TO_INT(g_hash_table_lookup(controller->terminal_states, id));
-    *likely_live = g_hash_table_contains(controller->live_jobs, id);
+    terminal_state_t ended = (terminal_state_t)GPOINTER_TO_INT(
+        g_hash_table_lookup(controller->jobs.terminal_states, id));
+    *likely_live = g_hash_table_contains(controller->jobs.live, id);
     pthread_mutex_unlock(&controller->lock);
     return ended == TERMINAL_UNKNOWN ? JOB_UNKNOWN
            : ended == TERMINAL_DONE  ? JOB_DONE
--- a/src/controller/api/jobs.c
+++ b/src/controller/api/jobs.c
@@ -45,13 +45,13 @@
 {
     const char *why = "unknown team";
     pthread_mutex_lock(&controller->lock);
-    *undecided = controller->machine_types->len == 0;
+    *undecided = controller->placement.machine_types->len == 0;
     for (guint i = 0; i < controller->settings->teams->len; i++) {
         const team_t *team = &g_array_index(controller->settings->teams, team_t, i);
         if (strcmp(team->name, spec->team) == 0)
             why = exceeds_quota(spec, team) ? "it needs more than the team's limit" : NULL;
     }
-    if (!why && !job_spec_fits_some(spec, controller->machine_types))
+    if (!why && !job_spec_fits_some(spec, controller->placement.machine_types))
         why = "a task fits no allowed machine type";
     pthread_mutex_unlock(&controller->lock);
     return why;
--- a/src/controller/api/status.c
+++ b/src/controller/api/status.c
@@ -9,9 +9,9 @@
 /* With the lock held: for display, as the leader counts now or counted a moment ago. */
 static job_counts_t job_counts(const controller_t *controller, const char *id)
 {
-    if (!controller->is_leader || !controller->is_loaded)
-        return job_counts_replica_get(&controller->job_counts, id);
-    const job_t *job = g_hash_table_lookup(controller->leader->jobs, id);
+    if (!controller->membership.is_leader || !controller->placement.is_loaded)
+        return job_counts_replica_get(&controller->jobs.counts, id);
+    const job_t *job = g_hash_table_lookup(controller->placement.leader->jobs, id);
     return job ? (job_counts_t){.done = job->done_count, .outstanding = job->outstanding_count}
                : (job_counts_t){0};
 }
@@ -77,27 +77,27 @@
     controller_t *controller = request->controller;
     controller_sleep(STATUS_BATCH_DELAY_MS);
     pthread_mutex_lock(&controller->lock);
-    controller->status_batch = NULL; /* later questions must be asked later */
+    controller->status_batches.open = NULL; /* later questions must be asked later */
     pthread_mutex_unlock(&controller->lock);
     if (api_acquire_client(request))
         compare_live(request, status_batch);
     pthread_mutex_lock(&controller->lock);
     status_batch->is_done = true;
-    pthread_cond_broadcast(&controller->status_batch_done);
+    pthread_cond_broadcast(&controller->status_batches.finished);
     pthread_mutex_unlock(&controller->lock);
 }
 
 /* With the lock held: an status batch that still takes questions, with this one. */
 static status_batch_t *join_status_batch(controller_t *controller, const live_job_t *job)
 {
-    if (!controller->status_batch) {
-        controller->status_batch = g_new0(status_batch_t, 1);
-        controller->status_batch->unanswered =
+    if (!controller->status_batches.open) {
+        controller->status_batches.open = g_new0(status_batch_t, 1);
+        controller->status_batches.open->unanswered =
             g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-        controller->status_batch->live =
+        controller->status_batches.open->live =
             g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     }
-    status_batch_t *status_batch = controller->status_batch;
+    status_batch_t *status_batch = controller->status_batches.open;
     g_hash_table_insert(status_batch->unanswered, g_strdup(job->spec.id),
                         GSIZE_TO_POINTER(job->revision));
     status_batch->waiter_count++;
@@ -126,12 +126,12 @@
 {
     controller_t *controller = request->controller;
     pthread_mutex_lock(&controller->lock);
-    const live_job_t *job = g_hash_table_lookup(controller->live_jobs, id);
+    const live_job_t *job = g_hash_table_lookup(controller->jobs.live, id);
     if (!job) {
         pthread_mutex_unlock(&controller->lock);
         return LIVE_CHECK_CHANGED;
     }
-    bool first = controller->status_batch == NULL;
+    bool first = controller->status_batches.open == NULL;
     status_batch_t *status_batch = join_status_batch(controller, job);
     pthread_mutex_unlock(&controller->lock);
     if (first)
@@ -139,7 +139,7 @@
     pthread_mutex_lock(&controller->lock);
     msec_t now = clock_steady();
     while (!status_batch->is_done && now < request->deadline) {
-        controller_wait(controller, &controller->status_batch_done, request->deadline - now);
+        controller_wait(controller, &controller->status_batches.finished, request->deadline - now);
         now = clock_steady();
     }
     live_check_t result = LIVE_CHECK_CHANGED;
--- a/src/controller/api/worker_heartbeats.c
+++ b/src/controller/api/worker_heartbeats.c
@@ -1,5 +1,6 @@
 /* Workers' heartbeats. */
 #include "controller/api/api_internal.h"
+#include "controller/worker_lease.h"
 
 #include "io/clock.h"
 #include "io/codec/codec.h"
@@ -16,7 +17,7 @@
     for (guint i = 0; i < controller->settings->siblings->len; i++) {
         const sibling_t *sibling = &g_array_index(controller->settings->siblings, sibling_t, i);
         if (strcmp(sibling->name, owner->name) == 0)
-            return redirection_owner_is_healthy(&controller->sibling_health[i], now);
+            return redirection_owner_is_healthy(&controller->peers.sibling_health[i], now);
     }
     return false;
 }
@@ -29,8 +30,8 @@
     char key[KV_KEY_BYTES];
     g_snprintf(key, sizeof key, "%s#%" G_GUINT64_FORMAT, owner->name, owner->incarnation);
     bool is_reachable = owner_is_reachable(controller, owner, heartbeat->zone, now);
-    redirection_verdict_t verdict =
-        redirection_handle_heartbeat(controller->redirection, heartbeat, key, is_reachable, now);
+    redirection_verdict_t verdict = redirection_handle_heartbeat(controller->membership.redirection,
+                                                                 heartbeat, key, is_reachable, now);
     if (verdict == REDIRECTION_DUPLICATE)
         return api_refuse(HTTP_UNAVAILABLE, "an old heartbeat", 0);
     if (verdict == REDIRECTION_TO_OWNER)
@@ -38,9 +39,9 @@
                          .body = json_pack("{s:s}", "Bosun", owner->name)};
     log_debug("event=worker_retained machine=%s", heartbeat->machine);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    redirection_stop_ended(heartbeat, controller->live_jobs, commands);
+    redirection_stop_ended(heartbeat, controller->jobs.live, commands);
     reply_t reply = {.status = HTTP_OK,
-                     .body = codec_build_commands(controller->view.number, commands)};
+                     .body = codec_build_commands(controller->membership.view.number, commands)};
     g_array_unref(commands);
     return reply;
 }
@@ -53,26 +54,29 @@
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     heartbeat_verdict_t verdict = HEARTBEAT_UNVERIFIED;
     reply_t reply;
-    uint64_t changes = controller->partition ? controller->partition->changes : 0;
-    if (controller->is_loaded) {
-        partition_pause_starts(controller->partition, !controller_may_start(controller, now));
-        verdict =
-            partition_handle_heartbeat(controller->partition, heartbeat, false, now, commands);
+    uint64_t changes =
+        controller->placement.partition ? controller->placement.partition->changes : 0;
+    if (controller->placement.is_loaded) {
+        partition_pause_starts(controller->placement.partition,
+                               !worker_lease_may_start(controller, now));
+        verdict = partition_handle_heartbeat(controller->placement.partition, heartbeat, false, now,
+                                             commands);
     }
     if (verdict == HEARTBEAT_ACCEPTED)
-        controller->worker_heartbeat_at = now;
+        controller->peers.worker_heartbeat_at = now;
     if (verdict == HEARTBEAT_DUPLICATE) {
         reply = api_refuse(HTTP_UNAVAILABLE, "an old heartbeat", 0);
     } else {
         if (verdict != HEARTBEAT_ACCEPTED)
-            redirection_stop_ended(heartbeat, controller->live_jobs, commands);
-        reply =
-            commands->len
-                ? (reply_t){.status = HTTP_OK,
-                            .body = codec_build_commands(controller->view.number, commands)}
-                : (reply_t){.status = HTTP_OK, .unchanged_fencing_token = controller->view.number};
+            redirection_stop_ended(heartbeat, controller->jobs.live, commands);
+        reply = commands->len
+                    ? (reply_t){.status = HTTP_OK,
+                                .body = codec_build_commands(controller->membership.view.number,
+                                                             commands)}
+                    : (reply_t){.status = HTTP_OK,
+                                .unchanged_fencing_token = controller->membership.view.number};
     }
-    if (controller->partition && controller->partition->changes != changes)
+    if (controller->placement.partition && controller->placement.partition->changes != changes)
         controller_notify_placement(controller);
     g_array_unref(commands);
     return reply;
@@ -84,21 +88,23 @@
     metrics_count(controller->metrics, COUNT_WORKER_HEARTBEATS, 1);
     /* A higher fencing token is out: this controller's view is old, and a 200 from it would be
      * dropped while it holds the worker here. Silence about aborts ends the answers as well. */
-    if (controller->view.count == 0 ||
-        MAX(heartbeat->fencing_token, controller->highest_view_seen) > controller->view.number)
+    if (controller->membership.view.count == 0 ||
+        MAX(heartbeat->fencing_token, controller->membership.highest_view_seen) >
+            controller->membership.view.number)
         return api_refuse(HTTP_UNAVAILABLE, "not entitled now", 0);
-    if (!controller_may_renew_leases(controller, now)) {
+    if (!worker_lease_may_renew(controller, now)) {
         /* It lives, though its lease may not be renewed: after an outage, machines that were only
          * refused must not be taken for dead. */
-        if (controller->is_loaded)
-            partition_record_unanswered_heartbeat(controller->partition, heartbeat, now);
+        if (controller->placement.is_loaded)
+            partition_record_unanswered_heartbeat(controller->placement.partition, heartbeat, now);
         return api_refuse(HTTP_UNAVAILABLE, "not entitled now", 0);
     }
-    guint owner = controller_owner_index(controller, heartbeat->machine, heartbeat->zone);
+    guint owner = membership_owner_index(controller, heartbeat->machine, heartbeat->zone);
     metrics_count(controller->metrics, COUNT_WORKER_HEARTBEATS_NOT_OWNED,
-                  owner != controller->own_index);
-    if (owner != controller->own_index)
-        return redirect_worker(controller, heartbeat, &controller->view.members[owner], now);
+                  owner != controller->membership.own_index);
+    if (owner != controller->membership.own_index)
+        return redirect_worker(controller, heartbeat, &controller->membership.view.members[owner],
+                               now);
     return answer_own(controller, heartbeat, now);
 }
 
--- a/src/controller/autoscaler/autoscaler_loop.c
+++ b/src/controller/autoscaler/autoscaler_loop.c
@@ -1,6 +1,8 @@
 /* The loop of the cloud: machine types for every controller; for the leader the list of machines,
  * scale-out requests and returns. */
+#include "controller/autoscaler/autoscaler_loop.h"
 #include "controller/autoscaler/autoscaler_loop_internal.h"
+#include "controller/placement/partition_items.h"
 
 #include <string.h>
 
@@ -17,14 +19,15 @@
 
 static void take_machine_types(controller_t *controller, GArray *machine_types)
 {
-    for (guint i = 0; i < controller->machine_types->len; i++)
-        g_strfreev(g_array_index(controller->machine_types, machine_type_t, i).zones);
-    g_array_set_size(controller->machine_types, 0);
-    g_array_append_vals(controller->machine_types, machine_types->data, machine_types->len);
+    for (guint i = 0; i < controller->placement.machine_types->len; i++)
+        g_strfreev(g_array_index(controller->placement.machine_types, machine_type_t, i).zones);
+    g_array_set_size(controller->placement.machine_types, 0);
+    g_array_append_vals(controller->placement.machine_types, machine_types->data,
+                        machine_types->len);
     /* The zones' lists moved along with the values. */
     g_array_set_clear_func(machine_types, NULL);
-    if (controller->partition)
-        partition_apply_machine_types(controller->partition);
+    if (controller->placement.partition)
+        partition_apply_machine_types(controller->placement.partition);
 }
 
 static void refresh_machine_types(cloud_t *cloud)
@@ -47,8 +50,8 @@
 const machine_summary_t *cloud_find_summary(const controller_t *controller, const char *id,
                                             guint *partition)
 {
-    for (guint i = 0; i < controller->leader->summaries->len; i++) {
-        const GArray *summaries = g_ptr_array_index(controller->leader->summaries, i);
+    for (guint i = 0; i < controller->placement.leader->summaries->len; i++) {
+        const GArray *summaries = g_ptr_array_index(controller->placement.leader->summaries, i);
         for (guint k = 0; summaries && k < summaries->len; k++) {
             const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
             if (strcmp(summary->machine, id) != 0)
@@ -63,9 +66,9 @@
 
 bool cloud_leads(const controller_t *controller)
 {
-    return controller->is_loaded && controller->is_leader &&
-           election_may_act(&controller->view, controller->highest_view_seen,
-                            controller->views_complete_until, clock_steady());
+    return controller->placement.is_loaded && controller->membership.is_leader &&
+           election_may_act(&controller->membership.view, controller->membership.highest_view_seen,
+                            controller->membership.views_complete_until, clock_steady());
 }
 
 bool cloud_is_recently_terminated(const cloud_t *cloud, const char *id, msec_t now)
@@ -80,7 +83,7 @@
 {
     channel_item_t item = {.kind = kind};
     g_strlcpy(item.machine, id, sizeof item.machine);
-    controller_send_item(controller, partition, item);
+    partition_items_send(controller, partition, item);
 }
 
 /* One that has just begun to lead waits no longer: queues may have no machine yet. */
@@ -91,7 +94,7 @@
     pthread_mutex_unlock(&controller->lock);
 }
 
-void *cloud_run(void *data)
+void *autoscaler_loop_run(void *data)
 {
     cloud_t cloud = {
         .controller = data,
--- a/src/controller/autoscaler/machine_listing.c
+++ b/src/controller/autoscaler/machine_listing.c
@@ -40,7 +40,7 @@
 static void take_hosts(cloud_t *cloud, const GArray *hosts, msec_t now)
 {
     controller_t *controller = cloud->controller;
-    GHashTable *known = known_machines(controller->leader);
+    GHashTable *known = known_machines(controller->placement.leader);
     g_hash_table_remove_all(cloud->listed_machines);
     g_ptr_array_set_size(cloud->failed_machines, 0);
     for (guint i = 0; i < hosts->len; i++) {
@@ -52,7 +52,7 @@
                  !cloud_is_recently_terminated(cloud, host->machine, now)) /* else the list lags */
             autoscaler_add_booting(
                 controller->autoscaler, host->machine, host->type, host->zone, host->spot,
-                MAX(now - (msec_t)(host->age_s * MS_PER_S), controller->loaded_at));
+                MAX(now - (msec_t)(host->age_s * MS_PER_S), controller->placement.loaded_at));
     }
     /* What was scaled out long enough ago to be listed and is not, was taken while it booted. */
     GHashTableIter iter;
--- a/src/controller/autoscaler/member_exclusion.c
+++ b/src/controller/autoscaler/member_exclusion.c
@@ -29,7 +29,7 @@
     }
     /* Our own list there is seconds old. */
     pthread_mutex_lock(&cloud->controller->lock);
-    redirection_add_retained(cloud->controller->redirection, clock_steady(), retained);
+    redirection_add_retained(cloud->controller->membership.redirection, clock_steady(), retained);
     pthread_mutex_unlock(&cloud->controller->lock);
     return retained;
 }
@@ -44,7 +44,7 @@
 /* With the lock held: machines of a partition that have gone silent, if they are most of it. */
 static GPtrArray *lost_of(const controller_t *controller, guint partition)
 {
-    const GArray *summaries = g_ptr_array_index(controller->leader->summaries, partition);
+    const GArray *summaries = g_ptr_array_index(controller->placement.leader->summaries, partition);
     GPtrArray *lost = g_ptr_array_new_with_free_func(g_free);
     for (guint k = 0; summaries && k < summaries->len; k++) {
         const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
@@ -62,17 +62,17 @@
     GHashTable *retained = NULL;
     guint partitions = 0;
     pthread_mutex_lock(&controller->lock);
-    uint64_t generation = controller->data_generation;
+    uint64_t generation = controller->placement.generation;
     /* In a view's first seconds, workers are still on their way to their owners. */
-    partitions =
-        cloud_leads(controller) && now - controller->loaded_at > 2 * cloud_lost_after(controller)
-            ? controller->view.count
-            : 0;
+    partitions = cloud_leads(controller) &&
+                         now - controller->placement.loaded_at > 2 * cloud_lost_after(controller)
+                     ? controller->membership.view.count
+                     : 0;
     pthread_mutex_unlock(&controller->lock);
     for (guint i = 0; i < partitions; i++) {
         pthread_mutex_lock(&controller->lock);
-        GPtrArray *lost =
-            controller->data_generation == generation ? lost_of(controller, i) : g_ptr_array_new();
+        GPtrArray *lost = controller->placement.generation == generation ? lost_of(controller, i)
+                                                                         : g_ptr_array_new();
         pthread_mutex_unlock(&controller->lock);
         if (lost->len && !retained)
             retained = cloud_read_retained(cloud);
@@ -82,13 +82,13 @@
         if (lost->len && 2 * alive > lost->len) {
             msec_t until = now + EXCLUDED_MS;
             pthread_mutex_lock(&controller->lock);
-            if (controller->data_generation == generation) {
+            if (controller->placement.generation == generation) {
                 log_info("event=member_excluded member=%s machines=%u",
-                         controller->view.members[i].name, alive);
-                g_hash_table_insert(controller->election.excluded,
-                                    g_strdup(controller->view.members[i].name),
+                         controller->membership.view.members[i].name, alive);
+                g_hash_table_insert(controller->membership.election.excluded,
+                                    g_strdup(controller->membership.view.members[i].name),
                                     g_memdup2(&until, sizeof until));
-                pthread_cond_broadcast(&controller->membership_changed);
+                pthread_cond_broadcast(&controller->membership.changed);
             }
             pthread_mutex_unlock(&controller->lock);
         }
@@ -103,7 +103,7 @@
     controller_t *controller = cloud->controller;
     json_t *names = json_array();
     pthread_mutex_lock(&controller->lock);
-    GPtrArray *retained = redirection_retained(controller->redirection, now);
+    GPtrArray *retained = redirection_retained(controller->membership.redirection, now);
     pthread_mutex_unlock(&controller->lock);
     for (guint i = 0; i < retained->len; i++)
         json_array_append_new(names, json_string(g_ptr_array_index(retained, i)));
--- a/src/controller/autoscaler/scale_in.c
+++ b/src/controller/autoscaler/scale_in.c
@@ -14,8 +14,8 @@
 
 static void update_zones(controller_t *controller, msec_t now)
 {
-    GPtrArray *fallen = autoscaler_update_zones(controller->autoscaler, controller->leader,
-                                                cloud_lost_after(controller), now);
+    GPtrArray *fallen = autoscaler_update_zones(
+        controller->autoscaler, controller->placement.leader, cloud_lost_after(controller), now);
     for (guint i = 0; i < fallen->len; i++)
         log_info("event=zone_unreachable zone=%s", (char *)g_ptr_array_index(fallen, i));
     g_ptr_array_unref(fallen);
@@ -34,9 +34,11 @@
     pthread_mutex_lock(&controller->lock);
     if (cloud_leads(controller))
         update_zones(controller, now);
-    bool listed = cloud_leads(controller) && cloud->listed_at > controller->loaded_at + lag;
-    for (guint i = 0; cloud_leads(controller) && i < controller->leader->summaries->len; i++) {
-        const GArray *summaries = g_ptr_array_index(controller->leader->summaries, i);
+    bool listed =
+        cloud_leads(controller) && cloud->listed_at > controller->placement.loaded_at + lag;
+    for (guint i = 0; cloud_leads(controller) && i < controller->placement.leader->summaries->len;
+         i++) {
+        const GArray *summaries = g_ptr_array_index(controller->placement.leader->summaries, i);
         for (guint k = 0; summaries && k < summaries->len; k++) {
             const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
             bool unlisted = listed && summary->known_ms > lag && !summary->open &&
@@ -65,8 +67,8 @@
     for (guint i = 0; i < cloud->failed_machines->len; i++)
         if (!cloud_is_recently_terminated(cloud, g_ptr_array_index(cloud->failed_machines, i), now))
             add_once(names, g_ptr_array_index(cloud->failed_machines, i));
-    GPtrArray *stuck =
-        autoscaler_stuck_instances(controller->autoscaler, controller->machine_types, now);
+    GPtrArray *stuck = autoscaler_stuck_instances(controller->autoscaler,
+                                                  controller->placement.machine_types, now);
     for (guint i = 0; i < stuck->len; i++)
         add_once(names, g_ptr_array_index(stuck, i));
     g_ptr_array_unref(stuck);
@@ -84,12 +86,13 @@
         controller->autoscaler->surplus_since = 0;
     /* Views of the same leader teach it nothing new: when they came every half minute, nothing was
      * returned for minutes. */
-    bool may_return = informed && now - controller->leader_since_at > SCALE_IN_AFTER_MS &&
-                      now - controller->loaded_at > LEADER_GRACE_MS;
+    bool may_return = informed &&
+                      now - controller->membership.leader_since_at > SCALE_IN_AFTER_MS &&
+                      now - controller->placement.loaded_at > LEADER_GRACE_MS;
     for (guint drained = 0; may_return && drained < DRAINS_PER_ROUND_COUNT; drained++) {
         machine_summary_t *surplus =
-            autoscaler_next_scale_in(controller->autoscaler, controller->leader,
-                                     controller->machine_types, now, clock_day());
+            autoscaler_next_scale_in(controller->autoscaler, controller->placement.leader,
+                                     controller->placement.machine_types, now, clock_day());
         if (!surplus || !cloud_find_summary(controller, surplus->machine, &partition))
             break;
         log_info("event=scale_in_selected machine=%s", surplus->machine);
@@ -107,14 +110,15 @@
     msec_t now = clock_steady();
     find_broken(cloud, names, now);
     drain_surplus(cloud, now);
-    for (guint i = 0; i < controller->leader->summaries->len; i++) {
-        const GArray *summaries = g_ptr_array_index(controller->leader->summaries, i);
+    for (guint i = 0; i < controller->placement.leader->summaries->len; i++) {
+        const GArray *summaries = g_ptr_array_index(controller->placement.leader->summaries, i);
         for (guint k = 0; summaries && k < summaries->len; k++) {
             const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
             if (summary->draining && summary->attempts == 0 &&
                 !cloud_is_recently_terminated(cloud, summary->machine, now))
                 add_once(names, summary->machine);
-            if (!summary->draining && leader_is_quarantined(controller->leader, summary->machine)) {
+            if (!summary->draining &&
+                leader_is_quarantined(controller->placement.leader, summary->machine)) {
                 log_info("event=machine_quarantined machine=%s", summary->machine);
                 cloud_send_machine_item(controller, i, CHANNEL_DRAIN, summary->machine);
             }
@@ -160,7 +164,7 @@
     GPtrArray *silent = find_silent(cloud);
     GHashTable *retained = silent->len ? cloud_read_retained(cloud) : NULL;
     pthread_mutex_lock(&controller->lock);
-    uint64_t generation = controller->data_generation;
+    uint64_t generation = controller->placement.generation;
     if (cloud_leads(controller)) {
         find_unwanted(cloud, names);
         for (guint i = 0; retained && i < silent->len; i++)
@@ -177,7 +181,7 @@
         json_decref(body);
         pthread_mutex_lock(&controller->lock);
         if (status == HTTP_OK && cloud_leads(controller) &&
-            controller->data_generation == generation) {
+            controller->placement.generation == generation) {
             terminated(controller, names);
             record_terminated(cloud, names);
             g_ptr_array_set_size(cloud->failed_machines, 0);
--- a/src/controller/autoscaler/scale_out.c
+++ b/src/controller/autoscaler/scale_out.c
@@ -8,12 +8,12 @@
 /* With the lock held: a machine that is being drained is nearer than any to be scaled out. */
 static bool cancel_drain(controller_t *controller)
 {
-    for (guint i = 0; i < controller->leader->summaries->len; i++) {
-        const GArray *summaries = g_ptr_array_index(controller->leader->summaries, i);
+    for (guint i = 0; i < controller->placement.leader->summaries->len; i++) {
+        const GArray *summaries = g_ptr_array_index(controller->placement.leader->summaries, i);
         for (guint k = 0; summaries && k < summaries->len; k++) {
             const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
             if (!summary->draining || summary->attempts == 0 ||
-                leader_is_quarantined(controller->leader, summary->machine))
+                leader_is_quarantined(controller->placement.leader, summary->machine))
                 continue;
             log_info("event=drain_cancelled machine=%s", summary->machine);
             cloud_send_machine_item(controller, i, CHANNEL_CANCEL_DRAIN, summary->machine);
@@ -29,22 +29,24 @@
     pthread_mutex_lock(&controller->lock);
     msec_t now = clock_steady();
     pending_scale_out_t *pending = &cloud->pending_scale_out;
-    if (pending->is_pending && pending->generation != controller->data_generation)
+    if (pending->is_pending && pending->generation != controller->placement.generation)
         pending->is_pending =
             false; /* if it was carried out, its machines will appear in the list */
     /* Before the first view nobody scaled out: what the list shows is all there is. */
-    bool is_grace_over = now - controller->loaded_at > LEADER_GRACE_MS ||
-                         (controller->view.number == 1 && cloud->listed_at > controller->loaded_at);
+    bool is_grace_over = now - controller->placement.loaded_at > LEADER_GRACE_MS ||
+                         (controller->membership.view.number == 1 &&
+                          cloud->listed_at > controller->placement.loaded_at);
     if (!pending->is_pending && cloud_leads(controller) && is_grace_over &&
-        autoscaler_next_scale_out(controller->autoscaler, controller->leader,
-                                  controller->machine_types, now, clock_day(), &pending->request) &&
+        autoscaler_next_scale_out(controller->autoscaler, controller->placement.leader,
+                                  controller->placement.machine_types, now, clock_day(),
+                                  &pending->request) &&
         !cancel_drain(controller)) {
         /* The number is this leadership's alone, so the name can never have been used. */
         g_snprintf(pending->idempotency_key, sizeof pending->idempotency_key,
-                   "c-%" G_GUINT64_FORMAT "-%u", controller->view.number,
+                   "c-%" G_GUINT64_FORMAT "-%u", controller->membership.view.number,
                    ++cloud->idempotency_key_count);
         pending->is_pending = true;
-        pending->generation = controller->data_generation;
+        pending->generation = controller->placement.generation;
     }
     pthread_mutex_unlock(&controller->lock);
 }
--- /dev/null
+++ b/src/controller/controller_type.h
@@ -0,0 +1,7 @@
+/* The name of controller_t, for headers that controller.h itself includes. */
+#ifndef PEPPERPULLEY_CONTROLLER_TYPE_H
+#define PEPPERPULLEY_CONTROLLER_TYPE_H
+
+typedef struct controller controller_t;
+
+#endif
--- a/src/controller/jobs/job_watch.c
+++ b/src/controller/jobs/job_watch.c
@@ -2,6 +2,8 @@
 #include <string.h>
 
 #include "controller/controller.h"
+#include "controller/jobs/job_watch.h"
+#include "controller/kv_watch_loop.h"
 #include "io/clock.h"
 #include "io/codec/codec.h"
 #include "io/log.h"
@@ -34,7 +36,7 @@
     GPtrArray *terminal = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter iter;
     gpointer key;
-    g_hash_table_iter_init(&iter, controller->live_jobs);
+    g_hash_table_iter_init(&iter, controller->jobs.live);
     while (g_hash_table_iter_next(&iter, &key, NULL))
         if (!g_hash_table_contains(listed, key))
             g_ptr_array_add(terminal, g_strdup(key));
@@ -53,8 +55,8 @@
     if (listed) {
         pthread_mutex_lock(&controller->lock);
         take_all(controller, entries);
-        controller->is_jobs_synced = true;
-        controller->jobs_complete_until = sent;
+        controller->jobs.is_synced = true;
+        controller->jobs.complete_until = sent;
         pthread_mutex_unlock(&controller->lock);
     }
     g_array_unref(entries);
@@ -78,7 +80,7 @@
             else
                 job_directory_remove(controller, id_of(entry->key));
         }
-        controller->jobs_complete_until = sent;
+        controller->jobs.complete_until = sent;
         pthread_mutex_unlock(&controller->lock);
     }
     g_array_unref(changes);
@@ -87,6 +89,6 @@
 
 void *job_watch_run(void *data)
 {
-    controller_watch(data, read_all, watch_changes);
+    kv_watch_loop_run(data, read_all, watch_changes);
     return NULL;
 }
--- a/src/controller/membership/member_loop.c
+++ b/src/controller/membership/member_loop.c
@@ -2,6 +2,7 @@
 #include <string.h>
 
 #include "controller/controller.h"
+#include "controller/membership/member_loop.h"
 #include "controller/membership/view.h"
 #include "io/clock.h"
 #include "io/log.h"
@@ -62,8 +63,9 @@
 static bool is_displaced(const member_loop_t *loop, msec_t now)
 {
     const controller_t *controller = loop->controller;
-    return controller->is_view_synced && loop->lease && now - loop->written > MEMBER_RECHECK_MS &&
-           election_is_displaced(&controller->election);
+    return controller->membership.is_view_synced && loop->lease &&
+           now - loop->written > MEMBER_RECHECK_MS &&
+           election_is_displaced(&controller->membership.election);
 }
 
 static guint count_in_zone(const settings_t *settings, const char *zone)
@@ -91,19 +93,20 @@
 {
     controller_t *controller = loop->controller;
     pthread_mutex_lock(&controller->lock);
-    bool resumes =
-        controller->election.lease_revision != 0; /* in our name: nobody else can have it now */
+    bool resumes = controller->membership.election.lease_revision !=
+                   0; /* in our name: nobody else can have it now */
     pthread_mutex_unlock(&controller->lock);
     controller_sleep(arc4random_uniform(ELECT_SPREAD_MS) +
                      (!resumes && should_yield(controller->settings) ? ELECT_YIELD_MS : 0));
     pthread_mutex_lock(&controller->lock);
-    view_t next = {.number = controller->view.number + 1, .incarnation = controller->incarnation};
-    uint64_t revision = controller->view.revision;
-    uint64_t lease_revision = controller->election.lease_revision;
+    view_t next = {.number = controller->membership.view.number + 1,
+                   .incarnation = controller->incarnation};
+    uint64_t revision = controller->membership.view.revision;
+    uint64_t lease_revision = controller->membership.election.lease_revision;
     g_strlcpy(next.leader, controller->settings->name, sizeof next.leader);
-    election_members(&controller->election, &next, clock_steady());
+    election_members(&controller->membership.election, &next, clock_steady());
     /* Someone else may have taken it while we waited. */
-    bool taken = election_is_taken(&controller->election);
+    bool taken = election_is_taken(&controller->membership.election);
     pthread_mutex_unlock(&controller->lock);
     if (taken)
         return;
@@ -118,8 +121,8 @@
 {
     controller_t *controller = loop->controller;
     pthread_mutex_lock(&controller->lock);
-    view_t next = controller->view;
-    election_members(&controller->election, &next, clock_steady());
+    view_t next = controller->membership.view;
+    election_members(&controller->membership.election, &next, clock_steady());
     pthread_mutex_unlock(&controller->lock);
     uint64_t revision = next.revision;
     next.number++;
@@ -133,13 +136,14 @@
     const controller_t *controller = loop->controller;
     msec_t wait = loop->lease ? loop->extended + LEASE_EXTEND_GAP_MS - now : 0;
     wait = MAX(wait, MEMBER_TICK_MS); /* a call that failed is not repeated sooner */
-    bool has_excluded = g_hash_table_size(controller->election.excluded) > 0;
-    if (is_pending || has_excluded || (loop->lease && election_is_displaced(&controller->election)))
+    bool has_excluded = g_hash_table_size(controller->membership.election.excluded) > 0;
+    if (is_pending || has_excluded ||
+        (loop->lease && election_is_displaced(&controller->membership.election)))
         wait = MIN(wait, MEMBER_TICK_MS);
     return wait;
 }
 
-void *member_run(void *data)
+void *member_loop_run(void *data)
 {
     member_loop_t loop = {.controller = data, .client = http_client_new(2)};
     controller_t *controller = loop.controller;
@@ -151,14 +155,16 @@
             log_info("event=member_key_conflict host=%s", controller->settings->name);
             loop.lease = 0;
         }
-        bool vacant =
-            controller->is_view_synced && loop.lease && election_is_vacant(&controller->election);
-        view_t next = controller->view;
-        election_members(&controller->election, &next, now);
-        bool is_pending = controller->is_leader && !election_same_members(&next, &controller->view);
-        bool changed = is_pending && now - controller->election.present_since > MEMBERSHIP_BATCH_MS;
+        bool vacant = controller->membership.is_view_synced && loop.lease &&
+                      election_is_vacant(&controller->membership.election);
+        view_t next = controller->membership.view;
+        election_members(&controller->membership.election, &next, now);
+        bool is_pending = controller->membership.is_leader &&
+                          !election_same_members(&next, &controller->membership.view);
+        bool changed =
+            is_pending && now - controller->membership.election.present_since > MEMBERSHIP_BATCH_MS;
         if (!vacant && !changed)
-            controller_wait(controller, &controller->membership_changed,
+            controller_wait(controller, &controller->membership.changed,
                             member_wait(&loop, is_pending, clock_steady()));
         pthread_mutex_unlock(&controller->lock);
         if (vacant)
--- a/src/controller/membership/view.c
+++ b/src/controller/membership/view.c
@@ -2,6 +2,7 @@
  * leader and members; view/lease hangs on the leader's lease, view/members/<name> on each
  * controller's own. */
 #include "controller/membership/view.h"
+#include "controller/kv_watch_loop.h"
 
 #include <string.h>
 
@@ -58,7 +59,7 @@
     if (kv_get(&controller->kv_store, client, "view/number", KV_TIMEOUT_MS, &entry) == KV_OK &&
         view_parse(entry.value, entry.revision, &view)) {
         pthread_mutex_lock(&controller->lock);
-        controller_install_view(controller, &view);
+        membership_install_view(controller, &view);
         pthread_mutex_unlock(&controller->lock);
     }
     g_free(entry.key);
@@ -86,10 +87,10 @@
         pthread_mutex_lock(&controller->lock);
         if (lease) {
             /* Known before the follow tells: else the lease would look free, and be taken again. */
-            election_take_lease(&controller->election, next->leader, next->incarnation,
+            election_take_lease(&controller->membership.election, next->leader, next->incarnation,
                                 next->revision);
         }
-        controller_install_view(controller, next);
+        membership_install_view(controller, next);
         pthread_mutex_unlock(&controller->lock);
     } else if (result != KV_NOT_EXECUTED) {
         view_refresh(controller, client); /* another was quicker, or the answer was lost */
@@ -100,12 +101,12 @@
 bool view_advance_fencing_token(controller_t *controller, http_client_t *client)
 {
     pthread_mutex_lock(&controller->lock);
-    view_t next = controller->view;
+    view_t next = controller->membership.view;
     pthread_mutex_unlock(&controller->lock);
     uint64_t number = next.number++;
     view_change(controller, client, &next, next.revision, 0, 0);
     pthread_mutex_lock(&controller->lock);
-    bool moved = controller->view.number > number;
+    bool moved = controller->membership.view.number > number;
     pthread_mutex_unlock(&controller->lock);
     return moved;
 }
@@ -117,16 +118,18 @@
     view_t view;
     if (strcmp(entry->key, "view/number") == 0) {
         if (entry->value && view_parse(entry->value, entry->revision, &view))
-            controller_install_view(controller, &view);
+            membership_install_view(controller, &view);
     } else if (strcmp(entry->key, "view/lease") == 0) {
         election_take_lease(
-            &controller->election, json_string_value(json_object_get(entry->value, "Name")),
+            &controller->membership.election,
+            json_string_value(json_object_get(entry->value, "Name")),
             (uint64_t)json_integer_value(json_object_get(entry->value, "Incarnation")),
             entry->revision);
     } else if (g_str_has_prefix(entry->key, members)) {
         const char *name = entry->key + strlen(members);
         bool listed = entry->value && parse_member(entry->value, &member);
-        election_take_member(&controller->election, name, listed ? &member : NULL, clock_steady());
+        election_take_member(&controller->membership.election, name, listed ? &member : NULL,
+                             clock_steady());
     }
 }
 
@@ -138,12 +141,12 @@
     bool read = kv_list(&controller->kv_store, client, "view/", entries, revision) == KV_OK;
     if (read) {
         pthread_mutex_lock(&controller->lock);
-        election_clear(&controller->election);
+        election_clear(&controller->membership.election);
         for (guint i = 0; i < entries->len; i++)
             take_entry(controller, &g_array_index(entries, kv_entry_t, i));
-        controller->is_view_synced = true;
-        controller->views_complete_until = sent;
-        pthread_cond_broadcast(&controller->membership_changed);
+        controller->membership.is_view_synced = true;
+        controller->membership.views_complete_until = sent;
+        pthread_cond_broadcast(&controller->membership.changed);
         pthread_mutex_unlock(&controller->lock);
     }
     g_array_unref(entries);
@@ -162,11 +165,11 @@
     for (guint i = 0; result == KV_OK && i < changes->len; i++)
         take_entry(controller, &g_array_index(changes, kv_entry_t, i));
     if (result == KV_OK)
-        controller->views_complete_until = sent;
+        controller->membership.views_complete_until = sent;
     if (result == KV_COMPACTED)
-        controller->is_view_synced = false;
+        controller->membership.is_view_synced = false;
     if (changes->len)
-        pthread_cond_broadcast(&controller->membership_changed);
+        pthread_cond_broadcast(&controller->membership.changed);
     pthread_mutex_unlock(&controller->lock);
     g_array_unref(changes);
     return result;
@@ -174,6 +177,6 @@
 
 void *view_run(void *data)
 {
-    controller_watch(data, read_all, watch_changes);
+    kv_watch_loop_run(data, read_all, watch_changes);
     return NULL;
 }
--- a/src/controller/membership/view.h
+++ b/src/controller/membership/view.h
@@ -15,4 +15,7 @@
 /* Reads view/number and adopts it if it is newer. */
 void view_refresh(controller_t *controller, http_client_t *client);
 
+/* The loop that watches view/; data is the controller_t. Never returns. */
+void *view_run(void *data);
+
 #endif
--- a/src/controller/peer/peer_client.c
+++ b/src/controller/peer/peer_client.c
@@ -1,5 +1,8 @@
 /* The side that calls: a partition, over and over, its leader. */
+#include "controller/peer/peer_client.h"
 #include "controller/peer/peer_exchange.h"
+#include "controller/peer/peer_relay.h"
+#include "controller/placement/partition_items.h"
 
 #include <string.h>
 #include <unistd.h>
@@ -9,14 +12,14 @@
 void peer_client_receive(controller_t *controller, const peer_message_t *message)
 {
     peer_exchange_receive_any(controller, message);
-    if (!controller->is_loaded || message->view != controller->view.number ||
-        message->incarnation != controller->view.incarnation)
+    if (!controller->placement.is_loaded || message->view != controller->membership.view.number ||
+        message->incarnation != controller->membership.view.incarnation)
         return;
-    channel_ack(controller->leader_channel, message->ack);
-    if (!message->items->len || !channel_accept(controller->leader_channel, message->number))
+    channel_ack(controller->peers.leader_channel, message->ack);
+    if (!message->items->len || !channel_accept(controller->peers.leader_channel, message->number))
         return;
     for (guint i = 0; i < message->items->len; i++)
-        controller_handle_item(controller, &g_array_index(message->items, channel_item_t, i),
+        partition_items_handle(controller, &g_array_index(message->items, channel_item_t, i),
                                clock_steady());
 }
 
@@ -24,7 +27,7 @@
 {
     for (guint i = 0; i < controller->settings->siblings->len; i++) {
         const sibling_t *sibling = &g_array_index(controller->settings->siblings, sibling_t, i);
-        if (strcmp(sibling->name, controller->view.leader) == 0)
+        if (strcmp(sibling->name, controller->membership.view.leader) == 0)
             return sibling->endpoint;
     }
     return NULL;
@@ -50,13 +53,13 @@
 static bool wants_summaries(peer_client_t *peer)
 {
     const controller_t *controller = peer->controller;
-    if (controller->leader_channel->received == peer->reported_batch &&
-        controller->data_generation == peer->generation &&
+    if (controller->peers.leader_channel->received == peer->reported_batch &&
+        controller->placement.generation == peer->generation &&
         clock_steady() - peer->summaries_sent_at <= PEER_SUMMARIES_GAP_MS)
         return false;
-    peer->reported_batch = controller->leader_channel->received;
+    peer->reported_batch = controller->peers.leader_channel->received;
     peer->summaries_sent_at = clock_steady();
-    peer->generation = controller->data_generation;
+    peer->generation = controller->placement.generation;
     return true;
 }
 
@@ -70,8 +73,7 @@
     if (peer->generation != generation)
         summary_sender_reset(&peer->summaries);
     msec_t now = clock_steady();
-    return summary_sender_next(&peer->summaries, controller_machine_summaries(controller, now),
-                               now);
+    return summary_sender_next(&peer->summaries, partition_items_summaries(controller, now), now);
 }
 
 /* Whether the leader answered by socket. */
@@ -96,13 +98,13 @@
     controller_t *controller = peer->controller;
     GByteArray *frame = NULL;
     pthread_mutex_lock(&controller->lock);
-    if (!controller->is_leader && controller->is_loaded && controller->own_index != G_MAXUINT &&
-        leader_endpoint(controller)) {
+    if (!controller->membership.is_leader && controller->placement.is_loaded &&
+        controller->membership.own_index != G_MAXUINT && leader_endpoint(controller)) {
         g_strlcpy(peer->endpoint, leader_endpoint(controller), sizeof peer->endpoint);
         summary_update_t summaries = next_summaries(peer);
-        frame = peer_exchange_compose(controller, controller->leader_channel, &summaries);
+        frame = peer_exchange_compose(controller, controller->peers.leader_channel, &summaries);
     } else {
-        controller_wait(controller, &controller->peer_item_available, MEMBER_TICK_MS);
+        controller_wait(controller, &controller->peers.item_available, MEMBER_TICK_MS);
     }
     pthread_mutex_unlock(&controller->lock);
     return frame;
--- a/src/controller/peer/peer_exchange.c
+++ b/src/controller/peer/peer_exchange.c
@@ -7,15 +7,16 @@
  * has to tell goes with the call, what the leader wants comes with the answer, which the leader
  * holds back for a moment while it has nothing to say. */
 #include "controller/peer/peer_exchange.h"
+#include "controller/placement/partition_items.h"
 
 #include "io/clock.h"
 
 peer_message_t peer_exchange_message(const controller_t *controller)
 {
     peer_message_t message = {.incarnation = controller->incarnation,
-                              .view = controller->view.number};
+                              .view = controller->membership.view.number};
     message.kv_answer_age_ms = clock_steady() - atomic_load(&controller->kv_store.answered_at);
-    message.worker_heartbeat_age_ms = clock_steady() - controller->worker_heartbeat_at;
+    message.worker_heartbeat_age_ms = clock_steady() - controller->peers.worker_heartbeat_at;
     g_strlcpy(message.sender, controller->settings->name, sizeof message.sender);
     return message;
 }
@@ -32,7 +33,7 @@
     if (summaries) {
         message.summaries = *summaries;
         message.cpus_being_preempted =
-            summaries->summaries ? controller_cpus_being_preempted(controller) : NULL;
+            summaries->summaries ? partition_items_cpus_being_preempted(controller) : NULL;
     }
     GByteArray *frame = peer_encode(&message);
     peer_message_clear(&message);
@@ -41,10 +42,11 @@
 
 void peer_exchange_receive_any(controller_t *controller, const peer_message_t *message)
 {
-    controller->highest_view_seen = MAX(controller->highest_view_seen, message->view);
-    controller->sibling_message_at = clock_steady();
-    controller->siblings_kv_answered_at =
-        MAX(controller->siblings_kv_answered_at, clock_steady() - message->kv_answer_age_ms);
+    controller->membership.highest_view_seen =
+        MAX(controller->membership.highest_view_seen, message->view);
+    controller->peers.sibling_message_at = clock_steady();
+    controller->peers.siblings_kv_answered_at =
+        MAX(controller->peers.siblings_kv_answered_at, clock_steady() - message->kv_answer_age_ms);
 }
 
 bool peer_exchange_converse(int fd, const GByteArray *frame, peer_message_t *message)
--- a/src/controller/peer/peer_heartbeat.c
+++ b/src/controller/peer/peer_heartbeat.c
@@ -1,4 +1,5 @@
 /* Heartbeats: every controller asks every other what cancellations it told its users of. */
+#include "controller/peer/peer_heartbeat.h"
 #include "controller/peer/peer_exchange.h"
 
 #include <unistd.h>
@@ -18,13 +19,13 @@
     controller_t *controller = peer_heartbeat->controller;
     pthread_mutex_lock(&controller->lock);
     const cancellation_replica_t *replica =
-        &controller->cancellation_log.siblings[peer_heartbeat->index];
+        &controller->jobs.cancellations.siblings[peer_heartbeat->index];
     peer_message_t message = peer_exchange_message(controller);
     message.is_heartbeat = true;
     message.acknowledged_incarnation = replica->incarnation;
     message.acknowledged_index = replica->last_index;
-    message.counts.epoch = controller->job_counts.epoch;
-    message.counts.version = controller->job_counts.version;
+    message.counts.epoch = controller->jobs.counts.epoch;
+    message.counts.version = controller->jobs.counts.version;
     pthread_mutex_unlock(&controller->lock);
     return peer_encode(&message);
 }
@@ -33,12 +34,12 @@
  * caller has not got, for a while at most. Returns how long that was. */
 static msec_t hold_answer(controller_t *controller, const peer_message_t *message)
 {
-    const cancellation_log_t *log = &controller->cancellation_log;
+    const cancellation_log_t *log = &controller->jobs.cancellations;
     msec_t begun = clock_steady();
     msec_t hold = 0;
     while (message->acknowledged_incarnation == log->incarnation &&
            message->acknowledged_index >= log->newest && hold < PEER_HEARTBEAT_HOLD_MS) {
-        controller_wait(controller, &controller->cancellation_appended,
+        controller_wait(controller, &controller->jobs.cancellation_appended,
                         PEER_HEARTBEAT_HOLD_MS - hold);
         hold = clock_steady() - begun;
     }
@@ -54,10 +55,10 @@
     answer.is_heartbeat = true;
     answer.hold_ms = hold;
     answer.update =
-        cancellation_log_update(&controller->cancellation_log, message->acknowledged_incarnation,
+        cancellation_log_update(&controller->jobs.cancellations, message->acknowledged_incarnation,
                                 message->acknowledged_index, clock_steady());
-    if (controller->is_leader && controller->is_loaded)
-        answer.counts = leader_counts(controller->leader, message->counts.epoch,
+    if (controller->membership.is_leader && controller->placement.is_loaded)
+        answer.counts = leader_counts(controller->placement.leader, message->counts.epoch,
                                       message->counts.version, JOB_COUNTS_BATCH_COUNT);
     pthread_mutex_unlock(&controller->lock);
     GByteArray *frame = peer_encode(&answer);
@@ -68,11 +69,11 @@
 /* With the lock held. A job that is over here may still be live where it is counted. */
 static void receive_job_counts(controller_t *controller, const job_counts_update_t *update)
 {
-    job_counts_replica_apply(&controller->job_counts, update);
+    job_counts_replica_apply(&controller->jobs.counts, update);
     for (guint i = 0; i < update->jobs->len; i++) {
         const char *id = g_array_index(update->jobs, job_counts_t, i).job;
-        if (g_hash_table_contains(controller->terminal_jobs, id))
-            job_counts_replica_remove(&controller->job_counts, id);
+        if (g_hash_table_contains(controller->jobs.terminal, id))
+            job_counts_replica_remove(&controller->jobs.counts, id);
     }
 }
 
@@ -82,18 +83,18 @@
                                      const peer_message_t *message, msec_t asked)
 {
     peer_exchange_receive_any(controller, message);
-    controller->sibling_health[index] = (owner_health_t){
+    controller->peers.sibling_health[index] = (owner_health_t){
         .answered_at = asked, .worker_heartbeat_at = asked - message->worker_heartbeat_age_ms};
     for (guint i = 0; i < message->update.jobs->len; i++) {
         const char *id = g_ptr_array_index(message->update.jobs, i);
-        if (!g_hash_table_contains(controller->terminal_jobs, id))
+        if (!g_hash_table_contains(controller->jobs.terminal, id))
             log_info("event=cancellation_update job=%s from=%s", id, message->sender);
         job_directory_record_terminal(controller, id, false);
     }
-    cancellation_log_apply(&controller->cancellation_log, index, &message->update, asked,
+    cancellation_log_apply(&controller->jobs.cancellations, index, &message->update, asked,
                            clock_steady());
-    if (message->view == controller->view.number &&
-        message->incarnation == controller->view.incarnation)
+    if (message->view == controller->membership.view.number &&
+        message->incarnation == controller->membership.view.incarnation)
         receive_job_counts(controller, &message->counts);
 }
 
--- a/src/controller/peer/peer_relay.c
+++ b/src/controller/peer/peer_relay.c
@@ -1,5 +1,7 @@
 /* The exchange by relay: messages as values in the key-value store, where sockets fail. */
+#include "controller/peer/peer_relay.h"
 #include "controller/peer/peer_exchange.h"
+#include "controller/peer/peer_relay.h"
 
 #include <string.h>
 
@@ -67,11 +69,11 @@
 static msec_t relay_due(const controller_t *controller)
 {
     msec_t due = G_MAXINT64;
-    if (!controller->is_leader || !controller->is_loaded)
+    if (!controller->membership.is_leader || !controller->placement.is_loaded)
         return due;
-    for (guint i = 0; i < controller->view.count; i++)
-        if (i != controller->own_index)
-            due = MIN(due, MAX(controller->member_received_at[i], controller->loaded_at) +
+    for (guint i = 0; i < controller->membership.view.count; i++)
+        if (i != controller->membership.own_index)
+            due = MIN(due, MAX(controller->peers.received_at[i], controller->placement.loaded_at) +
                                RELAY_AFTER_MS);
     return due;
 }
@@ -86,14 +88,14 @@
         if (due < now)
             break;
         if (due == G_MAXINT64)
-            pthread_cond_wait(&controller->relay_ready, &controller->lock);
+            pthread_cond_wait(&controller->peers.relay_ready, &controller->lock);
         else
-            controller_wait(controller, &controller->relay_ready, due - now + 1);
+            controller_wait(controller, &controller->peers.relay_ready, due - now + 1);
     }
     pthread_mutex_unlock(&controller->lock);
 }
 
-void *relay_run(void *data)
+void *peer_relay_run(void *data)
 {
     controller_t *controller = data;
     http_client_t *client = http_client_new(2);
--- a/src/controller/peer/peer_server.c
+++ b/src/controller/peer/peer_server.c
@@ -1,6 +1,9 @@
 /* The side that is called: the leader by the partitions, and every controller by its siblings'
  * heartbeats. */
+#include "controller/peer/peer_server.h"
 #include "controller/peer/peer_exchange.h"
+#include "controller/peer/peer_heartbeat.h"
+#include "controller/placement/partition_items.h"
 
 #include <string.h>
 #include <sys/socket.h>
@@ -17,9 +20,9 @@
 
 static bool is_member(const controller_t *controller, const peer_message_t *message, guint *index)
 {
-    for (guint i = 0; i < controller->view.count; i++) {
-        if (strcmp(controller->view.members[i].name, message->sender) == 0 &&
-            controller->view.members[i].incarnation == message->incarnation) {
+    for (guint i = 0; i < controller->membership.view.count; i++) {
+        if (strcmp(controller->membership.view.members[i].name, message->sender) == 0 &&
+            controller->membership.view.members[i].incarnation == message->incarnation) {
             *index = i;
             return true;
         }
@@ -32,19 +35,19 @@
 static bool take_summaries(controller_t *controller, guint index, peer_message_t *message,
                            msec_t now)
 {
-    const channel_t *channel = g_ptr_array_index(controller->channels, index);
-    summary_replica_t *replica = &controller->summary_replicas[index];
+    const channel_t *channel = g_ptr_array_index(controller->peers.channels, index);
+    summary_replica_t *replica = &controller->peers.summary_replicas[index];
     if (!message->summaries.summaries || !summary_replica_apply(replica, &message->summaries, now))
         return false;
-    controller->are_summaries_pending[index] |=
+    controller->peers.are_summaries_pending[index] |=
         message->summaries.summaries->len > 0 || message->summaries.terminated->len > 0;
     if (message->ack != channel->sent)
         return false;
-    leader_set_summaries(controller->leader, index, g_array_copy(replica->summaries));
-    leader_set_cpus_being_preempted(controller->leader, index,
+    leader_set_summaries(controller->placement.leader, index, g_array_copy(replica->summaries));
+    leader_set_cpus_being_preempted(controller->placement.leader, index,
                                     g_steal_pointer(&message->cpus_being_preempted));
-    bool has_changed = controller->are_summaries_pending[index];
-    controller->are_summaries_pending[index] = false;
+    bool has_changed = controller->peers.are_summaries_pending[index];
+    controller->peers.are_summaries_pending[index] = false;
     return has_changed;
 }
 
@@ -53,11 +56,11 @@
     guint index = 0;
     msec_t now = clock_steady();
     peer_exchange_receive_any(controller, message);
-    if (!controller->is_leader || !controller->is_loaded ||
-        message->view != controller->view.number || !is_member(controller, message, &index) ||
-        index == controller->own_index)
+    if (!controller->membership.is_leader || !controller->placement.is_loaded ||
+        message->view != controller->membership.view.number ||
+        !is_member(controller, message, &index) || index == controller->membership.own_index)
         return NULL;
-    channel_t *channel = g_ptr_array_index(controller->channels, index);
+    channel_t *channel = g_ptr_array_index(controller->peers.channels, index);
     channel_ack(channel, message->ack);
     bool has_news = false;
     if (message->items->len && channel_accept(channel, message->number)) {
@@ -65,7 +68,7 @@
         for (guint i = 0; i < message->items->len; i++) {
             const channel_item_t *item = &g_array_index(message->items, channel_item_t, i);
             if (item->kind == CHANNEL_ATTEMPT_RESULT)
-                controller_handle_result(controller, index, &item->result, now);
+                partition_items_handle_result(controller, index, &item->result, now);
         }
     }
     has_news = take_summaries(controller, index, message, now) || has_news;
@@ -77,19 +80,20 @@
 static GByteArray *answer_partition(controller_t *controller, peer_message_t *message)
 {
     pthread_mutex_lock(&controller->lock);
-    uint64_t generation = controller->data_generation;
+    uint64_t generation = controller->placement.generation;
     channel_t *channel = peer_server_receive(controller, message);
     guint index = 0;
     if (channel && is_member(controller, message, &index))
-        controller->member_received_at[index] = clock_steady();
+        controller->peers.received_at[index] = clock_steady();
     msec_t delay = controller_paced(controller, PEER_ANSWER_DELAY_MS);
     msec_t until = clock_steady() + delay;
     while (channel && !channel_busy(channel) && clock_steady() < until) {
-        controller_wait(controller, &controller->peer_item_available, delay);
-        if (controller->data_generation != generation)
+        controller_wait(controller, &controller->peers.item_available, delay);
+        if (controller->placement.generation != generation)
             channel = NULL; /* freed with its view while the lock was given up */
     }
-    summary_update_t known = {.version = channel ? controller->summary_replicas[index].version : 0};
+    summary_update_t known = {.version =
+                                  channel ? controller->peers.summary_replicas[index].version : 0};
     GByteArray *frame = peer_exchange_compose(controller, channel, &known);
     pthread_mutex_unlock(&controller->lock);
     return frame;
--- a/src/controller/placement/command_dispatcher.c
+++ b/src/controller/placement/command_dispatcher.c
@@ -10,7 +10,9 @@
 #include <string.h>
 
 #include "controller/controller.h"
+#include "controller/placement/command_dispatcher.h"
 #include "controller/threads.h"
+#include "controller/worker_lease.h"
 #include "io/clock.h"
 #include "io/codec/codec.h"
 #include "io/log.h"
@@ -41,17 +43,17 @@
     pthread_mutex_lock(&controller->lock);
     /* A view loaded meanwhile has its own data and a higher fencing token, under which this one is
      * void. */
-    if (controller->data_generation == push->generation && controller->is_loaded) {
-        partition_finish_push(controller->partition, push->machine, commands, push->fencing_token,
-                              result);
+    if (controller->placement.generation == push->generation && controller->placement.is_loaded) {
+        partition_finish_push(controller->placement.partition, push->machine, commands,
+                              push->fencing_token, result);
         msec_t now = clock_steady();
-        uint64_t changes = controller->partition->changes;
+        uint64_t changes = controller->placement.partition->changes;
         if (reported && strcmp(heartbeat.machine, push->machine) == 0 &&
-            partition_handle_heartbeat(controller->partition, &heartbeat, true, now, NULL) ==
-                HEARTBEAT_ACCEPTED &&
+            partition_handle_heartbeat(controller->placement.partition, &heartbeat, true, now,
+                                       NULL) == HEARTBEAT_ACCEPTED &&
             result == PUSH_EXECUTED)
-            partition_record_probe_answer(controller->partition, push->machine, now);
-        if (controller->partition->changes != changes)
+            partition_record_probe_answer(controller->placement.partition, push->machine, now);
+        if (controller->placement.partition->changes != changes)
             controller_notify_placement(controller);
     }
     pthread_mutex_unlock(&controller->lock);
@@ -62,8 +64,8 @@
                      msec_t taken)
 {
     pthread_mutex_lock(&controller->lock);
-    bool may = controller_may_push(controller, push->machine, push->generation, commands, taken,
-                                   clock_steady());
+    bool may = worker_lease_may_push(controller, push->machine, push->generation, commands, taken,
+                                     clock_steady());
     pthread_mutex_unlock(&controller->lock);
     if (!may)
         log_info("event=commands_discarded machine=%s commands=%u", push->machine, commands->len);
@@ -82,30 +84,31 @@
 static void wait_for_commands(const dispatcher_t *dispatcher)
 {
     controller_t *controller = dispatcher->controller;
-    pthread_cond_t *condition = &controller->dispatcher_ready[dispatcher->dispatcher_index];
-    controller_notify_dispatchers(
+    pthread_cond_t *condition = &controller->dispatch.ready[dispatcher->dispatcher_index];
+    command_dispatcher_notify(
         controller); /* of what was left to those who have become idle meanwhile */
-    controller->idle_dispatchers |= 1U << dispatcher->dispatcher_index;
-    if (controller->has_polling_dispatcher) {
+    controller->dispatch.idle |= 1U << dispatcher->dispatcher_index;
+    if (controller->dispatch.has_polling) {
         pthread_cond_wait(condition, &controller->lock);
-        controller->idle_dispatchers &= ~(1U << dispatcher->dispatcher_index);
+        controller->dispatch.idle &= ~(1U << dispatcher->dispatcher_index);
         return;
     }
-    controller->has_polling_dispatcher = true;
+    controller->dispatch.has_polling = true;
     controller_wait(controller, condition, DISPATCHER_IDLE_MS);
-    controller->has_polling_dispatcher = false;
-    controller->idle_dispatchers &= ~(1U << dispatcher->dispatcher_index);
+    controller->dispatch.has_polling = false;
+    controller->dispatch.idle &= ~(1U << dispatcher->dispatcher_index);
 }
 
 /* With the lock held: the next machine of this sender's, or of one that is busy. */
 static machine_t *take_commands(const dispatcher_t *dispatcher, msec_t now, GArray *commands)
 {
     controller_t *controller = dispatcher->controller;
-    if (!controller->is_loaded)
+    if (!controller->placement.is_loaded)
         return NULL;
-    partition_pause_starts(controller->partition, !controller_may_start(controller, now));
-    uint32_t dispatchers = 1U << dispatcher->dispatcher_index | ~controller->idle_dispatchers;
-    return partition_take_push(controller->partition, dispatchers, now, commands);
+    partition_pause_starts(controller->placement.partition,
+                           !worker_lease_may_start(controller, now));
+    uint32_t dispatchers = 1U << dispatcher->dispatcher_index | ~controller->dispatch.idle;
+    return partition_take_push(controller->placement.partition, dispatchers, now, commands);
 }
 
 static void *dispatcher_run(void *data)
@@ -125,9 +128,9 @@
             pthread_mutex_unlock(&controller->lock);
             continue;
         }
-        push_t push = {.fencing_token = controller->view.number,
+        push_t push = {.fencing_token = controller->membership.view.number,
                        .worker_epoch = machine->worker_epoch,
-                       .generation = controller->data_generation};
+                       .generation = controller->placement.generation};
         g_strlcpy(push.machine, machine->id, sizeof push.machine);
         g_snprintf(push.url, sizeof push.url, "http://%s/do", machine->address);
         pthread_mutex_unlock(&controller->lock);
@@ -147,15 +150,33 @@
     return NULL;
 }
 
-void dispatcher_notify(controller_t *controller, guint dispatcher_index)
+static void dispatcher_notify(controller_t *controller, guint dispatcher_index)
 {
-    if (controller->started_dispatchers >> dispatcher_index & 1) {
-        pthread_cond_signal(&controller->dispatcher_ready[dispatcher_index]);
+    if (controller->dispatch.started >> dispatcher_index & 1) {
+        pthread_cond_signal(&controller->dispatch.ready[dispatcher_index]);
         return;
     }
     dispatcher_t *dispatcher = g_new(dispatcher_t, 1);
     *dispatcher = (dispatcher_t){controller, dispatcher_index};
-    controller->started_dispatchers |= 1U << dispatcher_index;
-    controller->idle_dispatchers &= ~(1U << dispatcher_index);
+    controller->dispatch.started |= 1U << dispatcher_index;
+    controller->dispatch.idle &= ~(1U << dispatcher_index);
     threads_start("dispatcher", dispatcher_run, dispatcher);
 }
+
+void command_dispatcher_notify(controller_t *controller)
+{
+    if (!controller->placement.is_loaded)
+        return;
+    uint32_t dispatchers =
+        partition_due_dispatchers(controller->placement.partition, clock_steady());
+    uint32_t chosen = dispatchers & controller->dispatch.idle;
+    uint32_t others = controller->dispatch.idle & ~chosen;
+    /* A busy sender may be held up by a machine that hangs. */
+    for (uint32_t busy = dispatchers & ~chosen; busy && others; busy &= busy - 1) {
+        chosen |= others & -others;
+        others &= others - 1;
+    }
+    for (guint i = 0; i < DISPATCHERS_COUNT; i++)
+        if (chosen >> i & 1)
+            dispatcher_notify(controller, i);
+}
--- a/src/controller/placement/placement_loop.c
+++ b/src/controller/placement/placement_loop.c
@@ -9,6 +9,9 @@
 
 #include "controller/controller.h"
 #include "controller/membership/view.h"
+#include "controller/placement/command_dispatcher.h"
+#include "controller/placement/partition_items.h"
+#include "controller/placement/placement_loop.h"
 #include "io/clock.h"
 #include "io/codec/codec.h"
 #include "io/log.h"
@@ -43,8 +46,8 @@
         job_spec_t spec;
         if (!codec_parse_job(entry->value, true, &spec, NULL))
             continue;
-        if (!g_hash_table_contains(controller->terminal_jobs, spec.id))
-            leader_add_job(controller->leader, &spec, entry->revision);
+        if (!g_hash_table_contains(controller->jobs.terminal, spec.id))
+            leader_add_job(controller->placement.leader, &spec, entry->revision);
         job_spec_clear(&spec);
     }
 }
@@ -57,7 +60,7 @@
         gsize bytes = 0;
         uint8_t *bits = codec_parse_bits(entry->value, &bytes);
         if (g_strv_length(key_fields) == 3 && bits)
-            leader_load_chunk(controller->leader, key_fields[1],
+            leader_load_chunk(controller->placement.leader, key_fields[1],
                               (guint)g_ascii_strtoull(key_fields[2], NULL, DECIMAL), bits, bytes,
                               entry->revision);
         g_free(bits);
@@ -70,10 +73,11 @@
 {
     for (guint k = 0; k < record->entries->len; k++) {
         const record_entry_t *attempt = &g_array_index(record->entries, record_entry_t, k);
-        if (controller->is_leader)
-            leader_load_attempt(controller->leader, attempt, record->zone, owner);
-        if (owner == controller->own_index && !g_hash_table_contains(live_jobs, attempt->job))
-            partition_end_job(controller->partition, attempt->job);
+        if (controller->membership.is_leader)
+            leader_load_attempt(controller->placement.leader, attempt, record->zone, owner);
+        if (owner == controller->membership.own_index &&
+            !g_hash_table_contains(live_jobs, attempt->job))
+            partition_end_job(controller->placement.partition, attempt->job);
     }
 }
 
@@ -83,9 +87,9 @@
     if (record->machines->len == 0)
         return;
     const machine_record_t *first = &g_array_index(record->machines, machine_record_t, 0);
-    guint owner = controller_owner_index(controller, first->machine, first->zone);
-    if (owner == controller->own_index)
-        partition_load(controller->partition, record, now);
+    guint owner = membership_owner_index(controller, first->machine, first->zone);
+    if (owner == controller->membership.own_index)
+        partition_load(controller->placement.partition, record, now);
     for (guint i = 0; i < record->machines->len; i++)
         load_machine(controller, &g_array_index(record->machines, machine_record_t, i), owner,
                      live_jobs);
@@ -102,7 +106,7 @@
         char *id = g_array_index(listing->jobs, kv_entry_t, i).key + strlen("jobs/");
         /* It may have been cancelled since it was listed, and its tasks must stop: that was told to
          * the data of the view before, and nobody tells it again. */
-        if (!g_hash_table_contains(controller->terminal_jobs, id))
+        if (!g_hash_table_contains(controller->jobs.terminal, id))
             g_hash_table_add(live_jobs, id);
     }
     for (guint i = 0; i < listing->machines->len; i++) {
@@ -133,56 +137,59 @@
 
 static void load_all(controller_t *controller, const listing_t *listing, msec_t now)
 {
-    partition_t *earlier = controller->partition;
-    g_clear_pointer(&controller->leader, leader_free);
+    partition_t *earlier = controller->placement.partition;
+    g_clear_pointer(&controller->placement.leader, leader_free);
     if (!controller->autoscaler)
         controller->autoscaler = autoscaler_new();
-    controller->partition = partition_new(
-        controller->machine_types, controller->settings->teams,
+    controller->placement.partition = partition_new(
+        controller->placement.machine_types, controller->settings->teams,
         (msec_t)(tunable_value(controller->policy, TUNABLE_RESERVATION_TTL) * MS_PER_S));
     if (earlier) {
-        partition_inherit_drains(controller->partition, earlier);
+        partition_inherit_drains(controller->placement.partition, earlier);
         partition_free(earlier);
     }
-    partition_set_view(controller->partition, controller->view.number);
-    partition_set_heartbeat_interval(controller->partition,
+    partition_set_view(controller->placement.partition, controller->membership.view.number);
+    partition_set_heartbeat_interval(controller->placement.partition,
                                      controller->settings->heartbeat_interval_s);
     if (controller->settings->pace > 1)
-        partition_delay_probes(controller->partition, controller->settings->heartbeat_interval_s);
-    if (controller->is_leader) {
-        controller->leader = leader_new(controller->settings->teams, controller->settings->slos,
-                                        controller->policy, controller->view.count);
-        leader_set_view(controller->leader, controller->view.number);
-        arc4random_buf(&controller->leader->counts_epoch, sizeof controller->leader->counts_epoch);
+        partition_delay_probes(controller->placement.partition,
+                               controller->settings->heartbeat_interval_s);
+    if (controller->membership.is_leader) {
+        controller->placement.leader =
+            leader_new(controller->settings->teams, controller->settings->slos, controller->policy,
+                       controller->membership.view.count);
+        leader_set_view(controller->placement.leader, controller->membership.view.number);
+        arc4random_buf(&controller->placement.leader->counts_epoch,
+                       sizeof controller->placement.leader->counts_epoch);
         load_jobs(controller, listing->jobs);
         load_done(controller, listing->done);
     }
-    controller->is_loaded = load_machines(controller, listing, now);
-    controller->data_generation++;
-    controller->loaded_at = now;
-    pthread_cond_broadcast(&controller->peer_item_available);
-    pthread_cond_signal(&controller->relay_ready);
+    controller->placement.is_loaded = load_machines(controller, listing, now);
+    controller->placement.generation++;
+    controller->placement.loaded_at = now;
+    pthread_cond_broadcast(&controller->peers.item_available);
+    pthread_cond_signal(&controller->peers.relay_ready);
     pthread_cond_signal(&controller->autoscaler_ready);
-    controller_notify_dispatchers(controller);
+    command_dispatcher_notify(controller);
 }
 
 static void load(placement_loop_t *loop)
 {
     controller_t *controller = loop->controller;
     pthread_mutex_lock(&controller->lock);
-    uint64_t number = controller->view.number;
-    bool is_leader = controller->is_leader;
+    uint64_t number = controller->membership.view.number;
+    bool is_leader = controller->membership.is_leader;
     pthread_mutex_unlock(&controller->lock);
     listing_t listing = {kv_entries_new(), kv_entries_new(), kv_entries_new()};
     bool read = read_listing(loop, &listing, is_leader);
     pthread_mutex_lock(&controller->lock);
-    if (read && controller->view.number == number) {
+    if (read && controller->membership.view.number == number) {
         load_all(controller, &listing, clock_steady());
         log_info("event=records_loaded view=%" G_GUINT64_FORMAT
                  " is_leader=%d jobs=%u machines=%u attempts=%u",
                  number, is_leader, listing.jobs->len,
-                 g_hash_table_size(controller->partition->machines),
-                 g_hash_table_size(controller->partition->attempts));
+                 g_hash_table_size(controller->placement.partition->machines),
+                 g_hash_table_size(controller->placement.partition->attempts));
     }
     pthread_mutex_unlock(&controller->lock);
     g_array_unref(listing.machines);
@@ -199,8 +206,8 @@
     metrics_count(controller->metrics, COUNT_RELOADS, 1);
     log_info("event=records_reload why=%s", why);
     pthread_mutex_lock(&controller->lock);
-    controller->is_loaded = false;
-    controller->data_generation++;
+    controller->placement.is_loaded = false;
+    controller->placement.generation++;
     pthread_mutex_unlock(&controller->lock);
     while (!view_advance_fencing_token(controller, loop->client))
         controller_sleep(ELECT_POLL_MS);
@@ -209,13 +216,14 @@
 
 static void take_results(controller_t *controller, msec_t now)
 {
-    GArray *results = controller->partition->results;
+    GArray *results = controller->placement.partition->results;
     for (guint i = 0; i < results->len; i++) {
         const attempt_result_t *result = &g_array_index(results, attempt_result_t, i);
-        if (controller->is_leader)
-            controller_handle_result(controller, controller->own_index, result, now);
+        if (controller->membership.is_leader)
+            partition_items_handle_result(controller, controller->membership.own_index, result,
+                                          now);
         else
-            channel_push(controller->leader_channel,
+            channel_push(controller->peers.leader_channel,
                          (channel_item_t){.kind = CHANNEL_ATTEMPT_RESULT, .result = *result});
     }
     g_array_set_size(results, 0);
@@ -223,19 +231,20 @@
 
 static void send_placement_requests(controller_t *controller, msec_t now, guint most)
 {
-    leader_set_summaries(controller->leader, controller->own_index,
-                         controller_machine_summaries(controller, now));
-    leader_set_cpus_being_preempted(controller->leader, controller->own_index,
-                                    controller_cpus_being_preempted(controller));
-    GArray *requests = leader_schedule(controller->leader, now, clock_day(), most);
+    leader_set_summaries(controller->placement.leader, controller->membership.own_index,
+                         partition_items_summaries(controller, now));
+    leader_set_cpus_being_preempted(controller->placement.leader, controller->membership.own_index,
+                                    partition_items_cpus_being_preempted(controller));
+    GArray *requests = leader_schedule(controller->placement.leader, now, clock_day(), most);
     for (guint i = 0; i < requests->len; i++) {
         const leader_request_t *made = &g_array_index(requests, leader_request_t, i);
         const placement_request_t *request = &made->request;
         task_ref_t ref = task_ref(request->job, request->task, request->attempt);
         channel_item_t item = {.kind = CHANNEL_PLACEMENT_REQUEST, .request = *request};
         item.request.types = g_strdupv(request->types);
-        if (leader_is_outstanding(controller->leader, &ref)) /* else of a gang that was withdrawn */
-            controller_send_item(controller, made->partition, item);
+        if (leader_is_outstanding(controller->placement.leader,
+                                  &ref)) /* else of a gang that was withdrawn */
+            partition_items_send(controller, made->partition, item);
         else
             g_strfreev(item.request.types);
     }
@@ -251,12 +260,14 @@
 static void committed(controller_t *controller, batch_t *batch, uint64_t revision)
 {
     GArray *acknowledged = g_array_new(FALSE, FALSE, sizeof(partition_attempt_t));
-    partition_batch_commit(controller->partition, batch->machines, revision, clock_steady());
+    partition_batch_commit(controller->placement.partition, batch->machines, revision,
+                           clock_steady());
     if (batch->progress)
-        leader_progress_commit(controller->leader, batch->progress, revision, acknowledged);
+        leader_progress_commit(controller->placement.leader, batch->progress, revision,
+                               acknowledged);
     for (guint i = 0; i < acknowledged->len; i++) {
         const partition_attempt_t *entry = &g_array_index(acknowledged, partition_attempt_t, i);
-        controller_send_item(controller, entry->partition,
+        partition_items_send(controller, entry->partition,
                              (channel_item_t){.kind = CHANNEL_ACKNOWLEDGE, .ref = entry->ref});
     }
     for (guint i = 0; batch->progress && i < batch->progress->len; i++) {
@@ -267,14 +278,14 @@
         job_directory_remove(controller, progress->job);
     }
     g_array_unref(acknowledged);
-    controller_notify_dispatchers(controller);
+    command_dispatcher_notify(controller);
 }
 
 static void undo(controller_t *controller, batch_t *batch)
 {
-    partition_batch_undo(controller->partition, batch->machines);
+    partition_batch_undo(controller->placement.partition, batch->machines);
     if (batch->progress)
-        leader_progress_undo(controller->leader, batch->progress);
+        leader_progress_undo(controller->placement.leader, batch->progress);
 }
 
 /* What a failed condition says. Only jobs failing: they were cancelled. */
@@ -337,19 +348,19 @@
 /* One round with the lock held; returns whether there is something to commit. */
 static bool tick(controller_t *controller, batch_t *batch, msec_t now)
 {
-    partition_tick(controller->partition, now);
+    partition_tick(controller->placement.partition, now);
     take_results(controller, now);
     double left = rate_limiter_left(&controller->core_write_limiter, now);
     guint most = left < 1 ? 0 : MIN((guint)left, controller->settings->txn_ops);
     guint full = MIN((guint)controller->core_write_limiter.rate, controller->settings->txn_ops);
     batch->usage =
         (kv_txn_usage_t){.max_ops = most, .full_ops = full, .max_bytes = KV_TXN_VALUES_BYTES / 2};
-    if (controller->is_leader) {
+    if (controller->membership.is_leader) {
         send_placement_requests(
             controller, now,
             (guint)tunable_value(controller->policy, TUNABLE_PLACEMENT_REQUESTS_PER_ROUND));
         batch->progress = leader_progress_new();
-        leader_progress_take(controller->leader, now, PROGRESS_LATE_MS, batch->progress,
+        leader_progress_take(controller->placement.leader, now, PROGRESS_LATE_MS, batch->progress,
                              &batch->usage);
     }
     guint conditions = 4 * controller->settings->txn_ops;
@@ -363,12 +374,12 @@
         .value_max = MIN((gsize)(controller->settings->value_kb * BYTES_PER_KIB),
                          (gsize)KV_TXN_VALUES_BYTES / 3),
         .bytes = KV_TXN_VALUES_BYTES - batch->usage.bytes};
-    batch->machines = partition_batch_take(controller->partition, &limits, now);
+    batch->machines = partition_batch_take(controller->placement.partition, &limits, now);
     batch->usage.ops += batch->machines->records->len;
     batch->usage.bytes += batch->machines->bytes;
     batch->usage.max_bytes = KV_TXN_VALUES_BYTES;
-    if (controller->is_leader)
-        leader_progress_take(controller->leader, now, PROGRESS_GAP_MS, batch->progress,
+    if (controller->membership.is_leader)
+        leader_progress_take(controller->placement.leader, now, PROGRESS_GAP_MS, batch->progress,
                              &batch->usage);
     take_results(controller, now);
     return batch->usage.ops > 0;
@@ -380,22 +391,22 @@
     controller_t *controller = loop.controller;
     for (;;) {
         pthread_mutex_lock(&controller->lock);
-        controller_wait(controller, &controller->placement_ready,
+        controller_wait(controller, &controller->placement.ready,
                         controller_paced(controller, PLACEMENT_TICK_MS));
-        if (!controller->is_loaded) {
-            bool member = controller->own_index != G_MAXUINT;
+        if (!controller->placement.is_loaded) {
+            bool member = controller->membership.own_index != G_MAXUINT;
             pthread_mutex_unlock(&controller->lock);
             if (member)
                 load(&loop);
             continue;
         }
         msec_t now = clock_steady();
-        controller_observe_time(controller, now);
+        stall_detector_observe(controller, now);
         batch_t batch = {0};
         bool changes = tick(controller, &batch, now);
-        bool wants_token = partition_needs_new_fencing_token(controller->partition) &&
+        bool wants_token = partition_needs_new_fencing_token(controller->placement.partition) &&
                            now - loop.fencing_token_advanced_at > FENCING_TOKEN_GAP_MS;
-        uint64_t revision = controller->view.revision;
+        uint64_t revision = controller->membership.view.revision;
         pthread_mutex_unlock(&controller->lock);
         if (changes)
             commit(&loop, &batch, revision);
--- a/tests/controller/test_controller.c
+++ b/tests/controller/test_controller.c
@@ -8,6 +8,9 @@
 
 #include "controller/controller.h"
 #include "controller/peer/peer_exchange.h"
+#include "controller/peer/peer_heartbeat.h"
+#include "controller/startup.h"
+#include "controller/worker_lease.h"
 #include "io/clock.h"
 #include "io/codec/codec.h"
 #include "io/records.h"
@@ -168,7 +171,7 @@
 {
     pthread_mutex_lock(&fixture->controllers[controller]->lock);
     bool noted =
-        g_hash_table_contains(fixture->controllers[controller]->cancellation_log.listed, id);
+        g_hash_table_contains(fixture->controllers[controller]->jobs.cancellations.listed, id);
     pthread_mutex_unlock(&fixture->controllers[controller]->lock);
     return noted;
 }
@@ -177,8 +180,8 @@
 static bool is_stopped(guint controller, const char *id)
 {
     pthread_mutex_lock(&fixture->controllers[controller]->lock);
-    bool stopped = g_hash_table_contains(fixture->controllers[controller]->terminal_jobs, id) &&
-                   !g_hash_table_contains(fixture->controllers[controller]->live_jobs, id);
+    bool stopped = g_hash_table_contains(fixture->controllers[controller]->jobs.terminal, id) &&
+                   !g_hash_table_contains(fixture->controllers[controller]->jobs.live, id);
     pthread_mutex_unlock(&fixture->controllers[controller]->lock);
     return stopped;
 }
@@ -186,7 +189,7 @@
 static uint64_t count_noted(guint controller)
 {
     pthread_mutex_lock(&fixture->controllers[controller]->lock);
-    uint64_t count = fixture->controllers[controller]->cancellation_log.newest;
+    uint64_t count = fixture->controllers[controller]->jobs.cancellations.newest;
     pthread_mutex_unlock(&fixture->controllers[controller]->lock);
     return count;
 }
@@ -266,8 +269,8 @@
     bool known = false;
     while (!known) { /* controller 1 follows the jobs, and is of the view */
         pthread_mutex_lock(&fixture->controllers[1]->lock);
-        known = g_hash_table_size(fixture->controllers[1]->live_jobs) == 2 &&
-                fixture->controllers[1]->view.count == 2;
+        known = g_hash_table_size(fixture->controllers[1]->jobs.live) == 2 &&
+                fixture->controllers[1]->membership.view.count == 2;
         pthread_mutex_unlock(&fixture->controllers[1]->lock);
         controller_sleep(POLL_MS);
     }
@@ -632,7 +635,7 @@
 {
     for (bool known = false; !known; controller_sleep(POLL_MS)) {
         pthread_mutex_lock(&fixture->controllers[controller]->lock);
-        known = g_hash_table_contains(fixture->controllers[controller]->live_jobs, id);
+        known = g_hash_table_contains(fixture->controllers[controller]->jobs.live, id);
         pthread_mutex_unlock(&fixture->controllers[controller]->lock);
     }
 }
@@ -753,18 +756,18 @@
     view_t own = {.number = 1, .revision = 10, .incarnation = controller->incarnation};
     view_t other = {.number = 3, .revision = 30, .incarnation = controller->incarnation + 1};
     pthread_mutex_lock(&controller->lock);
-    controller_install_view(controller, &own);
+    membership_install_view(controller, &own);
     autoscaler_add_booting(controller->autoscaler, "m-000001", "t16", "north", true, 1000);
     own.number = 2;
     own.revision = 20;
-    controller_install_view(controller, &own); /* the same leadership: it boots on */
+    membership_install_view(controller, &own); /* the same leadership: it boots on */
     assert_int_equal(g_hash_table_size(controller->autoscaler->booting_instances), 1);
-    controller_install_view(controller, &other);
+    membership_install_view(controller, &other);
     own.number = 4;
     own.revision = 40;
-    controller_install_view(controller, &own);
-    GPtrArray *stuck = autoscaler_stuck_instances(controller->autoscaler, controller->machine_types,
-                                                  1000 + 10 * BOOT_TIMEOUT_MS);
+    membership_install_view(controller, &own);
+    GPtrArray *stuck = autoscaler_stuck_instances(
+        controller->autoscaler, controller->placement.machine_types, 1000 + 10 * BOOT_TIMEOUT_MS);
     assert_int_equal(stuck->len, 0);
     g_ptr_array_unref(stuck);
     pthread_mutex_unlock(&controller->lock);
@@ -777,18 +780,18 @@
     fixture->services = services_new();
     controller_t *controller = controller_new(settings_of(0, (uint16_t[]){1}, 1), policy_default());
     machine_type_t machine_type = {.name = "t16", .capacity = {16, 0, 64}};
-    g_array_append_val(controller->machine_types, machine_type);
-    controller->partition =
-        partition_new(controller->machine_types, controller->settings->teams, 30000);
-    partition_set_view(controller->partition, 1);
-    controller->is_loaded = controller->is_jobs_synced = true;
-    controller->jobs_complete_until = controller->last_observed_at = now;
+    g_array_append_val(controller->placement.machine_types, machine_type);
+    controller->placement.partition =
+        partition_new(controller->placement.machine_types, controller->settings->teams, 30000);
+    partition_set_view(controller->placement.partition, 1);
+    controller->placement.is_loaded = controller->jobs.is_synced = true;
+    controller->jobs.complete_until = controller->stalls.last_observed_at = now;
     worker->fencing_token = 1;
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(worker);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    assert_int_equal(
-        partition_handle_heartbeat(controller->partition, &heartbeat, false, now, commands),
-        HEARTBEAT_ACCEPTED);
+    assert_int_equal(partition_handle_heartbeat(controller->placement.partition, &heartbeat, false,
+                                                now, commands),
+                     HEARTBEAT_ACCEPTED);
     worker_heartbeat_clear(&heartbeat);
     g_array_unref(commands);
     return controller;
@@ -800,10 +803,11 @@
     placement_request_t request = {
         .need = {2, 0, 4}, .attempt = attempt, .job_revision = 5, .team = "red"};
     g_strlcpy(request.job, job, sizeof request.job);
-    assert_non_null(partition_place(controller->partition, &request, now));
-    partition_batch_t *batch = partition_batch_take(
-        controller->partition, &(partition_limits_t){20, 80, 16384, KV_TXN_VALUES_BYTES}, now);
-    partition_batch_commit(controller->partition, batch, attempt, now);
+    assert_non_null(partition_place(controller->placement.partition, &request, now));
+    partition_batch_t *batch =
+        partition_batch_take(controller->placement.partition,
+                             &(partition_limits_t){20, 80, 16384, KV_TXN_VALUES_BYTES}, now);
+    partition_batch_commit(controller->placement.partition, batch, attempt, now);
     partition_batch_free(batch);
 }
 
@@ -811,8 +815,9 @@
 static machine_t *take(controller_t *controller, GArray *commands, msec_t now)
 {
     g_array_set_size(commands, 0);
-    partition_pause_starts(controller->partition, !controller_may_start(controller, now));
-    return partition_take_push(controller->partition, G_MAXUINT32, now, commands);
+    partition_pause_starts(controller->placement.partition,
+                           !worker_lease_may_start(controller, now));
+    return partition_take_push(controller->placement.partition, G_MAXUINT32, now, commands);
 }
 
 /* A sender has taken a start; the process stands still, and a job is called off elsewhere. On
@@ -831,14 +836,14 @@
     place_and_record(controller, "j-000002", 101, begun);
     assert_non_null(take(controller, commands, begun));
     assert_int_equal(commands->len, 2);
-    assert_true(controller_may_push(controller, "m-000001", controller->data_generation, commands,
-                                    begun, begun + 5));
-    assert_false(controller_may_push(controller, "m-000001", controller->data_generation, commands,
-                                     begun, after_stall));
+    assert_true(worker_lease_may_push(controller, "m-000001", controller->placement.generation,
+                                      commands, begun, begun + 5));
+    assert_false(worker_lease_may_push(controller, "m-000001", controller->placement.generation,
+                                       commands, begun, after_stall));
     assert_null(take(controller, commands, after_stall)); /* it does not know yet */
     assert_null(take(controller, commands, after_stall + 100));
     job_directory_remove(controller, "j-000001");
-    controller->jobs_complete_until =
+    controller->jobs.complete_until =
         after_stall + 50; /* the follow that began after it woke was answered */
     assert_non_null(take(controller, commands, after_stall + 200));
     assert_int_equal(commands->len, 1);
@@ -854,7 +859,7 @@
     bool followed = true;
     for (guint i = 0; i < 2; i++) {
         pthread_mutex_lock(&fixture->controllers[i]->lock);
-        followed = followed && g_hash_table_contains(fixture->controllers[i]->live_jobs, id);
+        followed = followed && g_hash_table_contains(fixture->controllers[i]->jobs.live, id);
         pthread_mutex_unlock(&fixture->controllers[i]->lock);
     }
     return followed;
@@ -953,11 +958,12 @@
         g_snprintf(id, sizeof id, "j-1%05u", i);
         job_directory_record_terminal(controller, id, i % 4 != 0);
     }
-    assert_false(g_hash_table_contains(controller->terminal_states, "j-000001"));
-    assert_false(g_hash_table_contains(controller->terminal_jobs, "j-000001"));
-    assert_in_range(g_hash_table_size(controller->terminal_states), 1, TERMINAL_STATE_CACHE_COUNT);
-    assert_in_range(g_hash_table_size(controller->terminal_jobs), 1, TERMINAL_JOBS_COUNT);
-    assert_in_range(g_queue_get_length(controller->cancellation_log.entries), 1,
+    assert_false(g_hash_table_contains(controller->jobs.terminal_states, "j-000001"));
+    assert_false(g_hash_table_contains(controller->jobs.terminal, "j-000001"));
+    assert_in_range(g_hash_table_size(controller->jobs.terminal_states), 1,
+                    TERMINAL_STATE_CACHE_COUNT);
+    assert_in_range(g_hash_table_size(controller->jobs.terminal), 1, TERMINAL_JOBS_COUNT);
+    assert_in_range(g_queue_get_length(controller->jobs.cancellations.entries), 1,
                     CANCELLATION_LOG_COUNT);
     pthread_mutex_unlock(&controller->lock);
     expect(0, "POST", "/v2/runs", job_body("j-000001"), 200, "cancelled");
@@ -1052,7 +1058,8 @@
 static guint owner_of_machine(const controller_t *controller)
 {
     const char *name =
-        controller->view.members[controller_owner_index(controller, "m-000001", "north")].name;
+        controller->membership.view.members[membership_owner_index(controller, "m-000001", "north")]
+            .name;
     return (guint)(name[strlen(name) - 1] - '0');
 }
 
@@ -1076,7 +1083,7 @@
         bool both = false;
         while (!both) {
             pthread_mutex_lock(&fixture->controllers[i]->lock);
-            both = fixture->controllers[i]->view.count == 2;
+            both = fixture->controllers[i]->membership.view.count == 2;
             pthread_mutex_unlock(&fixture->controllers[i]->lock);
             controller_sleep(POLL_MS);
         }
@@ -1091,9 +1098,9 @@
         pthread_mutex_lock(&fixture->controllers[i]->lock);
         char name[ID_BYTES];
         g_snprintf(name, sizeof name, "hand-%u", owner);
-        g_hash_table_insert(fixture->controllers[i]->election.excluded, g_strdup(name),
+        g_hash_table_insert(fixture->controllers[i]->membership.election.excluded, g_strdup(name),
                             g_memdup2(&until, sizeof until));
-        pthread_cond_broadcast(&fixture->controllers[i]->membership_changed);
+        pthread_cond_broadcast(&fixture->controllers[i]->membership.changed);
         pthread_mutex_unlock(&fixture->controllers[i]->lock);
     }
     abort_job(1 - owner, "j-000001", "cancelled");
@@ -1121,7 +1128,7 @@
                             .peer_message_at = now,
                             .siblings_kv_answered_at = now - age};
     assert_int_equal(connectivity_judge(&other, now), CONNECTIVITY_OUTAGE);
-    connectivity_t own = controller_connectivity(fresh);
+    connectivity_t own = worker_lease_connectivity(fresh);
     assert_int_not_equal(connectivity_judge(&own, now), CONNECTIVITY_GOOD);
 }
 
@@ -1132,16 +1139,16 @@
     (void)state;
     begin_ready(1);
     pthread_mutex_lock(&fixture->controllers[0]->lock);
-    assert_int_equal(fixture->controllers[0]->request_worker_count, 0);
-    assert_int_equal(fixture->controllers[0]->started_dispatchers, 0);
+    assert_int_equal(fixture->controllers[0]->requests.worker_count, 0);
+    assert_int_equal(fixture->controllers[0]->dispatch.started, 0);
     pthread_mutex_unlock(&fixture->controllers[0]->lock);
     fake_machine_t *machine = fake_machine_new("m-000001");
     send_heartbeats_until(machine, 0);
     submit(0, "j-000001");
     send_heartbeats_until(machine, 2);
     pthread_mutex_lock(&fixture->controllers[0]->lock);
-    assert_in_range(fixture->controllers[0]->request_worker_count, 1, REQUEST_WORKERS_COUNT);
-    assert_int_equal(__builtin_popcount(fixture->controllers[0]->started_dispatchers), 1);
+    assert_in_range(fixture->controllers[0]->requests.worker_count, 1, REQUEST_WORKERS_COUNT);
+    assert_int_equal(__builtin_popcount(fixture->controllers[0]->dispatch.started), 1);
     pthread_mutex_unlock(&fixture->controllers[0]->lock);
 }
 
