--- a/src/controller/peer/peer_exchange.h
+++ b/src/controller/peer/peer_exchange.h
@@ -23,9 +23,5 @@
 channel_t *peer_server_receive(controller_t *controller, peer_message_t *message);
 /* With the lock held: takes what the leader answered. */
 void peer_client_receive(controller_t *controller, const peer_message_t *message);
-/* The partition's side: a message up, and whatever message lies there for us. */
-void peer_relay_exchange(controller_t *controller, http_client_t *client, const GByteArray *frame);
-/* The answer to a sibling's heartbeat, encoded; the caller's. */
-GByteArray *peer_heartbeat_answer(controller_t *controller, const peer_message_t *message);
 
 #endif
--- a/src/controller/peer/peer_relay.c
+++ b/src/controller/peer/peer_relay.c
@@ -1,7 +1,6 @@
 /* The exchange by relay: messages as values in the key-value store, where sockets fail. */
 #include "controller/peer/peer_relay.h"
 #include "controller/peer/peer_exchange.h"
-#include "controller/peer/peer_relay.h"
 
 #include <string.h>
 
--- a/tests/controller/test_controller.c
+++ b/tests/controller/test_controller.c
@@ -31,7 +31,7 @@
 static settings_t *settings_of(guint index, const uint16_t *peer_work, guint count)
 {
     settings_t *settings = g_new0(settings_t, 1);
-    *settings = (settings_t){.zone = "north",
+    *settings = (settings_t){.zone = "zone-a",
                              .heartbeat_interval_s = 1,
                              .lease_s = 10,
                              .cancel_s = 3600, /* no test waits for its end */
@@ -44,7 +44,7 @@
                              .pace = 1,
                              .dispatcher_connections = 2,
                              .connections = 100};
-    g_snprintf(settings->name, sizeof settings->name, "hand-%u", index);
+    g_snprintf(settings->name, sizeof settings->name, "controller-%u", index);
     g_snprintf(settings->client_listen, ADDRESS_BYTES, "127.0.0.1:%u", fixture->ports[index]);
     g_snprintf(settings->peer_listen, ADDRESS_BYTES, "127.0.0.1:%u", peer_work[index]);
     g_snprintf(settings->cloud_address, ADDRESS_BYTES, "127.0.0.1:%u",
@@ -52,13 +52,13 @@
     g_snprintf(settings->kv_store_address, ADDRESS_BYTES, "127.0.0.1:%u",
                fixture->services->state_ports[index]);
     settings->teams = g_array_new(FALSE, FALSE, sizeof(team_t));
-    team_t team = {.name = "red", .guaranteed_cpus = 8, .max_cpus = 64};
+    team_t team = {.name = "team-a", .guaranteed_cpus = 8, .max_cpus = 64};
     g_array_append_val(settings->teams, team);
     settings->slos = g_hash_table_new(g_str_hash, g_str_equal);
     settings->siblings = g_array_new(FALSE, FALSE, sizeof(sibling_t));
     for (guint i = 0; i < count; i++) {
-        sibling_t sibling = {.zone = "north"};
-        g_snprintf(sibling.name, sizeof sibling.name, "hand-%u", i);
+        sibling_t sibling = {.zone = "zone-a"};
+        g_snprintf(sibling.name, sizeof sibling.name, "controller-%u", i);
         g_snprintf(sibling.endpoint, sizeof sibling.endpoint, "127.0.0.1:%u", peer_work[i]);
         if (i != index)
             g_array_append_val(settings->siblings, sibling);
@@ -119,7 +119,7 @@
 static json_t *job_body(const char *id)
 {
     json_t *body = json_loads(
-        "{\"Reel\":\"c\",\"Crew\":\"red\",\"Rig\":\"sweep\",\"Urgency\":\"normal\",\"Pieces\":2,"
+        "{\"Reel\":\"c\",\"Crew\":\"team-a\",\"Rig\":\"sweep\",\"Urgency\":\"normal\",\"Pieces\":2,"
         "\"Cpus\":2.0,\"Accelerators\":0,\"MemGb\":4.0,\"Cargo\":\"i\",\"ImageGb\":1.0,"
         "\"Hulls\":null,\"Dock\":null,\"SamePlace\":false,\"Apart\":false,\"Driftwood\":true,"
         "\"HaulS\":10.0,\"KnotS\":0,\"StowS\":0,\"TideS\":null}",
@@ -248,9 +248,9 @@
     json_t *answer = NULL;
     json_t *body =
         json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:[{s:s,s:I,s:s}]}", "Winch", "m-000001",
-                  "Address", "127.0.0.1:1", "Hull", "t16", "Dock", "north", "Driftwood", 1, "Watch",
-                  (json_int_t)1, "Tally", number, "Helm", (json_int_t)0, "Pieces", "Piece", task,
-                  "Heave", (json_int_t)1, "Trim", "running");
+                  "Address", "127.0.0.1:1", "Hull", "t16", "Dock", "zone-a", "Driftwood", 1,
+                  "Watch", (json_int_t)1, "Tally", number, "Helm", (json_int_t)0, "Pieces", "Piece",
+                  task, "Heave", (json_int_t)1, "Trim", "running");
     int status = send_request(controller, "POST", "/hello", body, &answer);
     json_t *commands = status == 200 ? json_incref(json_object_get(answer, "Calls")) : NULL;
     json_decref(answer);
@@ -419,8 +419,8 @@
     expect(0, "POST", "/v2/runs", job_with("Cpus", json_real(17)), 422, NULL);
     expect(0, "POST", "/v2/runs", job_with("Hulls", json_pack("[s]", "t99")), 422, NULL);
     expect(0, "POST", "/v2/runs", job_with("Hulls", json_array()), 422, NULL);
-    expect(0, "POST", "/v2/runs", job_with("Dock", json_string("west")), 422, NULL);
-    expect(0, "POST", "/v2/runs", job_with("Crew", json_string("green")), 422, NULL);
+    expect(0, "POST", "/v2/runs", job_with("Dock", json_string("zone-d")), 422, NULL);
+    expect(0, "POST", "/v2/runs", job_with("Crew", json_string("team-c")), 422, NULL);
     expect(0, "POST", "/v2/runs", job_with("Pieces", json_string("2")), 400, NULL);
     body = job_with("Rig", json_string("ensemble")); /* runs as a whole, or never */
     json_object_set_new(body, "Pieces", json_integer(33));
@@ -573,7 +573,7 @@
         {"Reel", "\"a\\nb\"", 400},
         {"Reel", "\"\\ud800\"", 201},
         {"Reel", "\"\xff\"", 400},
-        {"Crew", "\"green\"", 422},
+        {"Crew", "\"team-c\"", 422},
         {"Crew", "{}", 400},
         {"Rig", "\"sweep\\u0000\"", 400},
         {"Urgency", "\"urgent\"", 400},
@@ -583,7 +583,7 @@
         {"Hulls", "[\"t99\"]", 422},
         {"Hulls", "[\"t16\",1]", 400},
         {"Hulls", "\"t16\"", 400},
-        {"Dock", "\"west\"", 422},
+        {"Dock", "\"zone-d\"", 422},
         {"Dock", "7", 400},
         {"Unheard", "18446744073709551616", 201},
         {"Unheard", "[-1e999,1e-999,123456789012345678901234567890]", 201},
@@ -757,7 +757,7 @@
     view_t other = {.number = 3, .revision = 30, .incarnation = controller->incarnation + 1};
     pthread_mutex_lock(&controller->lock);
     membership_install_view(controller, &own);
-    autoscaler_add_booting(controller->autoscaler, "m-000001", "t16", "north", true, 1000);
+    autoscaler_add_booting(controller->autoscaler, "m-000001", "t16", "zone-a", true, 1000);
     own.number = 2;
     own.revision = 20;
     membership_install_view(controller, &own); /* the same leadership: it boots on */
@@ -801,7 +801,7 @@
                              msec_t now)
 {
     placement_request_t request = {
-        .need = {2, 0, 4}, .attempt = attempt, .job_revision = 5, .team = "red"};
+        .need = {2, 0, 4}, .attempt = attempt, .job_revision = 5, .team = "team-a"};
     g_strlcpy(request.job, job, sizeof request.job);
     assert_non_null(partition_place(controller->placement.partition, &request, now));
     partition_batch_t *batch =
@@ -1057,9 +1057,9 @@
 /* With the lock of that controller held: the index of the member that owns the machine. */
 static guint owner_of_machine(const controller_t *controller)
 {
-    const char *name =
-        controller->membership.view.members[membership_owner_index(controller, "m-000001", "north")]
-            .name;
+    const char *name = controller->membership.view
+                           .members[membership_owner_index(controller, "m-000001", "zone-a")]
+                           .name;
     return (guint)(name[strlen(name) - 1] - '0');
 }
 
@@ -1097,7 +1097,7 @@
     for (guint i = 0; i < 2; i++) { /* the leader is one of them */
         pthread_mutex_lock(&fixture->controllers[i]->lock);
         char name[ID_BYTES];
-        g_snprintf(name, sizeof name, "hand-%u", owner);
+        g_snprintf(name, sizeof name, "controller-%u", owner);
         g_hash_table_insert(fixture->controllers[i]->membership.election.excluded, g_strdup(name),
                             g_memdup2(&until, sizeof until));
         pthread_cond_broadcast(&fixture->controllers[i]->membership.changed);
@@ -1155,7 +1155,7 @@
 /* A caller that has nothing of the controller's log yet. */
 static peer_message_t ask_heartbeat(controller_t *controller, uint64_t incarnation, uint64_t index)
 {
-    peer_message_t call = {.sender = "hand-1",
+    peer_message_t call = {.sender = "controller-1",
                            .is_heartbeat = true,
                            .acknowledged_incarnation = incarnation,
                            .acknowledged_index = index};
--- a/tests/core/leader/test_leader.c
+++ b/tests/core/leader/test_leader.c
@@ -21,8 +21,8 @@
     teams = g_array_new(FALSE, FALSE, sizeof(team_t));
     slos = g_hash_table_new(g_str_hash, g_str_equal);
     policy = policy_default();
-    add_team("red", 8, 24);
-    add_team("blue", 24, 0);
+    add_team("team-a", 8, 24);
+    add_team("team-b", 24, 0);
     leader = leader_new(teams, slos, policy, 2);
     leader_set_view(leader, 3);
     return 0;
@@ -83,9 +83,9 @@
 static void test_requests_go_to_the_partition_with_most_free_resources(void **state)
 {
     (void)state;
-    job_spec_t spec = job("j-000001", "blue", 1);
-    set_resources(0, "north", 4);
-    set_resources(1, "south", 16);
+    job_spec_t spec = job("j-000001", "team-b", 1);
+    set_resources(0, "zone-a", 4);
+    set_resources(1, "zone-b", 16);
     add(&spec);
     GArray *requests = schedule();
     assert_int_equal(requests->len, 1);
@@ -96,8 +96,8 @@
 static void test_team_limit_counts_outstanding_attempts(void **state)
 {
     (void)state;
-    job_spec_t spec = job("j-000001", "red", 50);
-    set_resources(0, "north", 1000);
+    job_spec_t spec = job("j-000001", "team-a", 50);
+    set_resources(0, "zone-a", 1000);
     add(&spec);
     GArray *requests = schedule();
     assert_int_equal(requests->len, 12); /* 24 cpus of 2 */
@@ -110,10 +110,10 @@
 static void test_recorded_attempts_count_even_for_jobs_that_ended(void **state)
 {
     (void)state;
-    record_entry_t entry = {.job = "j-000009", .team = "red", .need = {23, 0, 1}, .attempt = 9};
-    leader_load_attempt(leader, &entry, "north", 0);
-    job_spec_t spec = job("j-000001", "red", 1);
-    set_resources(0, "north", 1000);
+    record_entry_t entry = {.job = "j-000009", .team = "team-a", .need = {23, 0, 1}, .attempt = 9};
+    leader_load_attempt(leader, &entry, "zone-a", 0);
+    job_spec_t spec = job("j-000001", "team-a", 1);
+    set_resources(0, "zone-a", 1000);
     add(&spec);
     GArray *requests = schedule();
     assert_int_equal(requests->len, 0);
@@ -128,9 +128,9 @@
 static void test_shares_are_served_in_turn(void **state)
 {
     (void)state;
-    job_spec_t red = job("j-000001", "red", 100);
-    job_spec_t blue = job("j-000002", "blue", 100);
-    set_resources(0, "north", 64);
+    job_spec_t red = job("j-000001", "team-a", 100);
+    job_spec_t blue = job("j-000002", "team-b", 100);
+    set_resources(0, "zone-a", 64);
     add(&red);
     add(&blue);
     GArray *requests = schedule();
@@ -144,8 +144,8 @@
 static void lead_without_guarantees(void)
 {
     GArray *unguaranteed = g_array_copy(teams);
-    g_array_index(unguaranteed, team_t, 0) = (team_t){.name = "red"};
-    g_array_index(unguaranteed, team_t, 1) = (team_t){.name = "blue"};
+    g_array_index(unguaranteed, team_t, 0) = (team_t){.name = "team-a"};
+    g_array_index(unguaranteed, team_t, 1) = (team_t){.name = "team-b"};
     leader_free(leader);
     leader = leader_new(unguaranteed, slos, policy, 2);
     leader_set_view(leader, 3);
@@ -159,17 +159,17 @@
 {
     (void)state;
     lead_without_guarantees();
-    record_entry_t loaded = {.job = "j-000009", .team = "red", .need = {40, 0, 1}, .attempt = 9};
-    leader_load_attempt(leader, &loaded, "north", 0);
-    job_spec_t red = job("j-000001", "red", 100);
-    job_spec_t blue = job("j-000002", "blue", 100);
-    set_resources(0, "north", 30);
+    record_entry_t loaded = {.job = "j-000009", .team = "team-a", .need = {40, 0, 1}, .attempt = 9};
+    leader_load_attempt(leader, &loaded, "zone-a", 0);
+    job_spec_t red = job("j-000001", "team-a", 100);
+    job_spec_t blue = job("j-000002", "team-b", 100);
+    set_resources(0, "zone-a", 30);
     add(&red);
     add(&blue);
     GArray *requests = schedule();
     assert_int_equal(count(requests, "j-000002"), 15);
     g_array_unref(requests);
-    set_resources(0, "north", 30); /* blue holds 30 now: 10 more make it equal, then in turn */
+    set_resources(0, "zone-a", 30); /* blue holds 30 now: 10 more make it equal, then in turn */
     requests = schedule();
     assert_int_equal(count(requests, "j-000002"), 10);
     assert_int_equal(count(requests, "j-000001"), 5);
@@ -182,10 +182,10 @@
 {
     (void)state;
     lead_without_guarantees();
-    job_spec_t aimed = job("j-000001", "red", 100);
-    job_spec_t idle = job("j-000002", "blue", 100);
+    job_spec_t aimed = job("j-000001", "team-a", 100);
+    job_spec_t idle = job("j-000002", "team-b", 100);
     aimed.deadline_s = 100;
-    set_resources(0, "north", 30);
+    set_resources(0, "zone-a", 30);
     add(&aimed);
     add(&idle);
     GArray *requests = schedule();
@@ -197,11 +197,11 @@
 static void test_priority_comes_before_age(void **state)
 {
     (void)state;
-    job_spec_t older = job("j-000001", "blue", 1);
-    job_spec_t flush_order = job("j-000002", "blue", 1);
+    job_spec_t older = job("j-000001", "team-b", 1);
+    job_spec_t flush_order = job("j-000002", "team-b", 1);
     flush_order.priority = PRIORITY_HIGH;
     flush_order.submitted_ms = 1500;
-    set_resources(0, "north", 2);
+    set_resources(0, "zone-a", 2);
     add(&older);
     add(&flush_order);
     GArray *requests = schedule();
@@ -214,12 +214,12 @@
 static void test_machines_are_claimed_for_a_large_task_that_goes_first(void **state)
 {
     (void)state;
-    job_spec_t large = job("j-000001", "blue", 1);
-    job_spec_t small = job("j-000002", "blue", 9);
+    job_spec_t large = job("j-000001", "team-b", 1);
+    job_spec_t small = job("j-000002", "team-b", 9);
     large.need.cpus = 4;
     small.need.cpus = 1;
     small.priority = PRIORITY_LOW;
-    set_resources(0, "north", 4);
+    set_resources(0, "zone-a", 4);
     g_array_index((GArray *)g_ptr_array_index(leader->summaries, 0), machine_summary_t, 0)
         .free.cpus = 3;
     add(&large);
@@ -227,8 +227,8 @@
     GArray *requests = schedule();
     assert_int_equal(requests->len, 0); /* claimed: the last small task there ends soon */
     g_array_unref(requests);
-    set_resources(0, "north", 4);
-    set_resources(1, "south", 2);
+    set_resources(0, "zone-a", 4);
+    set_resources(1, "zone-b", 2);
     requests = schedule();
     assert_int_equal(count(requests, "j-000001"), 1);
     assert_int_equal(count(requests, "j-000002"), 2); /* where the large one can't go, others can */
@@ -248,14 +248,14 @@
             .open = true, .spot = true, .total = {16, 0, 64}, .free = {0.5, 0, 64}};
         g_snprintf(summary.machine, sizeof summary.machine, "m-%06u", i);
         g_strlcpy(summary.type, "t16", sizeof summary.type);
-        g_strlcpy(summary.zone, "north", sizeof summary.zone);
+        g_strlcpy(summary.zone, "zone-a", sizeof summary.zone);
         g_array_append_val(summaries, summary);
     }
     leader_set_summaries(leader, 0, summaries);
     for (guint i = 0; i < JOBS; i++) {
         char id[ID_BYTES];
         g_snprintf(id, sizeof id, "j-%06u", i);
-        job_spec_t spec = job(id, "red", 50);
+        job_spec_t spec = job(id, "team-a", 50);
         spec.priority = PRIORITY_LOW; /* nothing is stopped or claimed for it */
         add(&spec);
     }
@@ -263,7 +263,7 @@
     assert_int_equal(requests->len, 0);
     g_array_unref(requests);
     assert_int_equal(leader->round.examined, 0);
-    job_spec_t spec = job("j-900000", "red", 50);
+    job_spec_t spec = job("j-900000", "team-a", 50);
     add(&spec);
     requests = schedule();
     g_array_unref(requests);
@@ -274,20 +274,20 @@
 static void test_large_job_is_begun_under_lasting_overload(void **state)
 {
     (void)state;
-    job_spec_t large = job("j-000001", "blue", 160);
+    job_spec_t large = job("j-000001", "team-b", 160);
     large.priority = PRIORITY_LOW;
     add(&large);
     for (int i = 2; i < 60; i++) {
         char id[ID_BYTES];
         g_snprintf(id, sizeof id, "j-%06d", i);
-        job_spec_t small = job(id, "blue", 2);
+        job_spec_t small = job(id, "team-b", 2);
         small.submitted_ms = large.submitted_ms + (int64_t)5000 * i;
         add(&small);
     }
     int64_t ages[] = {STARVING_MS - 1000, STARVING_MS, STARVING_MS + 10000, STARVING_LONG_MS};
     guint begun[] = {0, 1, 0, 10}; /* requested then, with room for twenty tasks */
     for (int i = 0; i < 4; i++) {
-        set_resources(0, "north", 40);
+        set_resources(0, "zone-a", 40);
         GArray *requests = leader_schedule(leader, 1000, large.submitted_ms + ages[i], 100);
         assert_int_equal(requests->len, 20);
         assert_int_equal(count(requests, "j-000001"), begun[i]);
@@ -300,13 +300,13 @@
 static void test_nothing_is_requested_where_there_is_no_machine(void **state)
 {
     (void)state;
-    job_spec_t flush_order = job("j-000001", "blue", 3);
+    job_spec_t flush_order = job("j-000001", "team-b", 3);
     flush_order.priority = PRIORITY_HIGH;
     add(&flush_order);
     GArray *requests = schedule();
     assert_int_equal(requests->len, 0);
     g_array_unref(requests);
-    set_resources(1, "north", 2);
+    set_resources(1, "zone-a", 2);
     requests = schedule();
     assert_int_equal(requests->len, 3); /* one fits, others may be stopped for two */
     g_array_unref(requests);
@@ -315,11 +315,11 @@
 static void test_hopeless_deadlines_come_last(void **state)
 {
     (void)state;
-    job_spec_t hopeless = job("j-000001", "blue", 1);
-    job_spec_t hopeful = job("j-000002", "blue", 1);
+    job_spec_t hopeless = job("j-000001", "team-b", 1);
+    job_spec_t hopeful = job("j-000002", "team-b", 1);
     hopeless.deadline_s = 5; /* estimate 10 */
     hopeful.deadline_s = 500;
-    set_resources(0, "north", 2);
+    set_resources(0, "zone-a", 2);
     add(&hopeless);
     add(&hopeful);
     GArray *requests = schedule();
@@ -331,23 +331,23 @@
 static void test_same_zone_binds_the_later_tasks(void **state)
 {
     (void)state;
-    job_spec_t spec = job("j-000001", "blue", 3);
+    job_spec_t spec = job("j-000001", "team-b", 3);
     spec.same_zone = true;
-    set_resources(0, "north", 2);
-    set_resources(1, "south", 3);
+    set_resources(0, "zone-a", 2);
+    set_resources(1, "zone-b", 3);
     add(&spec);
     GArray *requests = schedule();
     assert_int_equal(requests->len, 1);
-    assert_string_equal(g_array_index(requests, leader_request_t, 0).request.zone, "south");
+    assert_string_equal(g_array_index(requests, leader_request_t, 0).request.zone, "zone-b");
     g_array_unref(requests);
 }
 
 static void test_apart_keeps_half_in_a_zone(void **state)
 {
     (void)state;
-    job_spec_t spec = job("j-000001", "blue", 5);
+    job_spec_t spec = job("j-000001", "team-b", 5);
     spec.spread = true;
-    set_resources(0, "north", 100);
+    set_resources(0, "zone-a", 100);
     add(&spec);
     GArray *requests = schedule();
     assert_int_equal(requests->len, 3);
@@ -359,20 +359,20 @@
 static void test_a_bound_job_moves_only_when_its_old_zone_is_proved_empty(void **state)
 {
     (void)state;
-    job_spec_t spec = job("j-000001", "blue", 2);
-    job_spec_t apart = job("j-000002", "blue", 3);
+    job_spec_t spec = job("j-000001", "team-b", 2);
+    job_spec_t apart = job("j-000002", "team-b", 3);
     spec.same_zone = true;
     apart.spread = true;
     add(&spec);
     add(&apart);
-    record_entry_t bound = {.job = "j-000001", .team = "blue", .need = {2, 0, 1}, .attempt = 9};
-    leader_load_attempt(leader, &bound, "south", 1);
+    record_entry_t bound = {.job = "j-000001", .team = "team-b", .need = {2, 0, 1}, .attempt = 9};
+    leader_load_attempt(leader, &bound, "zone-b", 1);
     for (uint32_t task = 0; task < 2; task++) {
         record_entry_t half = {
-            .job = "j-000002", .team = "blue", .need = {2, 0, 1}, .task = task, .attempt = 9};
-        leader_load_attempt(leader, &half, "north", 0);
+            .job = "j-000002", .team = "team-b", .need = {2, 0, 1}, .task = task, .attempt = 9};
+        leader_load_attempt(leader, &half, "zone-a", 0);
     }
-    set_resources(0, "north", 20);
+    set_resources(0, "zone-a", 20);
     GArray *requests = schedule();
     assert_int_equal(requests->len, 0);
     g_array_unref(requests);
@@ -391,8 +391,8 @@
 static void test_a_machine_claim_is_bounded(void **state)
 {
     (void)state;
-    job_spec_t large = job("j-000001", "blue", 1);
-    job_spec_t small = job("j-000002", "blue", 9);
+    job_spec_t large = job("j-000001", "team-b", 1);
+    job_spec_t small = job("j-000002", "team-b", 9);
     large.need.cpus = 4;
     small.need.cpus = 1;
     small.priority = PRIORITY_LOW;
@@ -400,7 +400,7 @@
     add(&small);
     guint began = 0;
     for (msec_t now = 1000; now < 91000 && !began; now += 250) {
-        set_resources(0, "north", 4);
+        set_resources(0, "zone-a", 4);
         g_array_index((GArray *)g_ptr_array_index(leader->summaries, 0), machine_summary_t, 0)
             .free.cpus = 3;
         GArray *requests = leader_schedule(leader, now, 2000, 100);
@@ -416,8 +416,8 @@
 static void test_job_that_fails_everywhere_is_backed_off(void **state)
 {
     (void)state;
-    job_spec_t spec = job("j-000001", "blue", 50);
-    set_resources(0, "north", 20);
+    job_spec_t spec = job("j-000001", "team-b", 50);
+    set_resources(0, "zone-a", 20);
     add(&spec);
     GArray *requests = schedule();
     assert_int_equal(requests->len, 10);
@@ -428,7 +428,7 @@
         leader_handle_result(leader, 0, &failed, 1000);
     }
     g_array_unref(requests);
-    set_resources(0, "north", 20);
+    set_resources(0, "zone-a", 20);
     requests = schedule();
     assert_int_equal(requests->len, 0);
     g_array_unref(requests);
@@ -439,9 +439,9 @@
 
 static void fail_on(const char *machine, const char *id, uint32_t task)
 {
-    record_entry_t entry = {.team = "blue", .need = {2, 0, 1}, .task = task, .attempt = 77};
+    record_entry_t entry = {.team = "team-b", .need = {2, 0, 1}, .task = task, .attempt = 77};
     g_strlcpy(entry.job, id, sizeof entry.job);
-    leader_load_attempt(leader, &entry, "north", 0);
+    leader_load_attempt(leader, &entry, "zone-a", 0);
     attempt_result_t failed = {.ref = task_ref(id, task, 77), .cause = CAUSE_ERROR};
     g_strlcpy(failed.machine, machine, sizeof failed.machine);
     leader_handle_result(leader, 0, &failed, 1000);
@@ -450,8 +450,8 @@
 static void test_machine_that_fails_sound_jobs_is_quarantined(void **state)
 {
     (void)state;
-    job_spec_t first = job("j-000001", "blue", 9);
-    job_spec_t second = job("j-000002", "blue", 9);
+    job_spec_t first = job("j-000001", "team-b", 9);
+    job_spec_t second = job("j-000002", "team-b", 9);
     add(&first);
     add(&second);
     for (uint32_t i = 0; i < 5; i++)
@@ -474,9 +474,9 @@
 static void test_finished_task_is_never_requested_again(void **state)
 {
     (void)state;
-    job_spec_t spec = job("j-000001", "blue", 2);
+    job_spec_t spec = job("j-000001", "team-b", 2);
     const uint8_t bits = 1;
-    set_resources(0, "north", 20);
+    set_resources(0, "zone-a", 20);
     add(&spec);
     leader_load_chunk(leader, "j-000001", 0, &bits, 1, 8);
     GArray *requests = schedule();
@@ -531,11 +531,11 @@
     job_counts_replica_t replica;
     job_counts_replica_init(&replica);
     leader->counts_epoch = 11;
-    job_spec_t jobs[] = {job("j-000001", "blue", 2), job("j-000002", "blue", 1),
-                         job("j-000003", "blue", 3)};
+    job_spec_t jobs[] = {job("j-000001", "team-b", 2), job("j-000002", "team-b", 1),
+                         job("j-000003", "team-b", 3)};
     for (guint i = 0; i < G_N_ELEMENTS(jobs); i++)
         leader_add_job(leader, &jobs[i], 1);
-    set_resources(0, "north", 20);
+    set_resources(0, "zone-a", 20);
     GArray *requests = leader_schedule(leader, 1000, 1000, 10);
     assert_int_equal(requests->len, 6);
     apply_counts(&replica, MOST);
@@ -566,10 +566,10 @@
 static void test_end_of_a_job_goes_before_progress_of_others(void **state)
 {
     (void)state;
-    job_spec_t half = job("j-000001", "blue", 2);
-    job_spec_t whole = job("j-000002", "blue", 1);
-    job_spec_t other = job("j-000003", "blue", 2);
-    set_resources(0, "north", 20);
+    job_spec_t half = job("j-000001", "team-b", 2);
+    job_spec_t whole = job("j-000002", "team-b", 1);
+    job_spec_t other = job("j-000003", "team-b", 2);
+    set_resources(0, "zone-a", 20);
     add(&half);
     add(&whole);
     add(&other);
@@ -601,9 +601,9 @@
 static void test_writes_are_left_to_an_end_until_it_fits(void **state)
 {
     (void)state;
-    job_spec_t whole = job("j-000001", "blue", 1);
-    job_spec_t half = job("j-000002", "blue", 2);
-    set_resources(0, "north", 20);
+    job_spec_t whole = job("j-000001", "team-b", 1);
+    job_spec_t half = job("j-000002", "team-b", 2);
+    set_resources(0, "zone-a", 20);
     add(&whole);
     add(&half);
     GArray *requests = schedule();
@@ -634,8 +634,8 @@
 static void test_ends_far_apart_add_up_over_several_leaders(void **state)
 {
     (void)state;
-    job_spec_t spec = job("j-000001", "blue", 2);
-    set_resources(0, "north", 20);
+    job_spec_t spec = job("j-000001", "team-b", 2);
+    set_resources(0, "zone-a", 20);
     add(&spec);
     GArray *requests = schedule();
     finish(&g_array_index(requests, leader_request_t, 0));
@@ -651,12 +651,15 @@
         leader_free(leader);
         leader = leader_new(teams, slos, policy, 2);
         leader_set_view(leader, view);
-        set_resources(0, "north", 20);
+        set_resources(0, "zone-a", 20);
         add(&spec);
         leader_load_chunk(leader, "j-000001", 0, first->bits, first->bytes, 7);
-        record_entry_t entry = {
-            .job = "j-000001", .team = "blue", .need = {2, 0, 1}, .task = task, .attempt = second};
-        leader_load_attempt(leader, &entry, "north", 0);
+        record_entry_t entry = {.job = "j-000001",
+                                .team = "team-b",
+                                .need = {2, 0, 1},
+                                .task = task,
+                                .attempt = second};
+        leader_load_attempt(leader, &entry, "zone-a", 0);
         requests = schedule();
         assert_int_equal(requests->len, 0); /* one is done, one is out */
         g_array_unref(requests);
@@ -678,18 +681,18 @@
 static void test_progress_of_large_jobs_keeps_within_the_bytes(void **state)
 {
     (void)state;
-    set_resources(0, "north", 400);
+    set_resources(0, "zone-a", 400);
     for (guint i = 0; i < 8; i++) {
         char id[ID_BYTES];
         g_snprintf(id, sizeof id, "j-%06u", i);
-        job_spec_t spec = job(id, "blue", TASKS_MAX_COUNT);
+        job_spec_t spec = job(id, "team-b", TASKS_MAX_COUNT);
         spec.need.cpus = 0.01;
         add(&spec);
         for (guint chunk = 0; chunk * CHUNK_BITS < TASKS_MAX_COUNT; chunk++) {
             task_ref_t ref = task_ref(id, chunk * CHUNK_BITS, 1 + chunk);
-            record_entry_t entry = {.task = ref.task, .attempt = ref.attempt, .team = "blue"};
+            record_entry_t entry = {.task = ref.task, .attempt = ref.attempt, .team = "team-b"};
             g_strlcpy(entry.job, id, sizeof entry.job);
-            leader_load_attempt(leader, &entry, "north", 0);
+            leader_load_attempt(leader, &entry, "zone-a", 0);
             attempt_result_t done = {.ref = ref, .cause = CAUSE_DONE};
             leader_handle_result(leader, 0, &done, 900);
         }
@@ -707,14 +710,14 @@
 static void test_gang_is_requested_whole_or_not_at_all(void **state)
 {
     (void)state;
-    job_spec_t spec = job("j-000001", "blue", 4);
+    job_spec_t spec = job("j-000001", "team-b", 4);
     spec.kind = KIND_GANG;
-    set_resources(0, "north", 6);
+    set_resources(0, "zone-a", 6);
     add(&spec);
     GArray *requests = schedule();
     assert_int_equal(requests->len, 0);
     g_array_unref(requests);
-    set_resources(1, "south", 6);
+    set_resources(1, "zone-b", 6);
     requests = schedule();
     assert_int_equal(requests->len, 4);
     assert_int_equal(g_array_index(requests, leader_request_t, 0).request.attempt,
@@ -727,7 +730,7 @@
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
     for (guint i = 0; i < machines; i++) {
         machine_summary_t summary = {
-            .type = "t", .zone = "north", .open = open, .silent_ms = silent_ms};
+            .type = "t", .zone = "zone-a", .open = open, .silent_ms = silent_ms};
         g_snprintf(summary.machine, sizeof summary.machine, "m-%06u", i);
         g_array_append_val(summaries, summary);
     }
@@ -738,14 +741,14 @@
  * since. */
 static bool next_rental(bool spot_allowed, guint silent, msec_t after, scale_out_request_t *request)
 {
-    static char *zones[] = {"north", NULL};
+    static char *zones[] = {"zone-a", NULL};
     GArray *machine_types = g_array_new(FALSE, FALSE, sizeof(machine_type_t));
     machine_type_t machine_type = {
         .name = "t", .capacity = {16, 0, 64}, .price = 3, .spot_price = 1, .zones = zones};
     g_array_append_val(machine_types, machine_type);
-    job_spec_t spec = job("j-000001", "green", 50);
+    job_spec_t spec = job("j-000001", "team-c", 50);
     spec.spot = spot_allowed;
-    add_team("green", 0, 0);
+    add_team("team-c", 0, 0);
     leader_free(leader);
     leader = leader_new(teams, slos, policy, 1);
     add(&spec);
@@ -755,7 +758,7 @@
     assert_int_equal(fallen->len, silent >= LOST_MACHINES_MIN_COUNT);
     g_ptr_array_unref(fallen);
     set_summaries(0, 0, false);
-    scale_out_request_t taken = {.type = "t", .zone = "north", .spot = true};
+    scale_out_request_t taken = {.type = "t", .zone = "zone-a", .spot = true};
     autoscaler_record_refusal(autoscaler, &taken, G_MAXINT64);
     bool wished =
         autoscaler_next_scale_out(autoscaler, leader, machine_types, 1000 + after, 2000, request);
@@ -783,22 +786,22 @@
  * seconds. */
 static guint ordinary_for(uint32_t tasks)
 {
-    static char *zones[] = {"north", NULL};
+    static char *zones[] = {"zone-a", NULL};
     scale_out_request_t request;
-    scale_out_request_t taken = {.type = "t", .zone = "north", .spot = true};
+    scale_out_request_t taken = {.type = "t", .zone = "zone-a", .spot = true};
     GArray *machine_types = g_array_new(FALSE, FALSE, sizeof(machine_type_t));
     machine_type_t machine_type = {
         .name = "t", .capacity = {16, 0, 64}, .price = 3, .spot_price = 1, .zones = zones};
     g_array_append_val(machine_types, machine_type);
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
-    machine_summary_t summary = {.type = "t", .zone = "north", .open = true, .spot = true};
+    machine_summary_t summary = {.type = "t", .zone = "zone-a", .open = true, .spot = true};
     summary.total = machine_type.capacity;
     for (guint i = 0; i < 10; i++)
         g_array_append_val(summaries, summary);
     leader_free(leader);
     leader = leader_new(teams, slos, policy, 1);
     leader_set_summaries(leader, 0, summaries);
-    job_spec_t spec = job("j-000001", "green", tasks);
+    job_spec_t spec = job("j-000001", "team-c", tasks);
     spec.spot = true;
     add(&spec);
     autoscaler_t *autoscaler = autoscaler_new();
@@ -816,7 +819,7 @@
 static void test_work_that_waits_too_long_gets_a_share_of_ordinary_machines(void **state)
 {
     (void)state;
-    add_team("green", 0, 0);
+    add_team("team-c", 0, 0);
     assert_int_equal(ordinary_for(900), 0);  /* 113 s on what stands */
     assert_int_equal(ordinary_for(1100), 1); /* 138 s: 183 cpus would do it in the patience */
     assert_int_equal(ordinary_for(3000), 7); /* a fourth of the 500 that would */
@@ -843,22 +846,23 @@
 static void test_a_zone_that_reports_again_is_reachable(void **state)
 {
     (void)state;
-    add_team("green", 0, 0);
+    add_team("team-c", 0, 0);
     leader_free(leader);
     leader = leader_new(teams, slos, policy, 1);
     autoscaler_t *autoscaler = autoscaler_new();
     set_summaries(5, 9000, false);
     g_ptr_array_unref(autoscaler_update_zones(autoscaler, leader, 6000, 1000));
-    assert_true(autoscaler_is_zone_unreachable(autoscaler, "north", 1000));
-    assert_true(autoscaler_awaits_zone(autoscaler, "north", 40000, 20000, 1000));
-    assert_false(autoscaler_awaits_zone(autoscaler, "north", UNREACHABLE_WAIT_MS + 1, 20000, 1000));
+    assert_true(autoscaler_is_zone_unreachable(autoscaler, "zone-a", 1000));
+    assert_true(autoscaler_awaits_zone(autoscaler, "zone-a", 40000, 20000, 1000));
+    assert_false(
+        autoscaler_awaits_zone(autoscaler, "zone-a", UNREACHABLE_WAIT_MS + 1, 20000, 1000));
     set_summaries(5, 0, true);
     g_ptr_array_unref(autoscaler_update_zones(autoscaler, leader, 6000, 2000));
-    assert_false(autoscaler_is_zone_unreachable(autoscaler, "north", 2000));
+    assert_false(autoscaler_is_zone_unreachable(autoscaler, "zone-a", 2000));
     /* Its other machines were given up the moment that the first was back. */
-    assert_true(autoscaler_awaits_zone(autoscaler, "north", 42000, 20000, 2500));
-    assert_false(autoscaler_awaits_zone(autoscaler, "north", 42000, 20000, 22001));
-    assert_false(autoscaler_awaits_zone(autoscaler, "south", 42000, 20000, 2500));
+    assert_true(autoscaler_awaits_zone(autoscaler, "zone-a", 42000, 20000, 2500));
+    assert_false(autoscaler_awaits_zone(autoscaler, "zone-a", 42000, 20000, 22001));
+    assert_false(autoscaler_awaits_zone(autoscaler, "zone-b", 42000, 20000, 2500));
     autoscaler_free(autoscaler);
 }
 
@@ -872,19 +876,19 @@
     leader_free(leader);
     leader = leader_new(teams, slos, policy, 2);
     leader_set_view(leader, 4);
-    job_spec_t cancelled_later = job("j-000001", "red", 12);
+    job_spec_t cancelled_later = job("j-000001", "team-a", 12);
     add(&cancelled_later);
     for (uint32_t i = 0; i < 12; i++) {
         record_entry_t red = {
-            .job = "j-000001", .team = "red", .need = {2, 0, 1}, .task = i, .attempt = 9};
+            .job = "j-000001", .team = "team-a", .need = {2, 0, 1}, .task = i, .attempt = 9};
         record_entry_t blue = {
-            .job = "j-000002", .team = "blue", .need = {2, 0, 1}, .task = i, .attempt = 9};
-        leader_load_attempt(leader, &red, "south", 1);
-        leader_load_attempt(leader, &blue, "south", 1);
+            .job = "j-000002", .team = "team-b", .need = {2, 0, 1}, .task = i, .attempt = 9};
+        leader_load_attempt(leader, &red, "zone-b", 1);
+        leader_load_attempt(leader, &blue, "zone-b", 1);
     }
     leader_end_job(leader, "j-000001");
-    job_spec_t more[] = {job("j-000003", "red", 50), job("j-000004", "blue", 50)};
-    set_resources(0, "north", 1000);
+    job_spec_t more[] = {job("j-000003", "team-a", 50), job("j-000004", "team-b", 50)};
+    set_resources(0, "zone-a", 1000);
     add(&more[0]);
     add(&more[1]);
     GArray *requests = schedule();
--- a/tests/core/membership/test_election.c
+++ b/tests/core/membership/test_election.c
@@ -7,7 +7,7 @@
 static int set_up(void **state)
 {
     (void)state;
-    member_t self = {.name = "hand-1", .zone = "north", .incarnation = 200};
+    member_t self = {.name = "controller-1", .zone = "zone-a", .incarnation = 200};
     election_init(&election, &self);
     return 0;
 }
@@ -22,7 +22,7 @@
 
 static void present(const char *name, uint64_t incarnation, msec_t now)
 {
-    member_t member = {.zone = "north", .incarnation = incarnation};
+    member_t member = {.zone = "zone-a", .incarnation = incarnation};
     g_strlcpy(member.name, name, sizeof member.name);
     election_take_member(&election, name, &member, now);
 }
@@ -40,10 +40,10 @@
 static void test_leader_back_at_once_takes_its_lease_over(void **state)
 {
     (void)state;
-    election_take_lease(&election, "hand-1", 100, 50);
+    election_take_lease(&election, "controller-1", 100, 50);
     assert_true(election_is_vacant(&election));
     assert_false(election_is_taken(&election));
-    election_take_lease(&election, "hand-1", 200, 60); /* ours now */
+    election_take_lease(&election, "controller-1", 200, 60); /* ours now */
     assert_false(election_is_vacant(&election));
 }
 
@@ -53,10 +53,10 @@
 {
     (void)state;
     assert_true(election_is_vacant(&election));
-    election_take_lease(&election, "hand-2", 300, 60);
+    election_take_lease(&election, "controller-2", 300, 60);
     assert_true(election_is_taken(&election));
     election_take_lease(&election, NULL, 0, 55);
-    election_take_lease(&election, "hand-1", 100, 50);
+    election_take_lease(&election, "controller-1", 100, 50);
     assert_true(election_is_taken(&election));
     assert_false(election_is_vacant(&election));
     election_take_lease(&election, NULL, 0, 70);
@@ -70,15 +70,15 @@
     (void)state;
     view_t view = {0};
     view_t next = {0};
-    present("hand-0", 10, 1000);
-    present("hand-2", 30, 1000);
+    present("controller-0", 10, 1000);
+    present("controller-2", 30, 1000);
     election_members(&election, &view, 2000);
     assert_int_equal(view.count, 3);
-    assert_int_equal(incarnation_in(&view, "hand-1"), 200);
-    present("hand-2", 31, 3000);
+    assert_int_equal(incarnation_in(&view, "controller-1"), 200);
+    present("controller-2", 31, 3000);
     election_members(&election, &next, 4000);
     assert_false(election_same_members(&view, &next));
-    assert_int_equal(incarnation_in(&next, "hand-2"), 31);
+    assert_int_equal(incarnation_in(&next, "controller-2"), 31);
 }
 
 /* The request by which the earlier incarnation entered itself is carried out after ours: we would
@@ -87,13 +87,13 @@
 {
     (void)state;
     assert_true(election_is_displaced(&election));
-    present("hand-1", 200, 1000);
+    present("controller-1", 200, 1000);
     assert_false(election_is_displaced(&election));
-    present("hand-1", 100, 2000);
+    present("controller-1", 100, 2000);
     assert_true(election_is_displaced(&election));
     view_t view = {0};
     election_members(&election, &view, 3000);
-    assert_int_equal(incarnation_in(&view, "hand-1"), 200); /* leading, we know better */
+    assert_int_equal(incarnation_in(&view, "controller-1"), 200); /* leading, we know better */
 }
 
 /* Refused alone for 30 s, a leader was replaced. Back in touch, its summaries showed all its
--- a/tests/core/membership/test_redirection.c
+++ b/tests/core/membership/test_redirection.c
@@ -23,7 +23,7 @@
     worker_heartbeat_t heartbeat = {.machine = "m-000001",
                                     .worker_epoch = worker_epoch,
                                     .heartbeat_sequence = heartbeat_sequence};
-    return redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false, now);
+    return redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false, now);
 }
 
 static guint retained(msec_t now)
@@ -75,7 +75,7 @@
 {
     worker_heartbeat_t heartbeat = {.worker_epoch = 1, .heartbeat_sequence = heartbeat_sequence};
     g_strlcpy(heartbeat.machine, machine, sizeof heartbeat.machine);
-    return redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false,
+    return redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false,
                                         REDIRECTION_GRACE_MS + now);
 }
 
@@ -113,13 +113,13 @@
     worker_heartbeat_t heartbeat = {
         .machine = "m-000002", .worker_epoch = 1, .heartbeat_sequence = 1};
     redirection_clear(redirection, 0, REDIRECTION_GRACE_MS + 2050);
-    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false,
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false,
                                                   REDIRECTION_GRACE_MS + 2100),
                      REDIRECTION_TO_OWNER);
     /* Nor is any worker retained for a probe while workers are on their way to new owners, whatever
      * token a command brought them. */
     g_strlcpy(heartbeat.machine, "m-000003", sizeof heartbeat.machine);
-    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false,
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false,
                                                   REDIRECTION_GRACE_MS + 2200),
                      REDIRECTION_TO_OWNER);
 }
@@ -134,20 +134,20 @@
     redirection_clear(redirection, 0, REDIRECTION_GRACE_MS + 11500);
     worker_heartbeat_t heartbeat = {
         .machine = "m-000004", .worker_epoch = 1, .heartbeat_sequence = 1};
-    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false,
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false,
                                                   REDIRECTION_GRACE_MS + 12000),
                      REDIRECTION_RETAINED);
     heartbeat.heartbeat_sequence = 2;
     g_strlcpy(heartbeat.machine, "m-000005", sizeof heartbeat.machine);
-    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1 anew", false,
-                                                  REDIRECTION_GRACE_MS + 12000),
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-1 anew",
+                                                  false, REDIRECTION_GRACE_MS + 12000),
                      REDIRECTION_TO_OWNER);
-    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-2", false,
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-2", false,
                                                   REDIRECTION_GRACE_MS + 12000),
                      REDIRECTION_DUPLICATE);
     heartbeat.heartbeat_sequence = 3; /* it came right back from the one that began anew */
-    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1 anew", false,
-                                                  REDIRECTION_GRACE_MS + 20000),
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-1 anew",
+                                                  false, REDIRECTION_GRACE_MS + 20000),
                      REDIRECTION_RETAINED);
 }
 
@@ -161,19 +161,21 @@
     worker_heartbeat_t heartbeat = {
         .machine = "m-000001", .worker_epoch = 1, .heartbeat_sequence = 5, .fencing_token = 6};
     redirection_clear(redirection, 7, 1000);
-    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false, 1100),
-                     REDIRECTION_UNVERIFIED);
-    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false, 1200),
-                     REDIRECTION_UNVERIFIED);
+    assert_int_equal(
+        redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false, 1100),
+        REDIRECTION_UNVERIFIED);
+    assert_int_equal(
+        redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false, 1200),
+        REDIRECTION_UNVERIFIED);
     heartbeat.heartbeat_sequence = 9;
     heartbeat.fencing_token =
         7; /* the worker: an answer, or its owner's command, brought it the fencing token */
-    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "hand-1", false,
+    assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false,
                                                   1100 + REDIRECT_TIMEOUT_MS),
                      REDIRECTION_TO_OWNER);
     worker_heartbeat_t other = {
         .machine = "m-000002", .worker_epoch = 1, .heartbeat_sequence = 5, .fencing_token = 7};
-    assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", false,
+    assert_int_equal(redirection_handle_heartbeat(redirection, &other, "controller-1", false,
                                                   1200 + REDIRECT_TIMEOUT_MS),
                      REDIRECTION_TO_OWNER);
     assert_int_equal(retained(1200 + REDIRECT_TIMEOUT_MS), 0);
@@ -218,10 +220,11 @@
     msec_t now = REDIRECTION_GRACE_MS + 1000;
     worker_heartbeat_t first = {.machine = "m-000001", .worker_epoch = 1, .heartbeat_sequence = 1};
     worker_heartbeat_t second = {.machine = "m-000002", .worker_epoch = 1, .heartbeat_sequence = 1};
-    assert_int_equal(redirection_handle_heartbeat(redirection, &first, "hand-1", true, now),
-                     REDIRECTION_TO_OWNER);
-    assert_int_equal(redirection_handle_heartbeat(redirection, &second, "hand-1", true, now + 100),
+    assert_int_equal(redirection_handle_heartbeat(redirection, &first, "controller-1", true, now),
                      REDIRECTION_TO_OWNER);
+    assert_int_equal(
+        redirection_handle_heartbeat(redirection, &second, "controller-1", true, now + 100),
+        REDIRECTION_TO_OWNER);
     owner_health_t health = {.answered_at = now - 500, .worker_heartbeat_at = now - 800};
     assert_true(redirection_owner_is_healthy(&health, now));
     /* One that answers us but is heard by no worker, or the reverse, may be cut from workers. */
@@ -241,22 +244,25 @@
     msec_t now = REDIRECTION_GRACE_MS + 1000;
     worker_heartbeat_t probe = {.machine = "m-000001", .worker_epoch = 1, .heartbeat_sequence = 1};
     worker_heartbeat_t other = {.machine = "m-000002", .worker_epoch = 1, .heartbeat_sequence = 1};
-    assert_int_equal(redirection_handle_heartbeat(redirection, &probe, "hand-1", false, now),
+    assert_int_equal(redirection_handle_heartbeat(redirection, &probe, "controller-1", false, now),
                      REDIRECTION_TO_OWNER);
-    assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", false, now + 100),
-                     REDIRECTION_RETAINED);
+    assert_int_equal(
+        redirection_handle_heartbeat(redirection, &other, "controller-1", false, now + 100),
+        REDIRECTION_RETAINED);
     other.heartbeat_sequence++;
-    assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", false, now + 1100),
-                     REDIRECTION_RETAINED);
+    assert_int_equal(
+        redirection_handle_heartbeat(redirection, &other, "controller-1", false, now + 1100),
+        REDIRECTION_RETAINED);
     other.heartbeat_sequence++;
-    assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", true, now + 2100),
-                     REDIRECTION_TO_OWNER);
+    assert_int_equal(
+        redirection_handle_heartbeat(redirection, &other, "controller-1", true, now + 2100),
+        REDIRECTION_TO_OWNER);
     other.heartbeat_sequence++; /* it tried for itself in vain, and stays for the whole time */
-    assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", true,
+    assert_int_equal(redirection_handle_heartbeat(redirection, &other, "controller-1", true,
                                                   now + 2100 + REDIRECT_TIMEOUT_MS),
                      REDIRECTION_RETAINED);
     other.heartbeat_sequence++;
-    assert_int_equal(redirection_handle_heartbeat(redirection, &other, "hand-1", true,
+    assert_int_equal(redirection_handle_heartbeat(redirection, &other, "controller-1", true,
                                                   now + 3100 + REDIRECT_TIMEOUT_MS),
                      REDIRECTION_RETAINED);
 }
--- a/tests/core/partition/test_partition.c
+++ b/tests/core/partition/test_partition.c
@@ -69,7 +69,7 @@
     placement_request_t request = {
         .need = {cpus, 0, 4}, .task = task, .attempt = attempt, .job_revision = 5};
     g_strlcpy(request.job, job, sizeof request.job);
-    g_strlcpy(request.team, "red", sizeof request.team);
+    g_strlcpy(request.team, "team-a", sizeof request.team);
     return request;
 }
 
@@ -437,11 +437,11 @@
     machine_record_t machine = {.worker_epoch = 1,
                                 .address = "10.1.0.1:9000",
                                 .type = "t16",
-                                .zone = "north",
+                                .zone = "zone-a",
                                 .machine = "m-000001"};
     machine.entries = g_array_new(FALSE, FALSE, sizeof(record_entry_t));
     record_entry_t entry = {
-        .job = "j-000001", .team = "red", .image = "i", .need = {4, 0, 4}, .attempt = 55};
+        .job = "j-000001", .team = "team-a", .image = "i", .need = {4, 0, 4}, .attempt = 55};
     g_array_append_val(machine.entries, entry);
     g_array_append_val(record.machines, machine);
     shard_of(machine.machine, machine.zone, record.shard, sizeof record.shard);
--- a/tests/core/replication/test_channel.c
+++ b/tests/core/replication/test_channel.c
@@ -54,12 +54,12 @@
     (void)state;
     char *types[] = {"t16", "t32", NULL};
     peer_message_t message = {
-        .sender = "hand-1", .incarnation = 77, .view = 5, .number = 3, .ack = 2};
+        .sender = "controller-1", .incarnation = 77, .view = 5, .number = 3, .ack = 2};
     message.items = channel_items_new();
     channel_item_t request = {.kind = CHANNEL_PLACEMENT_REQUEST};
     request.request = (placement_request_t){.job = "j-000001",
-                                            .team = "red",
-                                            .zone = "north",
+                                            .team = "team-a",
+                                            .zone = "zone-a",
                                             .need = {2, 1, 11},
                                             .task = 4,
                                             .attempt = 1ULL << 40,
@@ -73,7 +73,7 @@
     g_array_append_val(message.items, result);
     message.summaries.summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
     machine_summary_t summary = {
-        .machine = "m-1", .type = "t16", .zone = "north", .free = {3, 0, 7}};
+        .machine = "m-1", .type = "t16", .zone = "zone-a", .free = {3, 0, 7}};
     g_array_append_val(message.summaries.summaries, summary);
     job_counts_t counts = {.job = "j-000003", .done = 4, .outstanding = 100000};
     message.counts = (job_counts_update_t){.epoch = 6, .version = 1ULL << 33};
@@ -103,9 +103,9 @@
     peer_message_clear(&decoded);
 }
 
-static const member_t members[] = {{.name = "hand-0", .zone = "north"},
-                                   {.name = "hand-1", .zone = "south"},
-                                   {.name = "hand-2", .zone = "north"}};
+static const member_t members[] = {{.name = "controller-0", .zone = "zone-a"},
+                                   {.name = "controller-1", .zone = "zone-b"},
+                                   {.name = "controller-2", .zone = "zone-a"}};
 
 static void test_workers_stay_in_their_zone(void **state)
 {
@@ -113,8 +113,8 @@
     for (int i = 0; i < 50; i++) {
         char machine[ID_BYTES];
         g_snprintf(machine, sizeof machine, "m-%06d", i);
-        assert_int_equal(owner_of(members, 3, machine, "south"), 1);
-        assert_int_not_equal(owner_of(members, 3, machine, "north"), 1);
+        assert_int_equal(owner_of(members, 3, machine, "zone-b"), 1);
+        assert_int_not_equal(owner_of(members, 3, machine, "zone-a"), 1);
     }
 }
 
@@ -126,8 +126,8 @@
     for (int i = 0; i < 200; i++) {
         char machine[ID_BYTES];
         g_snprintf(machine, sizeof machine, "m-%06d", i);
-        guint before = owner_of(members, 3, machine, "west");
-        guint after = owner_of(members, 2, machine, "west");
+        guint before = owner_of(members, 3, machine, "zone-d");
+        guint after = owner_of(members, 2, machine, "zone-d");
         owned += before == 2;
         moved += before != after;
         assert_true(before == 2 || before == after);
@@ -145,10 +145,10 @@
     for (int i = 0; i < 50; i++) {
         char machine[ID_BYTES];
         g_snprintf(machine, sizeof machine, "m-%06d", i);
-        assert_int_not_equal(owner_of(some, 3, machine, "south"), 1);
+        assert_int_not_equal(owner_of(some, 3, machine, "zone-b"), 1);
     }
     some[0].is_excluded = some[2].is_excluded = true;
-    assert_int_equal(owner_of(some, 3, "m-000001", "south"), 1);
+    assert_int_equal(owner_of(some, 3, "m-000001", "zone-b"), 1);
 }
 
 int main(void)
--- a/tests/core/replication/test_summary_update.c
+++ b/tests/core/replication/test_summary_update.c
@@ -18,7 +18,7 @@
     machine_summary_t summary = {.open = true, .total = {16, 0, 64}, .free = {16, 0, 64}};
     g_snprintf(summary.machine, sizeof summary.machine, "m-%06u", number);
     g_strlcpy(summary.type, "t16", sizeof summary.type);
-    g_strlcpy(summary.zone, "north", sizeof summary.zone);
+    g_strlcpy(summary.zone, "zone-a", sizeof summary.zone);
     return summary;
 }
 
--- a/tests/fakes/services.c
+++ b/tests/fakes/services.c
@@ -243,7 +243,7 @@
                    ? plain(200, json_loads("{\"Hulls\":[{\"Name\":\"t16\",\"Cpus\":16,"
                                            "\"Accelerators\":0,\"MemGb\":64,\"Price\":1.0,"
                                            "\"MarketPrice\":0.4,\"BootS\":20,\"Docks\":"
-                                           "[\"north\"]}]}",
+                                           "[\"zone-a\"]}]}",
                                            0, NULL))
                    : plain(503, json_object());
     if (strcmp(path, "/hosts") == 0 && strcmp(method, "GET") == 0)
--- a/tests/fakes/worker.c
+++ b/tests/fakes/worker.c
@@ -27,7 +27,7 @@
     g_strlcpy(heartbeat.machine, worker->id, sizeof heartbeat.machine);
     g_strlcpy(heartbeat.address, "10.1.0.1:9000", sizeof heartbeat.address);
     g_strlcpy(heartbeat.type, "t16", sizeof heartbeat.type);
-    g_strlcpy(heartbeat.zone, "north", sizeof heartbeat.zone);
+    g_strlcpy(heartbeat.zone, "zone-a", sizeof heartbeat.zone);
     return heartbeat;
 }
 
--- a/tests/io/test_records.c
+++ b/tests/io/test_records.c
@@ -39,7 +39,7 @@
     job_spec_t spec = {.tasks = tasks, .need = {4, 0, 4}, .estimate_s = 10};
     g_strlcpy(spec.id, id, sizeof spec.id);
     g_strlcpy(spec.class_name, "c", sizeof spec.class_name);
-    g_strlcpy(spec.team, "red", sizeof spec.team);
+    g_strlcpy(spec.team, "team-a", sizeof spec.team);
     g_strlcpy(spec.image, "i", sizeof spec.image);
     return spec;
 }
@@ -60,7 +60,7 @@
     g_strlcpy(heartbeat.machine, id, sizeof heartbeat.machine);
     g_strlcpy(heartbeat.address, "10.1.255.254:9000", sizeof heartbeat.address);
     g_strlcpy(heartbeat.type, type, sizeof heartbeat.type);
-    g_strlcpy(heartbeat.zone, "north", sizeof heartbeat.zone);
+    g_strlcpy(heartbeat.zone, "zone-a", sizeof heartbeat.zone);
     heartbeat.attempts = g_array_new(FALSE, FALSE, sizeof(reported_attempt_t));
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     partition_handle_heartbeat(partition, &heartbeat, false, 1000 * (msec_t)heartbeat_sequence,
@@ -75,7 +75,7 @@
     placement_request_t request = {.need = {4, 0, 4},
                                    .attempt = 100,
                                    .job_revision = job_revision,
-                                   .team = "red",
+                                   .team = "team-a",
                                    .image = "i"};
     g_strlcpy(request.job, id, sizeof request.job);
     assert_non_null(partition_place(partition, &request, 1000));
@@ -95,7 +95,7 @@
 static void test_late_entry_of_a_member_fails(void **state)
 {
     (void)state;
-    member_t self = {.name = "node-1", .zone = "north", .incarnation = 5};
+    member_t self = {.name = "node-1", .zone = "zone-a", .incarnation = 5};
     kv_txn_t late = records_member(&self, 0, 1);
     assert_int_equal(fake_kv_store_apply(store, records_member(&self, 0, 2)), KV_OK);
     uint64_t revision = fake_kv_store_revision(store, "view/members/node-1");
@@ -109,7 +109,7 @@
 {
     static char key[SHARD_NAME_BYTES + 16];
     char shard[SHARD_NAME_BYTES];
-    shard_of("m-000001", "north", shard, sizeof shard);
+    shard_of("m-000001", "zone-a", shard, sizeof shard);
     g_snprintf(key, sizeof key, "machines/%s", shard);
     return key;
 }
@@ -159,7 +159,7 @@
     assert_true(attempt->need.cpus > 3.9 && attempt->need.memory > 3.9);
     g_array_unref(record.machines);
     /* Under another shard's key it would have two owners: it is not taken. */
-    assert_false(codec_parse_record("north.99", entry->value, entry->revision, &record));
+    assert_false(codec_parse_record("zone-a.99", entry->value, entry->revision, &record));
 }
 
 static void test_submission_applied_late_does_not_bring_the_job_back(void **state)
@@ -231,10 +231,10 @@
     GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
     char own_shard[SHARD_NAME_BYTES];
     char shard[SHARD_NAME_BYTES];
-    shard_of("m-000001", "north", own_shard, sizeof own_shard);
+    shard_of("m-000001", "zone-a", own_shard, sizeof own_shard);
     for (guint i = 1; ids->len < FLEET; i++) {
         char *id = g_strdup_printf("m-%06u", i);
-        shard_of(id, "north", shard, sizeof shard);
+        shard_of(id, "zone-a", shard, sizeof shard);
         if (strcmp(shard, own_shard) == 0)
             g_ptr_array_add(ids, id);
         else
@@ -411,17 +411,17 @@
     char name[PAGE_NAME_BYTES];
     char shard[SHARD_NAME_BYTES];
     guint page = 9;
-    page_name("east+1.b.07", 0, name, sizeof name);
-    assert_string_equal(name, "east+1.b.07"); /* as builds without pages wrote it */
+    page_name("zone-c+1.b.07", 0, name, sizeof name);
+    assert_string_equal(name, "zone-c+1.b.07"); /* as builds without pages wrote it */
     assert_true(page_parse(name, shard, sizeof shard, &page));
-    assert_string_equal(shard, "east+1.b.07");
+    assert_string_equal(shard, "zone-c+1.b.07");
     assert_int_equal(page, 0);
-    page_name("east+1.b.07", 12, name, sizeof name);
+    page_name("zone-c+1.b.07", 12, name, sizeof name);
     assert_true(page_parse(name, shard, sizeof shard, &page));
-    assert_string_equal(shard, "east+1.b.07");
+    assert_string_equal(shard, "zone-c+1.b.07");
     assert_int_equal(page, 12);
-    assert_false(page_parse("east.07+x", shard, sizeof shard, &page));
-    assert_false(page_parse("east", shard, sizeof shard, &page));
+    assert_false(page_parse("zone-c.07+x", shard, sizeof shard, &page));
+    assert_false(page_parse("zone-c", shard, sizeof shard, &page));
 }
 
 static guint count_changes(kv_txn_t txn)
--- a/tests/io/test_relay.c
+++ b/tests/io/test_relay.c
@@ -77,7 +77,7 @@
                                      .known_ms = 100000 + i};
         g_snprintf(summary.machine, sizeof summary.machine, "m-%06u", i * 3);
         g_strlcpy(summary.type, "sixteen", sizeof summary.type);
-        g_strlcpy(summary.zone, i % 3 ? "north" : "south", sizeof summary.zone);
+        g_strlcpy(summary.zone, i % 3 ? "zone-a" : "zone-b", sizeof summary.zone);
         g_array_append_val(message.summaries.summaries, summary);
     }
     for (guint i = 0; i < PEER_BATCH_COUNT; i++) {
@@ -89,7 +89,7 @@
     }
     GByteArray *frame = peer_encode(&message);
     kv_txn_t txn = kv_txn_new();
-    guint pages = relay_write(&txn, "up", "hand-1", frame, 16384);
+    guint pages = relay_write(&txn, "up", "controller-1", frame, 16384);
     kv_txn_free(&txn);
     g_byte_array_unref(frame);
     peer_message_clear(&message);
@@ -111,15 +111,15 @@
 static void test_long_message_goes_in_pages(void **state)
 {
     (void)state;
-    assert_true(post("hand-1", 5000, 7) > 2);
-    assert_int_equal(post("hand-10", 10, 9), 1);
+    assert_true(post("controller-1", 5000, 7) > 2);
+    assert_int_equal(post("controller-10", 10, 9), 1);
     GArray *relayed_messages = open_inbox();
     assert_int_equal(relayed_messages->len, 2);
     const relay_message_t *relayed = &g_array_index(relayed_messages, relay_message_t, 0);
-    assert_string_equal(relayed->name, "hand-1");
+    assert_string_equal(relayed->name, "controller-1");
     assert_int_equal(relayed->frame->len, 5000);
     assert_int_equal(relayed->frame->data[4999], 7);
-    assert_string_equal(g_array_index(relayed_messages, relay_message_t, 1).name, "hand-10");
+    assert_string_equal(g_array_index(relayed_messages, relay_message_t, 1).name, "controller-10");
     g_array_unref(relayed_messages);
 }
 
@@ -127,8 +127,8 @@
 static void test_pages_of_an_earlier_message_are_passed_over(void **state)
 {
     (void)state;
-    guint before = post("hand-1", 5000, 7);
-    guint after = post("hand-1", 1800, 8);
+    guint before = post("controller-1", 5000, 7);
+    guint after = post("controller-1", 1800, 8);
     assert_true(after > 1 && after < before);
     GArray *relayed_messages = open_inbox();
     assert_int_equal(relayed_messages->len, 1);
@@ -142,8 +142,8 @@
 static void test_torn_message_is_ignored(void **state)
 {
     (void)state;
-    post("hand-1", 3000, 7);
-    kv_entry_t *page = g_hash_table_lookup(store->keys, "mail/up/hand-1.1");
+    post("controller-1", 3000, 7);
+    kv_entry_t *page = g_hash_table_lookup(store->keys, "mail/up/controller-1.1");
     assert_non_null(page);
     page->revision++;
     GArray *relayed_messages = open_inbox();
--- a/tests/io/test_settings.c
+++ b/tests/io/test_settings.c
@@ -8,10 +8,10 @@
 static json_t *settings_body(void)
 {
     return json_loads(
-        "{\"host_name\":\"hand-0\",\"location\":\"north\",\"client_listen\":\"127.0.0.1:1\","
-        "\"mesh_addr\":\"127.0.0.1:2\",\"siblings\":[{\"host_name\":\"hand-1\",\"location\":"
-        "\"south\",\"endpoint\":\"127.0.0.1:3\"}],\"endpoints\":{\"cloud\":\"127.0.0.1:4\","
-        "\"state\":\"127.0.0.1:5\"},\"settings\":{\"teams\":[{\"name\":\"red\",\"cpus\":1.0,"
+        "{\"host_name\":\"controller-0\",\"location\":\"zone-a\",\"client_listen\":\"127.0.0.1:1\","
+        "\"mesh_addr\":\"127.0.0.1:2\",\"siblings\":[{\"host_name\":\"controller-1\",\"location\":"
+        "\"zone-b\",\"endpoint\":\"127.0.0.1:3\"}],\"endpoints\":{\"cloud\":\"127.0.0.1:4\","
+        "\"state\":\"127.0.0.1:5\"},\"settings\":{\"teams\":[{\"name\":\"team-a\",\"cpus\":1.0,"
         "\"cpus_max\":2.0,\"gpus\":0.0,\"gpus_max\":0.0}],\"objectives\":[{\"kind\":\"finished\","
         "\"class\":\"c\",\"within_s\":400.0},{\"kind\":\"finished\",\"class\":\"c\",\"within_s\":"
         "250.0},{\"kind\":\"new\",\"x\":1}],\"workers\":{\"report_s\":1.0,\"lease_s\":10.0,"
@@ -41,7 +41,7 @@
     char *error = NULL;
     settings_t *settings = load(settings_body(), &error);
     assert_non_null(settings);
-    assert_string_equal(settings->name, "hand-0");
+    assert_string_equal(settings->name, "controller-0");
     assert_int_equal(settings->siblings->len, 1);
     const slo_t *slos = g_hash_table_lookup(settings->slos, "c");
     assert_int_equal(slos->within_s->len, 2);
--- a/tests/policy/test_policy.c
+++ b/tests/policy/test_policy.c
@@ -49,9 +49,10 @@
 {
     (void)state;
     policy_t *policy = policy_compile(
-        "f", "use_spot = not (job.team == \"red\" and job.estimate > 2 * 5 min);", faults);
+        "f", "use_spot = not (job.team == \"team-a\" and job.estimate > 2 * 5 min);", faults);
     assert_non_null(policy);
-    policy_env_t env = {.number = {[ATTR_JOB_ESTIMATE] = 700}, .text = {[ATTR_JOB_TEAM] = "red"}};
+    policy_env_t env = {.number = {[ATTR_JOB_ESTIMATE] = 700},
+                        .text = {[ATTR_JOB_TEAM] = "team-a"}};
     assert_true(policy_value(policy, TUNABLE_USE_SPOT, &env) == 0);
     env.number[ATTR_JOB_ESTIMATE] = 500;
     assert_true(policy_value(policy, TUNABLE_USE_SPOT, &env) == 1);
--- a/tools/load.c
+++ b/tools/load.c
@@ -81,21 +81,22 @@
     json_t *siblings = json_array();
     for (guint i = 0; i < (guint)load.options.controllers; i++)
         if (i != index)
-            json_array_append_new(
-                siblings, json_pack("{s:o,s:s,s:o}", "host_name", json_sprintf("hand-%u", i),
-                                    "location", "north", "endpoint", endpoint(load.peer_ports[i])));
+            json_array_append_new(siblings,
+                                  json_pack("{s:o,s:s,s:o}", "host_name",
+                                            json_sprintf("controller-%u", i), "location", "zone-a",
+                                            "endpoint", endpoint(load.peer_ports[i])));
     json_t *settings = json_pack(
         "{s:i,s:[s],s:[{s:s,s:f,s:f,s:f,s:f}],s:[],s:{s:f,s:f,s:f,s:f,s:f},s:{s:f,s:f,s:f,s:i},"
         "s:{s:f,s:f},s:{s:f,s:f,s:i}}",
-        "initial_size", load.options.controllers, "zones", "north", "teams", "name", "red", "cpus",
-        1e5, "cpus_max", 1e6, "gpus", 0.0, "gpus_max", 0.0, "objectives", "workers", "report_s",
-        load.options.heartbeat_interval_s, "lease_s", 10.0, "gang_wait_s", 35.0, "gang_peer_s", 4.0,
-        "cancel_s", 30.0, "state", "rps", 250.0, "write_rps", 80.0, "value_kb", 16.0, "txn_ops", 48,
-        "cloud", "rps", 5.0, "list_lag_s", 3.0, "limits", "core_share", load.options.core_share,
-        "ram_mb", 37.0, "fd_limit", 600);
+        "initial_size", load.options.controllers, "zones", "zone-a", "teams", "name", "team-a",
+        "cpus", 1e5, "cpus_max", 1e6, "gpus", 0.0, "gpus_max", 0.0, "objectives", "workers",
+        "report_s", load.options.heartbeat_interval_s, "lease_s", 10.0, "gang_wait_s", 35.0,
+        "gang_peer_s", 4.0, "cancel_s", 30.0, "state", "rps", 250.0, "write_rps", 80.0, "value_kb",
+        16.0, "txn_ops", 48, "cloud", "rps", 5.0, "list_lag_s", 3.0, "limits", "core_share",
+        load.options.core_share, "ram_mb", 37.0, "fd_limit", 600);
     json_object_set_new(settings, "clock_off_ms", json_real(5));
     return json_pack("{s:o,s:s,s:o,s:o,s:o,s:{s:o,s:o},s:o}", "host_name",
-                     json_sprintf("hand-%u", index), "location", "north", "client_listen",
+                     json_sprintf("controller-%u", index), "location", "zone-a", "client_listen",
                      endpoint(load.ports[index]), "mesh_addr", endpoint(load.peer_ports[index]),
                      "siblings", siblings, "endpoints", "cloud", endpoint(services->cloud_port),
                      "state", endpoint(services->state_ports[index]), "settings", settings);
@@ -103,7 +104,7 @@
 
 static void start_controller(const services_t *services, guint index, const char *folder)
 {
-    char *path = g_strdup_printf("%s/hand-%u.json", folder, index);
+    char *path = g_strdup_printf("%s/controller-%u.json", folder, index);
     json_t *settings = build_settings(services, index);
     json_dump_file(settings, path, JSON_INDENT(2));
     json_decref(settings);
@@ -146,7 +147,7 @@
         if (status == HTTP_OK)
             fake_machine_answer(machine, answer);
         else if (status == HTTP_MISDIRECTED && owner)
-            controller = (guint)(owner[strlen("hand-")] - '0');
+            controller = (guint)(owner[strlen("controller-")] - '0');
         else
             controller = (controller + 1) % (guint)load.options.controllers;
         reported -= status == HTTP_OK ? 0 : (msec_t)(load.options.heartbeat_interval_s * MS_PER_S);
@@ -171,7 +172,7 @@
             char *id = g_strdup_printf("j-%06u", ++number);
             json_t *body = json_pack(
                 "{s:s,s:s,s:s,s:s,s:s,s:i,s:f,s:f,s:f,s:s,s:f,s:n,s:n,s:b,s:b,s:b,s:f,s:f,s:f,s:n}",
-                "Uid", id, "Reel", "c", "Crew", "red", "Rig", "sweep", "Urgency", "normal",
+                "Uid", id, "Reel", "c", "Crew", "team-a", "Rig", "sweep", "Urgency", "normal",
                 "Pieces", load.options.tasks, "Cpus", 1.0, "Accelerators", 0.0, "MemGb", 2.0,
                 "Cargo", "i", "ImageGb", 1.0, "Hulls", "Dock", "SamePlace", 0, "Apart", 0,
                 "Driftwood", 1, "HaulS", load.options.run_s, "KnotS", 0.0, "StowS", 0.0, "TideS");
@@ -238,7 +239,7 @@
         const double *last = g_hash_table_lookup(after, key);
         double rate = (*last - (first ? *first : 0)) / load.options.seconds;
         if (rate > 0)
-            printf("hand-%u %s %.3f/s\n", controller, key, rate);
+            printf("controller-%u %s %.3f/s\n", controller, key, rate);
     }
     g_ptr_array_unref(names);
 }
@@ -260,7 +261,7 @@
         {"core-share", 0, 0, G_OPTION_ARG_DOUBLE, &options->core_share, "in their settings", "F"},
         {"program", 0, 0, G_OPTION_ARG_FILENAME, &options->program, "the service", "FILE"},
         {"command", 0, 0, G_OPTION_ARG_STRING, &options->command,
-         "run in the measured time; {} is the process id of hand-0", "LINE"},
+         "run in the measured time; {} is the process id of controller-0", "LINE"},
         {0}};
     GOptionContext *context = g_option_context_new("- load for the service");
     g_option_context_add_main_entries(context, entries, NULL);
