--- a/src/constants.h
+++ b/src/constants.h
@@ -71,7 +71,7 @@
     KV_TXN_OPS_MIN_COUNT = 10
 };
 
-static const double REPORT_MIN_S = 0.01;
+static const double HEARTBEAT_INTERVAL_MIN_S = 0.01;
 static const double CLOUD_RPS_MIN = 0.1;
 /* Any number there; a larger one is a slip. */
 static const double SETTING_MAX = 1e9;
@@ -192,9 +192,9 @@
 /* ---- Workers' heartbeats and pushed commands ---- */
 
 enum {
-    HEARTBEAT_FOLLOWS_MS = 4800, /* a worker waits 4 s for an answer and a second more before it
-                                 turns elsewhere (protocol): a heartbeat that comes sooner follows
-                                 an answer that arrived */
+    HEARTBEAT_ANSWERED_WITHIN_MS = 4800, /* a worker waits 4 s for an answer and a second more
+                                 before it turns elsewhere (protocol): a heartbeat that comes sooner
+                                 follows an answer that arrived */
     HEARTBEAT_LATE_MS =
         1000,               /* a heartbeat is on its way, or waits for its turn, so long at most */
     PUSH_TIMEOUT_MS = 2000, /* a worker answers in milliseconds; later the heartbeat is the path */
@@ -209,7 +209,7 @@
 };
 
 /* Of report_s: a quarter more, and some machines are slower than they should be. */
-static const double REPORT_SPREAD_FACTOR = 1.5;
+static const double HEARTBEAT_SPREAD_FACTOR = 1.5;
 
 /* ---- Redirection of workers ---- */
 
@@ -235,7 +235,8 @@
 /* ---- Connectivity and known cancellations ---- */
 
 enum {
-    UNHEARD_MS = 5000, /* without a message of any sibling; heartbeats come each half second */
+    SIBLING_TIMEOUT_MS =
+        5000, /* without a message of any sibling; heartbeats come each half second */
     SERVE_ALONE_MS =
         8000, /* without key-value store and siblings, workers are answered so long: their
                  new owner, there after 5 s, waits 15 s before it gives them up */
@@ -332,7 +333,7 @@
     CLOUD_IDLE_GAP_MS = 1000,    /* between looks at what is to be published, where another leads */
     CLOUD_GAP_MS = 300,          /* between other calls: under 5 a second with the lists */
     MACHINE_TYPES_MS = 60000,    /* between reads of the types; prices move slowly */
-    CAPACITY_MEMORY_MS = 12000,  /* a refused type, zone and kind is not asked for again sooner */
+    CAPACITY_RETRY_MS = 12000,   /* a refused type, zone and kind is not asked for again sooner */
     UNREACHABLE_ZONE_MS = 60000, /* nothing is scaled out for so long in a zone that went silent,
                                     after its machines were given up */
     UNREACHABLE_WAIT_MS = 60000, /* those machines are waited for: three times what a boot takes */
@@ -341,15 +342,15 @@
 };
 
 /* The least patience of work near its deadline: it takes turns on a machine only within that. */
-static const double RENT_PATIENCE_MIN_S = 15.0;
+static const double SCALE_OUT_PATIENCE_MIN_S = 15.0;
 /* Of all that is wanted: the largest machine to rent. */
-static const double RENT_LARGEST_FRACTION = 0.6;
+static const double SCALE_OUT_LARGEST_FRACTION = 0.6;
 /* Of a machine: if no more than this is lacking, none is scaled out. */
-static const double RENT_ROUND_FRACTION = 0.25;
+static const double SCALE_OUT_ROUNDING_FRACTION = 0.25;
 /* Of the price, added for each machine of the same type, zone and kind. */
-static const double RENT_SPREAD_FRACTION = 0.02;
+static const double SCALE_OUT_SPREAD_FRACTION = 0.02;
 /* Of their patience: on-demand machines go back once the queue is below it divided by this. */
-static const double ORDINARY_EASED_FACTOR = 2.0;
+static const double ON_DEMAND_EASED_FACTOR = 2.0;
 /* Of a drained machine's cpus: with so much free, work that can save is moved elsewhere. */
 static const double DRAIN_EMPTY_FRACTION = 0.5;
 
--- a/src/controller/autoscaler/member_exclusion.c
+++ b/src/controller/autoscaler/member_exclusion.c
@@ -37,7 +37,7 @@
 msec_t cloud_lost_after(const controller_t *controller)
 {
     return MAX(LOST_SILENT_MS, (msec_t)(controller->settings->heartbeat_interval_s *
-                                        REPORT_SPREAD_FACTOR * MS_PER_S) +
+                                        HEARTBEAT_SPREAD_FACTOR * MS_PER_S) +
                                    2 * (msec_t)HEARTBEAT_LATE_MS);
 }
 
--- a/src/controller/autoscaler/scale_out.c
+++ b/src/controller/autoscaler/scale_out.c
@@ -65,7 +65,7 @@
             autoscaler_add_booting(controller->autoscaler, json_string_value(name), request->type,
                                    request->zone, request->spot, now);
         if (json_array_size(names) < request->count)
-            autoscaler_record_refusal(controller->autoscaler, request, now + CAPACITY_MEMORY_MS);
+            autoscaler_record_refusal(controller->autoscaler, request, now + CAPACITY_RETRY_MS);
     }
     pthread_mutex_unlock(&controller->lock);
     metrics_count(controller->metrics, COUNT_SCALED_OUT, json_array_size(names));
@@ -95,7 +95,7 @@
         pthread_mutex_lock(&cloud->controller->lock);
         if (cloud->controller->autoscaler)
             autoscaler_record_refusal(cloud->controller->autoscaler, &pending->request,
-                                      clock_steady() + CAPACITY_MEMORY_MS);
+                                      clock_steady() + CAPACITY_RETRY_MS);
         pthread_mutex_unlock(&cloud->controller->lock);
         log_info("event=no_capacity type=%s zone=%s spot=%d status=%d", pending->request.type,
                  pending->request.zone, pending->request.spot, status);
--- a/src/core/autoscaler/demand_balance.c
+++ b/src/core/autoscaler/demand_balance.c
@@ -10,7 +10,7 @@
         return most;
     double due = (double)(job->spec.submitted_ms - day_ms) / MS_PER_S + job->spec.deadline_s -
                  job->spec.estimate_s;
-    return CLAMP(due, MIN(most, RENT_PATIENCE_MIN_S), most);
+    return CLAMP(due, MIN(most, SCALE_OUT_PATIENCE_MIN_S), most);
 }
 
 static resources_t wanted_resources(const leader_t *leader, msec_t now, int64_t day_ms)
--- a/src/core/autoscaler/machine_choice.c
+++ b/src/core/autoscaler/machine_choice.c
@@ -50,9 +50,9 @@
 {
     double units = MAX(lack.cpus / MAX(machine_type->capacity.cpus, EPSILON),
                        lack.memory / MAX(machine_type->capacity.memory, EPSILON));
-    if (machine_type->capacity.cpus > wanted_cpus * RENT_LARGEST_FRACTION && units < 1)
+    if (machine_type->capacity.cpus > wanted_cpus * SCALE_OUT_LARGEST_FRACTION && units < 1)
         return 0;
-    return (guint)CLAMP(ceil(units - RENT_ROUND_FRACTION), 1, (double)SCALE_OUT_MAX_COUNT);
+    return (guint)CLAMP(ceil(units - SCALE_OUT_ROUNDING_FRACTION), 1, (double)SCALE_OUT_MAX_COUNT);
 }
 
 /* What a autoscaler is chosen by, and the best one so far. */
@@ -81,7 +81,7 @@
     double price = (spot ? machine_type->spot_price : machine_type->price) / MAX(cpus, EPSILON);
     /* Of equals the type and zone with the fewest, so that a wave or a cut takes less at once. */
     guint alike = count_of(choice->leader, choice->autoscaler, machine_type->name, zone, spot);
-    double cost = price * (1 + RENT_SPREAD_FRACTION * alike);
+    double cost = price * (1 + SCALE_OUT_SPREAD_FRACTION * alike);
     if (cost >= choice->cost)
         return;
     if (!spot && !promised)
@@ -157,7 +157,7 @@
     bool eased = extra > autoscaler_extra_on_demand_cpus(
                              leader, &balance,
                              tunable_value(leader->policy, TUNABLE_ON_DEMAND_PATIENCE) /
-                                 ORDINARY_EASED_FACTOR);
+                                 ON_DEMAND_EASED_FACTOR);
     machine_summary_t *worst = NULL;
     double worst_price = 0;
     for (guint i = 0; i < leader->summaries->len; i++) {
--- a/src/core/membership/connectivity.c
+++ b/src/core/membership/connectivity.c
@@ -6,7 +6,7 @@
         return CONNECTIVITY_GOOD;
     if (connectivity->siblings_kv_answered_at > connectivity->kv_answered_at + ISOLATED_AFTER_MS)
         return CONNECTIVITY_REFUSED;
-    if (!connectivity->has_no_siblings && now - connectivity->peer_message_at > UNHEARD_MS)
+    if (!connectivity->has_no_siblings && now - connectivity->peer_message_at > SIBLING_TIMEOUT_MS)
         return CONNECTIVITY_NONE;
     return CONNECTIVITY_OUTAGE;
 }
--- a/src/core/membership/redirection.c
+++ b/src/core/membership/redirection.c
@@ -111,7 +111,7 @@
         return REDIRECTION_DUPLICATE;
     /* Without the answer that retained it here it would have waited, and turned to another
      * controller. */
-    if (now < worker->retained_until && now - worker->seen < HEARTBEAT_FOLLOWS_MS)
+    if (now < worker->retained_until && now - worker->seen < HEARTBEAT_ANSWERED_WITHIN_MS)
         worker->reached = now;
     worker->worker_epoch = heartbeat->worker_epoch;
     worker->heartbeat_sequence = heartbeat->heartbeat_sequence;
--- a/src/core/partition/heartbeats.c
+++ b/src/core/partition/heartbeats.c
@@ -151,7 +151,7 @@
 static void record_acknowledgement(machine_t *machine, const worker_heartbeat_t *heartbeat,
                                    msec_t now)
 {
-    bool follows = now - machine->last_heartbeat_at < HEARTBEAT_FOLLOWS_MS;
+    bool follows = now - machine->last_heartbeat_at < HEARTBEAT_ANSWERED_WITHIN_MS;
     if (follows || !machine->has_heartbeat) {
         machine->has_heartbeat = true;
         machine->last_acknowledged_at = now;
--- a/src/core/partition/partition.c
+++ b/src/core/partition/partition.c
@@ -64,15 +64,15 @@
  */
 void partition_set_heartbeat_interval(partition_t *partition, double heartbeat_interval_s)
 {
-    partition->acknowledgement_timeout =
-        MAX(ACKNOWLEDGEMENT_TIMEOUT_MS,
-            (msec_t)(heartbeat_interval_s * REPORT_SPREAD_FACTOR * MS_PER_S) + HEARTBEAT_LATE_MS);
+    partition->acknowledgement_timeout = MAX(
+        ACKNOWLEDGEMENT_TIMEOUT_MS,
+        (msec_t)(heartbeat_interval_s * HEARTBEAT_SPREAD_FACTOR * MS_PER_S) + HEARTBEAT_LATE_MS);
 }
 
 void partition_delay_probes(partition_t *partition, double heartbeat_interval_s)
 {
     partition->probe_delay =
-        (msec_t)(heartbeat_interval_s * REPORT_SPREAD_FACTOR * MS_PER_S) + HEARTBEAT_LATE_MS;
+        (msec_t)(heartbeat_interval_s * HEARTBEAT_SPREAD_FACTOR * MS_PER_S) + HEARTBEAT_LATE_MS;
 }
 
 void partition_look_up_capacity(const partition_t *partition, machine_t *machine)
--- a/src/io/settings.c
+++ b/src/io/settings.c
@@ -214,7 +214,8 @@
         return;
     read_teams(reader, platform, settings);
     read_objectives(platform, settings);
-    settings->heartbeat_interval_s = read_number(reader, workers, "report_s", REPORT_MIN_S);
+    settings->heartbeat_interval_s =
+        read_number(reader, workers, "report_s", HEARTBEAT_INTERVAL_MIN_S);
     settings->lease_s = read_number(reader, workers, "lease_s", 1);
     settings->cancel_s = read_number(reader, workers, "cancel_s", 1);
     /* Between them lies all the time in which reports can be answered after the last word on
