--- a/src/constants.h
+++ b/src/constants.h
@@ -40,7 +40,6 @@
     BASE_URL_BYTES = ADDRESS_BYTES + 8, /**< Scheme and address. */
     METHOD_BYTES = 8,                   /**< HTTP method. */
     NUMBER_BYTES = 24,                  /**< A 64-bit integer in decimal. */
-    REASON_BYTES = 160,                 /**< Why a message was refused. */
     LOG_LINE_BYTES = 1024               /**< A log line; a longer one is truncated. */
 };
 
--- a/src/controller/api/job_state.c
+++ b/src/controller/api/job_state.c
@@ -2,6 +2,7 @@
 #include "controller/api/api_internal.h"
 
 #include "io/clock.h"
+#include "io/codec/codec.h"
 #include "io/log.h"
 
 bool api_acquire_client(request_t *request)
@@ -83,8 +84,7 @@
         return JOB_NEVER;
     if (result != KV_OK)
         return JOB_UNKNOWN;
-    const char *state = json_string_value(json_object_get(entry.value, "Trim"));
-    bool done = g_strcmp0(state, "done") == 0;
+    bool done = codec_is_ended_done(entry.value);
     api_entry_clear(&entry);
     return api_record_terminal_state(request->controller, id, done);
 }
--- a/src/controller/api/jobs.c
+++ b/src/controller/api/jobs.c
@@ -99,15 +99,6 @@
     return commit_job(request, spec);
 }
 
-/* The job that the submission is about, as far as that can be read. */
-static void read_id(const json_t *partial, char *id, gsize size)
-{
-    const json_t *value = json_object_get(partial, "Uid");
-    const char *text = json_string_value(value);
-    bool is_text = text && strlen(text) == json_string_length(value);
-    g_strlcpy(id, is_text ? text : "", size);
-}
-
 static reply_t submit(request_t *request)
 {
     const GString *text = request->body;
@@ -115,9 +106,9 @@
     json_t *body = json_input_load(text->str, text->len, &partial);
     char id[ID_BYTES];
     job_spec_t spec;
-    reason_t why = {"a JSON object is expected"};
-    bool valid = !request->is_too_long && codec_parse_job(body, false, &spec, &why);
-    read_id(partial, id, sizeof id);
+    g_autoptr(GError) error = NULL;
+    bool valid = !request->is_too_long && codec_parse_job(body, false, &spec, &error);
+    codec_get_submitted_id(partial, id, sizeof id);
     json_decref(body);
     json_decref(partial);
     if (valid) {
@@ -127,7 +118,7 @@
     }
     return reject(request, id,
                   api_refuse(HTTP_BAD_REQUEST,
-                             request->is_too_long ? "the body is over 64 KiB" : why.text, 0));
+                             request->is_too_long ? "the body is over 64 KiB" : error->message, 0));
 }
 
 reply_t api_submit(request_t *request)
@@ -157,7 +148,7 @@
     if (result != KV_OK && result != KV_NOT_FOUND)
         return api_retry_later();
     if (result == KV_OK) {
-        uint32_t tasks = (uint32_t)json_integer_value(json_object_get(entry.value, "Pieces"));
+        uint32_t tasks = codec_get_task_count(entry.value);
         result = commit_abort(request, id, entry.revision, tasks);
         api_entry_clear(&entry);
         if (result == KV_OK) {
--- a/src/controller/api/worker_heartbeats.c
+++ b/src/controller/api/worker_heartbeats.c
@@ -111,10 +111,10 @@
 reply_t api_handle_worker_heartbeat(controller_t *controller, const request_t *request)
 {
     worker_heartbeat_t heartbeat;
-    reason_t why = {"too long"};
+    g_autoptr(GError) error = NULL;
     if (request->is_too_long ||
-        !codec_parse_worker_heartbeat(request->body->str, request->body->len, &heartbeat, &why))
-        return api_refuse(HTTP_BAD_REQUEST, why.text, 0);
+        !codec_parse_worker_heartbeat(request->body->str, request->body->len, &heartbeat, &error))
+        return api_refuse(HTTP_BAD_REQUEST, error ? error->message : "too long", 0);
     pthread_mutex_lock(&controller->lock);
     reply_t reply = handle_heartbeat(controller, &heartbeat);
     pthread_mutex_unlock(&controller->lock);
--- a/src/controller/jobs/job_watch.c
+++ b/src/controller/jobs/job_watch.c
@@ -11,9 +11,9 @@
 static void take_set(controller_t *controller, const kv_entry_t *entry)
 {
     job_spec_t spec;
-    reason_t why;
-    if (!codec_parse_job(entry->value, true, &spec, &why)) {
-        log_error("event=bad_job key=%s why=\"%s\"", entry->key, why.text);
+    g_autoptr(GError) error = NULL;
+    if (!codec_parse_job(entry->value, true, &spec, &error)) {
+        log_error("event=bad_job key=%s why=\"%s\"", entry->key, error->message);
         return;
     }
     job_directory_add(controller, &spec, entry->revision);
--- a/src/controller/placement/placement_loop.c
+++ b/src/controller/placement/placement_loop.c
@@ -113,7 +113,7 @@
         const kv_entry_t *entry = &g_array_index(listing->machines, kv_entry_t, i);
         page_record_t record;
         if (!codec_parse_record(entry->key + strlen("machines/"), entry->value, entry->revision,
-                                &record)) {
+                                &record, NULL)) {
             log_error("event=bad_record key=%s", entry->key);
             valid = false;
             continue;
--- a/src/io/codec/cloud.c
+++ b/src/io/codec/cloud.c
@@ -1,4 +1,4 @@
-/* The cloud's protocol: machine types, the list of machines, scale-out requests and returns. */
+/* The cloud's protocol: machine types, the list of machines, scale-out and scale-in requests. */
 #include "io/codec/codec_internal.h"
 
 static void machine_type_clear(gpointer data)
@@ -8,15 +8,32 @@
 
 static char **parse_names(const json_t *list)
 {
-    GPtrArray *names = g_ptr_array_new();
+    GPtrArray *names = g_ptr_array_new(); /* of char *, owned */
     size_t i;
     json_t *value;
-    json_array_foreach(list, i, value) if (json_is_string(value))
-        g_ptr_array_add(names, g_strdup(json_string_value(value)));
+    json_array_foreach(list, i, value)
+    {
+        if (json_is_string(value))
+            g_ptr_array_add(names, g_strdup(json_string_value(value)));
+    }
     g_ptr_array_add(names, NULL);
     return (char **)g_ptr_array_free(names, FALSE);
 }
 
+static bool parse_machine_type(const json_t *value, machine_type_t *machine_type)
+{
+    if (!codec_get_text(value, "Name", machine_type->name, sizeof machine_type->name, NULL) ||
+        !codec_get_amount(value, "Cpus", 0, &machine_type->capacity.cpus, NULL) ||
+        !codec_get_amount(value, "MemGb", 0, &machine_type->capacity.memory, NULL))
+        return false;
+    machine_type->capacity.gpus = json_number_value(json_object_get(value, "Accelerators"));
+    machine_type->price = json_number_value(json_object_get(value, "Price"));
+    machine_type->spot_price = json_number_value(json_object_get(value, "MarketPrice"));
+    machine_type->boot_s = json_number_value(json_object_get(value, "BootS"));
+    machine_type->zones = parse_names(json_object_get(value, "Docks"));
+    return true;
+}
+
 GArray *codec_parse_machine_types(const json_t *body)
 {
     const json_t *list = json_object_get(body, "Hulls");
@@ -29,23 +46,30 @@
     json_array_foreach(list, i, value)
     {
         machine_type_t machine_type = {0};
-        if (!codec_get_text(value, "Name", machine_type.name, sizeof machine_type.name, NULL) ||
-            !codec_get_amount(value, "Cpus", 0, &machine_type.capacity.cpus, NULL) ||
-            !codec_get_amount(value, "MemGb", 0, &machine_type.capacity.memory, NULL))
-            continue;
-        machine_type.capacity.gpus = json_number_value(json_object_get(value, "Accelerators"));
-        machine_type.price = json_number_value(json_object_get(value, "Price"));
-        machine_type.spot_price = json_number_value(json_object_get(value, "MarketPrice"));
-        machine_type.boot_s = json_number_value(json_object_get(value, "BootS"));
-        machine_type.zones = parse_names(json_object_get(value, "Docks"));
-        g_array_append_val(machine_types, machine_type);
+        if (parse_machine_type(value, &machine_type))
+            g_array_append_val(machine_types, machine_type);
     }
     return machine_types;
 }
 
-bool codec_parse_hosts(const json_t *body, GArray *hosts, bool *more)
+/* Only the machine's id is required: the others keep their defaults if they can't be read. */
+static bool parse_host(const json_t *value, host_t *host)
 {
     static const char *const states[] = {"booting", "running", "failed"};
+    int state = HOST_RUNNING;
+    if (!codec_get_text(value, "Uid", host->machine, sizeof host->machine, NULL))
+        return false;
+    codec_get_text(value, "Hull", host->type, sizeof host->type, NULL);
+    codec_get_text(value, "Dock", host->zone, sizeof host->zone, NULL);
+    codec_get_flag(value, "Driftwood", &host->spot, NULL);
+    codec_get_choice(value, "Trim", states, G_N_ELEMENTS(states), &state, NULL);
+    host->state = (host_state_t)state;
+    host->age_s = json_number_value(json_object_get(value, "HeldS"));
+    return true;
+}
+
+bool codec_parse_hosts(const json_t *body, GArray *hosts, bool *more)
+{
     const json_t *list = json_object_get(body, "Winches");
     if (!json_is_array(list))
         return false;
@@ -54,15 +78,8 @@
     json_array_foreach(list, i, value)
     {
         host_t host = {0};
-        int state = HOST_RUNNING;
-        if (!codec_get_text(value, "Uid", host.machine, sizeof host.machine, NULL))
+        if (!parse_host(value, &host))
             return false;
-        codec_get_text(value, "Hull", host.type, sizeof host.type, NULL);
-        codec_get_text(value, "Dock", host.zone, sizeof host.zone, NULL);
-        codec_get_flag(value, "Driftwood", &host.spot, NULL);
-        codec_get_choice(value, "Trim", states, G_N_ELEMENTS(states), &state, NULL);
-        host.state = (host_state_t)state;
-        host.age_s = json_number_value(json_object_get(value, "HeldS"));
         g_array_append_val(hosts, host);
     }
     *more = json_is_true(json_object_get(body, "More"));
--- a/src/io/codec/codec.h
+++ b/src/io/codec/codec.h
@@ -1,7 +1,13 @@
-/* The codec: JSON of the protocols to and from the core's plain values. Wire names end here.
+/** @file
+ * The codec: JSON of the protocols and of stored values, to and from the core's plain values.
  *
- * Parsers return false with a reason and leave nothing allocated; json_t results are new references
- * of the caller. */
+ * Field names and words of the users', workers' and cloud's protocols and of the values in the
+ * key-value store occur here only; the key-value store's own protocol is in io/kv_store.c.
+ *
+ * All functions are thread-safe. A parser that fails leaves nothing allocated, and its result must
+ * not be used. Every json_t result is a new reference (transfer full); json_t arguments are
+ * borrowed (transfer none).
+ */
 #ifndef PEPPERPULLEY_CODEC_H
 #define PEPPERPULLEY_CODEC_H
 
@@ -11,54 +17,118 @@
 #include "core/partition/partition.h"
 #include "core/types.h"
 
-typedef struct reason {
-    char text[REASON_BYTES];
-} reason_t;
+/** Error domain of the parsers. A message has the form "field: what is expected", on one line. */
+#define CODEC_ERROR (codec_error_quark())
+
+/** What is wrong with a value: the codes of CODEC_ERROR. */
+typedef enum {
+    CODEC_ERROR_SYNTAX,  /**< Not JSON, nested too deeply, or not an object at the top. */
+    CODEC_ERROR_MISSING, /**< A required field is missing. */
+    CODEC_ERROR_TYPE,    /**< A field is missing or has the wrong JSON type, or an empty string. */
+    CODEC_ERROR_RANGE,   /**< A number is out of range; a string or a list is too long. */
+    CODEC_ERROR_VALUE    /**< A word, name or id has the wrong form or is unknown. */
+} codec_error_t;
+
+/** Returns the quark of CODEC_ERROR. */
+GQuark codec_error_quark(void);
 
+/** Returns whether @p id has the form of a job's id: "j-" and six or more digits. */
 bool codec_is_job_id(const char *id);
 
-/* A job as its user sends it, or as the key-value store keeps it (stored: with its time). */
-bool codec_parse_job(const json_t *body, bool stored, job_spec_t *spec, reason_t *why);
+/** Parses a job, from its user or (@p stored) from the key-value store, where it has a submission
+ * time and its names were checked before. Returns false and sets @p error (CODEC_ERROR; may be
+ * NULL) if it is malformed. On success, job_spec_clear frees what @p spec holds. */
+bool codec_parse_job(const json_t *body, bool stored, job_spec_t *spec, GError **error);
+
+/** Copies the job's id out of what could be read of a submission, for the log; an empty string if
+ * it has none, or one with a NUL character. @p partial may be NULL. */
+void codec_get_submitted_id(const json_t *partial, char *id, gsize size);
+
+/** Returns the number of tasks of a job as the key-value store has it. */
+uint32_t codec_get_task_count(const json_t *job);
+
+/** Builds a job's value for the key-value store. */
 json_t *codec_build_job(const job_spec_t *spec);
 
-/* A worker's heartbeat, as it came: parsed without a tree. */
+/** Builds the answer to a user's status request. */
+json_t *codec_build_status(const char *id, const char *state, uint32_t done, uint32_t running);
+
+/** Parses a worker heartbeat without building a tree: heartbeats are most of the traffic. Returns
+ * false and sets @p error (CODEC_ERROR; may be NULL) if it is malformed; on success nothing is
+ * allocated for errors, and worker_heartbeat_clear frees what @p heartbeat holds. */
 bool codec_parse_worker_heartbeat(const char *text, gsize length, worker_heartbeat_t *heartbeat,
-                                  reason_t *why);
+                                  GError **error);
+
+/** Builds the answer to a worker heartbeat. @p commands: GArray of worker_command_t, or NULL for
+ * none. */
 json_t *codec_build_commands(uint64_t fencing_token, const GArray *commands);
+
+/** Builds a push of commands to the worker with @p worker_epoch; otherwise as
+ * codec_build_commands. */
 json_t *codec_build_pushed_commands(uint64_t fencing_token, uint64_t worker_epoch,
                                     const GArray *commands);
 
-/* array of machine_type_t, or NULL */
+/** Parses the cloud's list of machine types; entries without name, cpus or memory are skipped.
+ * Returns a GArray of machine_type_t (transfer full), or NULL if there is no list. */
 GArray *codec_parse_machine_types(const json_t *body);
 
-/* One machine of the cloud's list. */
-typedef enum { HOST_BOOTING, HOST_RUNNING, HOST_FAILED } host_state_t;
+/** State of a machine in the cloud's list. */
+typedef enum {
+    HOST_BOOTING, /**< Requested, not up yet. */
+    HOST_RUNNING, /**< Up; also the state of a machine whose state is unknown. */
+    HOST_FAILED   /**< Failed to boot, or failed later. */
+} host_state_t;
+
+/** A machine in the cloud's list. */
 typedef struct host {
-    char machine[ID_BYTES];
-    char type[LABEL_BYTES];
-    char zone[LABEL_BYTES];
-    bool spot;
-    host_state_t state;
-    double age_s;
+    char machine[ID_BYTES]; /**< The machine's id. */
+    char type[LABEL_BYTES]; /**< Name of its machine type. */
+    char zone[LABEL_BYTES]; /**< Its zone. */
+    bool spot;              /**< Whether it is a spot machine. */
+    host_state_t state;     /**< Its state. */
+    double age_s;           /**< Seconds since it was requested. */
 } host_t;
-/* Appends to array of host_t; false if malformed. */
+
+/** Appends the machines of one page of the cloud's list to @p hosts, a GArray of host_t; *more:
+ * whether another page follows. Returns false if the page is malformed; some machines may have been
+ * appended then. */
 bool codec_parse_hosts(const json_t *body, GArray *hosts, bool *more);
+
+/** Builds a scale-out request for @p count machines; a repeat with the same @p idempotency_key has
+ * no further effect. */
 json_t *codec_build_scale_out(const char *idempotency_key, const char *type, const char *zone,
                               bool spot, guint count);
+
+/** Builds a scale-in request. @p machines: GPtrArray of char *, the machines' ids. */
 json_t *codec_build_scale_in(const GPtrArray *machines);
 
+/** Builds the value of machines/PAGE: a page of machine records. Returns NULL if a part can't be
+ * built, for instance from text that is not UTF-8; it must not be written then. */
 json_t *codec_build_record(const page_record_t *record);
-/* value of machines/<page>; machines become the caller's */
+
+/** Parses the value of machines/@p page, at @p revision. Returns false and sets @p error
+ * (CODEC_ERROR; may be NULL) if it is corrupt; on success record->machines belongs to the caller
+ * (transfer full). A record with a machine of another shard is corrupt: it would have two owners.
+ */
 bool codec_parse_record(const char *page, const json_t *value, uint64_t revision,
-                        page_record_t *record);
+                        page_record_t *record, GError **error);
 
+/** Builds the value of done/JOB/CHUNK: which tasks of a chunk are done, and how many (@p done). */
 json_t *codec_build_bits(const uint8_t *bits, gsize bytes, uint32_t done);
-/* g_free the result */
+
+/** Parses the value of done/JOB/CHUNK. Returns the bits (transfer full, g_free), with their size in
+ * *bytes, or NULL if there are none. */
 uint8_t *codec_parse_bits(const json_t *value, gsize *bytes);
 
+/** Builds the value of ended/JOB: the job is done (@p done) or cancelled, with @p tasks tasks
+ * done. */
 json_t *codec_build_ended(bool done, uint32_t tasks);
-json_t *codec_build_status(const char *id, const char *state, uint32_t done, uint32_t running);
-/* A live controller, as view/ holds it. */
+
+/** Returns whether the value of ended/JOB says that the job is done; otherwise it was cancelled. */
+bool codec_is_ended_done(const json_t *value);
+
+/** Builds a member of the view: the value of view/members/NAME and of view/lease, and an item of
+ * the view's list of members. */
 json_t *codec_build_member(const member_t *member);
 
 #endif
--- a/src/io/codec/json_input.c
+++ b/src/io/codec/json_input.c
@@ -1,49 +1,48 @@
+/* JSON from outside: builds jansson's values from yajl's events. */
 #include "io/codec/json_input.h"
 
 #include <math.h>
-#include <string.h>
-#include <yajl/yajl_parse.h>
 
-/* The value while it is read: the containers that are open, outermost first. Each is in its
- * container from its beginning, so that the outermost one holds all that was read. */
+#include "io/codec/json_events.h"
+
+/* The value under construction: the open containers, outermost first. Each is added to its parent
+ * when it is opened, so that the outermost one holds all that was read so far. */
 typedef struct reader {
-    json_t *root;                       /* owned; NULL: nothing read so far */
+    json_t *root;                       /* owned; NULL: nothing was read yet */
     json_t *open[JSON_DEPTH_MAX_COUNT]; /* borrowed */
     guint depth;
-    GString *key; /* under which the next value goes, if the innermost container is an object */
+    GString *key; /* owned; of the next value, if the innermost container is an object */
 } reader_t;
 
-enum { READ_STOP = 0, READ_ON = 1 };
-
-/* Takes the value over. */
+/* Adds the value (transfer full) to the innermost container. Always returns true: continue. */
 static int add_value(reader_t *reader, json_t *value)
 {
-    json_t *container = reader->depth ? reader->open[reader->depth - 1] : NULL;
+    json_t *container = reader->depth > 0 ? reader->open[reader->depth - 1] : NULL;
     if (!container)
         reader->root = value;
     else if (json_is_array(container))
         json_array_append_new(container, value);
     else
         json_object_setn_new_nocheck(container, reader->key->str, reader->key->len, value);
-    return READ_ON;
+    return true;
 }
 
 static int open_container(reader_t *reader, json_t *container)
 {
     if (reader->depth == JSON_DEPTH_MAX_COUNT) {
         json_decref(container);
-        return READ_STOP;
+        return false;
     }
     add_value(reader, container);
     reader->open[reader->depth++] = container;
-    return READ_ON;
+    return true;
 }
 
 static int close_container(void *context)
 {
     reader_t *reader = context;
     reader->depth--;
-    return READ_ON;
+    return true;
 }
 
 static int read_object(void *context)
@@ -61,7 +60,7 @@
     reader_t *reader = context;
     g_string_truncate(reader->key, 0);
     g_string_append_len(reader->key, (const char *)text, (gssize)length);
-    return READ_ON;
+    return true;
 }
 
 static int read_null(void *context)
@@ -79,6 +78,7 @@
     return add_value(context, json_stringn_nocheck((const char *)text, length));
 }
 
+/* JSON has no infinity, and a field that holds one must be found out of range. */
 static json_t *real_number(const char *text)
 {
     double value = g_ascii_strtod(text, NULL);
@@ -88,11 +88,10 @@
 static int read_number(void *context, const char *text, size_t length)
 {
     gint64 integer = 0;
-    char *number = g_strndup(text, length);
+    g_autofree char *number = g_strndup(text, length);
     bool is_integer =
         g_ascii_string_to_signed(number, DECIMAL, G_MININT64, G_MAXINT64, &integer, NULL);
     json_t *value = is_integer ? json_integer(integer) : real_number(number);
-    g_free(number);
     return add_value(context, value);
 }
 
@@ -108,10 +107,7 @@
                                              .yajl_start_array = read_array,
                                              .yajl_end_array = close_container};
     reader_t reader = {.key = g_string_new(NULL)};
-    yajl_handle parser = yajl_alloc(&callbacks, NULL, &reader);
-    bool is_whole = yajl_parse(parser, (const unsigned char *)text, length) == yajl_status_ok &&
-                    yajl_complete_parse(parser) == yajl_status_ok;
-    yajl_free(parser);
+    bool is_whole = json_events_parse(&callbacks, &reader, text, length);
     g_string_free(reader.key, TRUE);
     *partial = reader.root;
     return is_whole ? json_incref(reader.root) : NULL;
--- a/src/io/codec/json_input.h
+++ b/src/io/codec/json_input.h
@@ -1,6 +1,7 @@
-/* JSON from outside: from users and from whoever reaches the port. Parsed by yajl, which calls back
- * instead of calling itself (the threads' stacks are small) and hands numbers over as they are
- * written; the values are jansson's, like everywhere else. */
+/** @file
+ * JSON from outside, that is from users and from anyone who reaches the port, as jansson's values.
+ * Thread-safe.
+ */
 #ifndef PEPPERPULLEY_JSON_INPUT_H
 #define PEPPERPULLEY_JSON_INPUT_H
 
@@ -8,11 +9,15 @@
 
 #include "core/types.h"
 
-/* The value; NULL: not JSON, or nested too deeply. A number beyond the value types becomes a real
- * one (one beyond those the largest power of ten), so that a field which nobody reads does no harm
- * and any other is found to be out of range. Strings may hold NUL characters.
- * partial: what was read of an array or object up to where it broke off or ended; NULL: nothing.
- * Owned by the caller, as is the value. */
+/** Parses @p text. Returns the value (transfer full), or NULL if it is not JSON or nested deeper
+ * than JSON_DEPTH_MAX_COUNT.
+ *
+ * An integer beyond 64 bits becomes a real number, and a real number beyond a double
+ * LARGEST_NUMBER: in an ignored field it does no harm, in any other it is out of range. Strings may
+ * contain NUL characters.
+ *
+ * *partial is what was read of an array or object up to the error or the end, or NULL if nothing
+ * was read (transfer full). */
 json_t *json_input_load(const char *text, gsize length, json_t **partial);
 
 #endif
--- a/src/io/codec/stored_values.c
+++ b/src/io/codec/stored_values.c
@@ -1,32 +1,37 @@
-/* Values in the key-value store: records of machines, progress and ends of jobs, members. */
+/* Values in the key-value store: pages of machine records, progress and ends of jobs, members. */
 #include "io/codec/codec_internal.h"
 
 #include <string.h>
 
-/* A page's record: {"Jobs":[[id,team,image,cpus,gpus,memory,priority,save,checkpoint],...],
+/* A page of machine records:
+ * {"Jobs":[[id,team,image,cpus,gpus,memory,priority,save,checkpoint],...],
  * "Machines":[{"Id","Session","Address","Type","Zone","Spot","Tasks":[[job,task,attempt],...]},...]}
- * where job is the index in Jobs, which all its machines share. */
-static json_int_t record_job(json_t *jobs, GHashTable *known, const record_entry_t *entry)
+ * where job is the index in Jobs, which all machines of the page share. */
+
+/* Returns the index of the entry's job in the list, to which it is added if it is new. indexes:
+ * from the job's id (borrowed) to its index. */
+static json_int_t add_job_header(json_t *jobs, GHashTable *indexes, const record_entry_t *entry)
 {
-    gpointer at;
-    if (g_hash_table_lookup_extended(known, entry->job, NULL, &at))
-        return GPOINTER_TO_INT(at);
+    gpointer found;
+    if (g_hash_table_lookup_extended(indexes, entry->job, NULL, &found))
+        return GPOINTER_TO_INT(found);
     json_int_t index = (json_int_t)json_array_size(jobs);
     json_array_append_new(jobs,
                           json_pack("[s,s,s,f,f,f,i,f,f]", entry->job, entry->team, entry->image,
                                     entry->need.cpus, entry->need.gpus, entry->need.memory,
                                     (int)entry->priority, entry->save_s, entry->checkpoint_s));
-    g_hash_table_insert(known, (gpointer)entry->job, GINT_TO_POINTER((gint)index));
+    g_hash_table_insert(indexes, (gpointer)entry->job, GINT_TO_POINTER((gint)index));
     return index;
 }
 
-static json_t *build_machine_record(const machine_record_t *record, json_t *jobs, GHashTable *known)
+static json_t *build_machine_record(const machine_record_t *record, json_t *jobs,
+                                    GHashTable *indexes)
 {
     json_t *tasks = json_array();
     for (guint i = 0; i < record->entries->len; i++) {
         const record_entry_t *entry = &g_array_index(record->entries, record_entry_t, i);
         json_array_append_new(tasks,
-                              json_pack("[I,I,I]", record_job(jobs, known, entry),
+                              json_pack("[I,I,I]", add_job_header(jobs, indexes, entry),
                                         (json_int_t)entry->task, (json_int_t)entry->attempt));
     }
     return json_pack("{s:s,s:I,s:s,s:s,s:s,s:b,s:o}", "Id", record->machine, "Session",
@@ -38,17 +43,16 @@
 {
     json_t *jobs = json_array();
     json_t *machines = json_array();
-    GHashTable *known = g_hash_table_new(g_str_hash, g_str_equal);
-    bool whole = true;
+    g_autoptr(GHashTable) indexes = g_hash_table_new(g_str_hash, g_str_equal); /* id -> index */
+    bool is_whole = true;
     for (guint i = 0; i < record->machines->len; i++) {
         json_t *machine = build_machine_record(
-            &g_array_index(record->machines, machine_record_t, i), jobs, known);
-        whole = whole && machine && json_array_append_new(machines, machine) == 0;
+            &g_array_index(record->machines, machine_record_t, i), jobs, indexes);
+        is_whole = is_whole && machine && json_array_append_new(machines, machine) == 0;
     }
     /* A header that could not be built would shift the indexes of those after it. */
-    whole = whole && json_array_size(jobs) == g_hash_table_size(known);
-    g_hash_table_unref(known);
-    if (whole)
+    is_whole = is_whole && json_array_size(jobs) == g_hash_table_size(indexes);
+    if (is_whole)
         return json_pack("{s:o,s:o}", "Jobs", jobs, "Machines", machines);
     json_decref(jobs);
     json_decref(machines);
@@ -89,69 +93,98 @@
            g_strlcpy(entry->image, image, sizeof entry->image) < sizeof entry->image;
 }
 
-static bool parse_record_task(const json_t *task, const json_t *jobs, record_entry_t *entry)
+/* A task of a machine in a record: its fields, in order. */
+enum { RECORD_TASK_JOB, RECORD_TASK_NUMBER, RECORD_TASK_ATTEMPT, RECORD_TASK_FIELDS };
+
+static bool parse_record_task(const json_t *task, const json_t *jobs, record_entry_t *entry,
+                              GError **error)
 {
-    json_int_t index = json_integer_value(json_array_get(task, 0));
-    json_int_t attempt = json_integer_value(json_array_get(task, 2));
-    if (json_array_size(task) != 3 || index < 0 || attempt <= 0 ||
-        !parse_record_job(json_array_get(jobs, (size_t)index), entry))
-        return false;
-    entry->task = (uint32_t)json_integer_value(json_array_get(task, 1));
+    json_int_t index = json_integer_value(json_array_get(task, RECORD_TASK_JOB));
+    json_int_t attempt = json_integer_value(json_array_get(task, RECORD_TASK_ATTEMPT));
+    if (json_array_size(task) != RECORD_TASK_FIELDS || index < 0 || attempt <= 0)
+        return codec_fail(error, CODEC_ERROR_VALUE, "Tasks: [job, task, attempt] is expected");
+    if (!parse_record_job(json_array_get(jobs, (size_t)index), entry))
+        return codec_fail(error, CODEC_ERROR_VALUE, "Jobs: a job's header is expected");
+    entry->task = (uint32_t)json_integer_value(json_array_get(task, RECORD_TASK_NUMBER));
     entry->attempt = (uint64_t)attempt;
     return true;
 }
 
-static bool parse_machine_record(const json_t *value, const json_t *jobs, machine_record_t *record)
+static bool parse_machine_header(const json_t *value, machine_record_t *record, GError **error)
+{
+    return codec_get_text(value, "Id", record->machine, sizeof record->machine, error) &&
+           codec_get_text(value, "Address", record->address, sizeof record->address, error) &&
+           codec_get_text(value, "Type", record->type, sizeof record->type, error) &&
+           codec_get_text(value, "Zone", record->zone, sizeof record->zone, error) &&
+           codec_get_flag(value, "Spot", &record->spot, error) &&
+           codec_get_count(value, "Session", 0, G_MAXINT64, &record->worker_epoch, error);
+}
+
+static bool parse_machine_record(const json_t *value, const json_t *jobs, machine_record_t *record,
+                                 GError **error)
 {
-    bool valid = codec_get_text(value, "Id", record->machine, sizeof record->machine, NULL) &&
-                 codec_get_text(value, "Address", record->address, sizeof record->address, NULL) &&
-                 codec_get_text(value, "Type", record->type, sizeof record->type, NULL) &&
-                 codec_get_text(value, "Zone", record->zone, sizeof record->zone, NULL) &&
-                 codec_get_flag(value, "Spot", &record->spot, NULL) &&
-                 codec_get_count(value, "Session", 0, G_MAXINT64, &record->worker_epoch, NULL) &&
-                 json_is_array(json_object_get(value, "Tasks"));
+    const json_t *tasks = json_object_get(value, "Tasks");
+    if (!parse_machine_header(value, record, error))
+        return false;
+    if (!json_is_array(tasks))
+        return codec_fail(error, CODEC_ERROR_TYPE, "Tasks: a list is expected");
     size_t i;
     json_t *task;
-    json_array_foreach(json_object_get(value, "Tasks"), i, task)
+    json_array_foreach(tasks, i, task)
     {
         record_entry_t entry;
-        valid = valid && parse_record_task(task, jobs, &entry);
-        if (valid)
-            g_array_append_val(record->entries, entry);
+        if (!parse_record_task(task, jobs, &entry, error))
+            return false;
+        g_array_append_val(record->entries, entry);
     }
-    return valid;
+    return true;
 }
 
-bool codec_parse_record(const char *page, const json_t *value, uint64_t revision,
-                        page_record_t *record)
+/* In the page of another shard than its own, a machine would have two owners that write it. */
+static bool check_shard(const machine_record_t *machine, const page_record_t *page, GError **error)
+{
+    char own_shard[SHARD_NAME_BYTES];
+    shard_of(machine->machine, machine->zone, own_shard, sizeof own_shard);
+    if (strcmp(own_shard, page->shard) != 0)
+        return codec_fail(error, CODEC_ERROR_VALUE, "Id: the machine is of another shard");
+    return true;
+}
+
+static bool parse_page(const char *page, const json_t *value, page_record_t *record, GError **error)
 {
     const json_t *machines = json_object_get(value, "Machines");
-    *record = (page_record_t){.revision = revision, .machines = machine_records_new()};
-    bool valid = page_parse(page, record->shard, sizeof record->shard, &record->page) &&
-                 json_is_array(machines);
+    if (!page_parse(page, record->shard, sizeof record->shard, &record->page))
+        return codec_fail(error, CODEC_ERROR_VALUE, "key: the name of a page is expected");
+    if (!json_is_array(machines))
+        return codec_fail(error, CODEC_ERROR_TYPE, "Machines: a list is expected");
     size_t i;
     json_t *item;
     json_array_foreach(machines, i, item)
     {
         machine_record_t machine = {.entries = g_array_new(FALSE, FALSE, sizeof(record_entry_t))};
-        char own_shard[SHARD_NAME_BYTES];
-        valid = parse_machine_record(item, json_object_get(value, "Jobs"), &machine) && valid;
-        /* In another shard than its own, two owners would write it. */
-        shard_of(machine.machine, machine.zone, own_shard, sizeof own_shard);
-        valid = valid && strcmp(own_shard, record->shard) == 0;
+        bool is_valid = parse_machine_record(item, json_object_get(value, "Jobs"), &machine, error);
+        /* Appended in any case: the array frees the entries. */
         g_array_append_val(record->machines, machine);
+        if (!is_valid || !check_shard(&machine, record, error))
+            return false;
     }
-    if (!valid)
+    return true;
+}
+
+bool codec_parse_record(const char *page, const json_t *value, uint64_t revision,
+                        page_record_t *record, GError **error)
+{
+    *record = (page_record_t){.revision = revision, .machines = machine_records_new()};
+    bool is_valid = parse_page(page, value, record, error);
+    if (!is_valid)
         g_array_unref(record->machines);
-    return valid;
+    return is_valid;
 }
 
 json_t *codec_build_bits(const uint8_t *bits, gsize bytes, uint32_t done)
 {
-    char *text = g_base64_encode(bits, bytes);
-    json_t *value = json_pack("{s:s,s:I}", "Bits", text, "Done", (json_int_t)done);
-    g_free(text);
-    return value;
+    g_autofree char *text = g_base64_encode(bits, bytes);
+    return json_pack("{s:s,s:I}", "Bits", text, "Done", (json_int_t)done);
 }
 
 uint8_t *codec_parse_bits(const json_t *value, gsize *bytes)
@@ -165,6 +198,11 @@
     return json_pack("{s:s,s:I}", "Trim", done ? "done" : "cancelled", "Done", (json_int_t)tasks);
 }
 
+bool codec_is_ended_done(const json_t *value)
+{
+    return g_strcmp0(json_string_value(json_object_get(value, "Trim")), "done") == 0;
+}
+
 json_t *codec_build_member(const member_t *member)
 {
     return json_pack("{s:s,s:s,s:I,s:b}", "Name", member->name, "Zone", member->zone, "Incarnation",
--- a/src/io/codec/worker_commands.c
+++ b/src/io/codec/worker_commands.c
@@ -1,9 +1,10 @@
-/* The workers' protocol: commands. Reports: wire_report.c. */
+/* The workers' protocol: commands. Worker heartbeats are in worker_heartbeats.c. */
 #include "io/codec/codec_internal.h"
 
 static json_t *build_command_list(const GArray *commands)
 {
-    static const char *const names[] = {"run", "stop", "forget"};
+    static const char *const names[] = {
+        [COMMAND_RUN] = "run", [COMMAND_STOP] = "stop", [COMMAND_FORGET] = "forget"};
     json_t *list = json_array();
     for (guint i = 0; commands && i < commands->len; i++) {
         const worker_command_t *command = &g_array_index(commands, worker_command_t, i);
