--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -1,3 +1,4 @@
+/* The program: its command line, and the start of the controller. */
 #include <glib.h>
 #include <malloc.h>
 #include <pthread.h>
@@ -22,7 +23,7 @@
 
 static bool parse_arguments(int *argc, char ***argv, arguments_t *arguments)
 {
-    GError *error = NULL;
+    g_autoptr(GError) error = NULL;
     const GOptionEntry entries[] = {
         {"config", 'c', 0, G_OPTION_ARG_FILENAME, &arguments->config,
          "the platform's settings file (JSON)", "FILE"},
@@ -32,7 +33,7 @@
         {G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_FILENAME_ARRAY, &arguments->rest, NULL,
          "[check FILE]"},
         {0}};
-    GOptionContext *context = g_option_context_new(NULL);
+    g_autoptr(GOptionContext) context = g_option_context_new(NULL);
     g_option_context_add_main_entries(context, entries, NULL);
     g_option_context_set_summary(context,
                                  "Places array tasks on rented machines, as one of several "
@@ -40,33 +41,28 @@
                                  "operators' settings file.");
     g_option_context_set_description(context,
                                      "Environment:\n  LOG_LEVEL  error, info (default) or debug\n");
-    bool parsed = g_option_context_parse(context, argc, argv, &error);
-    g_option_context_free(context);
-    if (!parsed) {
+    bool is_valid = g_option_context_parse(context, argc, argv, &error);
+    if (!is_valid)
         fprintf(stderr, "pepperpulley: %s\n", error->message);
-        g_error_free(error);
-    }
-    return parsed;
+    return is_valid;
 }
 
-/* Compiles the file, or the defaults for NULL; faults go to standard error, a line each. */
+/* Returns the compiled file, or the defaults for NULL (transfer full). Returns NULL after printing
+ * the faults on standard error, one a line. */
 static policy_t *load_policy(const char *path)
 {
-    char *text = NULL;
-    GError *error = NULL;
+    g_autofree char *text = NULL;
+    g_autoptr(GError) error = NULL;
     if (!path)
         return policy_default();
     if (!g_file_get_contents(path, &text, NULL, &error)) {
         fprintf(stderr, "pepperpulley: %s\n", error->message);
-        g_error_free(error);
         return NULL;
     }
-    GPtrArray *faults = g_ptr_array_new_with_free_func(g_free);
+    g_autoptr(GPtrArray) faults = policy_faults_new();
     policy_t *policy = policy_compile(path, text, faults);
     for (guint i = 0; i < faults->len; i++)
-        fprintf(stderr, "%s\n", (char *)g_ptr_array_index(faults, i));
-    g_ptr_array_unref(faults);
-    g_free(text);
+        fprintf(stderr, "%s\n", ((const GError *)g_ptr_array_index(faults, i))->message);
     return policy;
 }
 
@@ -113,7 +109,7 @@
 int main(int argc, char **argv)
 {
     arguments_t arguments = {0};
-    /* Many threads, little memory: one arena, and freed memory goes back soon. */
+    /* Many threads, little memory: one arena, and freed memory is returned soon. */
     mallopt(M_ARENA_MAX, 1);
     mallopt(M_TRIM_THRESHOLD, HEAP_TRIM_BYTES);
     if (!parse_arguments(&argc, &argv, &arguments))
--- a/src/policy/parser.y
+++ b/src/policy/parser.y
@@ -4,19 +4,21 @@
 %param { void *scanner }
 %parse-param { parse_t *parse }
 %code requires {
-#include "policy/ast.h"
+#include "policy/parser_actions.h"
 }
 %code {
 #include <string.h>
 
 int policy_yylex(POLICY_YYSTYPE *value, void *scanner);
 
-/* bison's words for what it met and what would do. */
+/* bison's message names what was found and what is expected. */
 static void policy_yyerror(void *scanner, parse_t *parse, const char *message)
 {
     (void)scanner;
-    const char *detail = g_str_has_prefix(message, "syntax error, ") ? message + 14 : message;
-    parse_fault(parse, parse->line, parse->start, "%s", detail);
+    static const char prefix[] = "syntax error, ";
+    const char *detail =
+        g_str_has_prefix(message, prefix) ? message + sizeof prefix - 1 : message;
+    parse_fault(parse, POLICY_ERROR_SYNTAX, parse->line, parse->token_column, "%s", detail);
 }
 }
 %union {
--- /dev/null
+++ b/src/policy/policy_check.h
@@ -0,0 +1,15 @@
+/** @file
+ * The checker of the operators' settings. Private to policy/.
+ */
+#ifndef PEPPERPULLEY_POLICY_CHECK_H
+#define PEPPERPULLEY_POLICY_CHECK_H
+
+#include "policy/names.h"
+#include "policy/parse.h"
+
+/** Checks that an expression has the tunable's type, uses only attributes in its scope and, if it
+ * is constant, lies in its range. Sets the type and the attribute of each node; records every
+ * fault. */
+void policy_check_value(parse_t *parse, const tunable_info_t *tunable, ast_t *value);
+
+#endif
--- a/src/policy/policy_evaluate.c
+++ b/src/policy/policy_evaluate.c
@@ -1,4 +1,4 @@
-/* The evaluator of the operators' settings. */
+/* The evaluator of the operators' settings: walks a checked tree. */
 #include "policy/ast.h"
 
 #include <math.h>
@@ -6,12 +6,24 @@
 
 static const char *text_of(const ast_t *ast, const policy_env_t *env)
 {
-    const char *text = ast->op == AST_TEXT ? ast->text : env->text[ast->attr];
+    const char *text = ast->op == AST_TEXT ? ast->text : env->text[ast->attribute];
     return text ? text : "";
 }
 
-/* right is 0 for an operator of one value. */
-// NOLINTNEXTLINE(readability-function-size): two lines for each operator
+static bool compare(ast_op_t op, double left, double right)
+{
+    if (op == AST_LESS)
+        return left < right;
+    if (op == AST_LESS_EQUAL)
+        return left <= right;
+    if (op == AST_GREATER)
+        return left > right;
+    if (op == AST_GREATER_EQUAL)
+        return left >= right;
+    return (left == right) == (op == AST_EQUAL);
+}
+
+/* right is 0 for an operator with one operand. */
 static double apply(ast_op_t op, double left, double right)
 {
     switch (op) {
@@ -31,27 +43,22 @@
         return left * right;
     case AST_DIVIDE:
         return right != 0 ? left / right : 0;
+    case AST_MIN:
+        return fmin(left, right);
+    case AST_MAX:
+        return fmax(left, right);
     case AST_LESS:
-        return left < right;
     case AST_LESS_EQUAL:
-        return left <= right;
     case AST_GREATER:
-        return left > right;
     case AST_GREATER_EQUAL:
-        return left >= right;
     case AST_EQUAL:
-        return left == right;
     case AST_UNEQUAL:
-        return left != right;
-    case AST_MIN:
-        return fmin(left, right);
-    case AST_MAX:
-        return fmax(left, right);
+        return compare(op, left, right);
     case AST_NUMBER:
     case AST_TEXT:
     case AST_NAME:
     case AST_IF:
-        break; /* no operators of two values */
+        break; /* evaluated by ast_evaluate */
     }
     return 0;
 }
@@ -61,33 +68,33 @@
     if (ast->op == AST_NUMBER)
         return ast->number;
     if (ast->op == AST_NAME)
-        return ast->attr < 0 ? ast->number : env->number[ast->attr];
+        return ast->attribute < 0 ? ast->number : env->number[ast->attribute];
     if (ast->op == AST_IF)
-        return ast_evaluate(ast->kid[ast_evaluate(ast->kid[0], env) != 0 ? 1 : 2], env);
-    if (ast->kid[0]->type == POLICY_TEXT) {
-        bool same = strcmp(text_of(ast->kid[0], env), text_of(ast->kid[1], env)) == 0;
+        return ast_evaluate(ast->operands[ast_evaluate(ast->operands[0], env) != 0 ? 1 : 2], env);
+    if (ast->operands[0]->type == POLICY_TEXT) {
+        bool same = strcmp(text_of(ast->operands[0], env), text_of(ast->operands[1], env)) == 0;
         return same == (ast->op == AST_EQUAL);
     }
-    double left = ast_evaluate(ast->kid[0], env);
-    double right = ast->kid[1] ? ast_evaluate(ast->kid[1], env) : 0;
+    double left = ast_evaluate(ast->operands[0], env);
+    double right = ast->operands[1] ? ast_evaluate(ast->operands[1], env) : 0;
     return apply(ast->op, left, right);
 }
 
 static bool is_constant(const ast_t *ast)
 {
-    if (ast->op == AST_NAME && ast->attr >= 0)
+    if (ast->op == AST_NAME && ast->attribute >= 0)
         return false;
-    for (int i = 0; i < 3; i++)
-        if (ast->kid[i] && !is_constant(ast->kid[i]))
+    for (int i = 0; i < AST_OPERANDS; i++)
+        if (ast->operands[i] && !is_constant(ast->operands[i]))
             return false;
     return ast->type != POLICY_FAULTY;
 }
 
 bool ast_constant_value(const ast_t *ast, double *value)
 {
-    static const policy_env_t nothing = {0};
+    static const policy_env_t no_attributes = {0};
     if (!is_constant(ast))
         return false;
-    *value = ast_evaluate(ast, &nothing);
+    *value = ast_evaluate(ast, &no_attributes);
     return true;
 }
