--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -82,7 +82,7 @@
 
 static int serve(const arguments_t *arguments)
 {
-    char *error = NULL;
+    g_autoptr(GError) error = NULL;
     if (log_set_level(getenv("LOG_LEVEL")) != 0) {
         fputs("pepperpulley: LOG_LEVEL: error, info or debug is expected\n", stderr);
         return EXIT_USAGE;
@@ -92,7 +92,7 @@
         return EXIT_USAGE;
     settings_t *settings = settings_load(arguments->config, &error);
     if (!settings) {
-        fprintf(stderr, "pepperpulley: %s\n", error);
+        fprintf(stderr, "pepperpulley: %s\n", error->message);
         return EXIT_USAGE;
     }
     signal(SIGPIPE, SIG_IGN);
--- a/tests/io/test_settings.c
+++ b/tests/io/test_settings.c
@@ -22,7 +22,7 @@
 }
 
 /* Writes the body to a file of its own and loads it; consumes body. */
-static settings_t *load(json_t *body, char **error)
+static settings_t *load(json_t *body, GError **error)
 {
     char path[] = "/tmp/pepperpulley-test-XXXXXX";
     int fd = mkstemp(path);
@@ -35,10 +35,10 @@
     return settings;
 }
 
-static void test_complete_file_is_taken_and_unknown_fields_ignored(void **state)
+static void test_complete_file_is_loaded_and_unknown_fields_are_ignored(void **state)
 {
     (void)state;
-    char *error = NULL;
+    g_autoptr(GError) error = NULL;
     settings_t *settings = load(settings_body(), &error);
     assert_non_null(settings);
     assert_string_equal(settings->name, "controller-0");
@@ -49,39 +49,41 @@
     settings_free(settings);
 }
 
-static void refused(const char *object, const char *name, json_t *value)
+/* The field with this value, in the object of the settings (NULL: at the top), is refused. */
+static void assert_refused(const char *object, const char *name, json_t *value,
+                           settings_error_t code)
 {
-    char *error = NULL;
+    g_autoptr(GError) error = NULL;
     json_t *body = settings_body();
     json_t *at = body;
     if (object)
         at = json_object_get(json_object_get(body, "settings"), object);
     json_object_set_new(at, name, value);
     assert_null(load(body, &error));
-    assert_non_null(error);
-    assert_non_null(strstr(error, name));
-    assert_null(strchr(error, '\n'));
-    g_free(error);
+    assert_true(g_error_matches(error, SETTINGS_ERROR, (gint)code));
+    assert_non_null(strstr(error->message, name));
+    assert_null(strchr(error->message, '\n'));
 }
 
 static void test_wrong_types_and_values_are_reported_by_name(void **state)
 {
     (void)state;
-    refused(NULL, "host_name", json_integer(3));
-    refused(NULL, "client_listen", json_string("localhost"));
-    refused(NULL, "siblings", json_string("none"));
-    refused("workers", "lease_s", json_string("10"));
-    refused("workers", "cancel_s", json_real(-1));
-    refused("state", "txn_ops", json_null());
-    refused("state", "rps", json_real(1e300));
-    refused("workers", "cancel_s", json_real(12)); /* lease_s is 10: no time to answer in */
-    refused("limits", "fd_limit", json_integer(20));
-    refused("limits", "ram_mb", json_integer(-188));
+    assert_refused(NULL, "host_name", json_integer(3), SETTINGS_ERROR_TYPE);
+    assert_refused(NULL, "client_listen", json_string("localhost"), SETTINGS_ERROR_VALUE);
+    assert_refused(NULL, "siblings", json_string("none"), SETTINGS_ERROR_TYPE);
+    assert_refused("workers", "lease_s", json_string("10"), SETTINGS_ERROR_TYPE);
+    assert_refused("workers", "cancel_s", json_real(-1), SETTINGS_ERROR_RANGE);
+    assert_refused("state", "txn_ops", json_null(), SETTINGS_ERROR_TYPE);
+    assert_refused("state", "rps", json_real(1e300), SETTINGS_ERROR_RANGE);
+    assert_refused("workers", "cancel_s", json_real(12),
+                   SETTINGS_ERROR_VALUE); /* lease_s is 10: no time to answer in */
+    assert_refused("limits", "fd_limit", json_integer(20), SETTINGS_ERROR_RANGE);
+    assert_refused("limits", "ram_mb", json_integer(-188), SETTINGS_ERROR_RANGE);
 }
 
 static guint connections(double fd_limit, double ram_mb)
 {
-    char *error = NULL;
+    g_autoptr(GError) error = NULL;
     json_t *body = settings_body();
     json_t *limits = json_object_get(json_object_get(body, "settings"), "limits");
     json_object_set_new(limits, "fd_limit", json_real(fd_limit));
@@ -89,16 +91,16 @@
         json_object_set_new(limits, "ram_mb", json_real(ram_mb));
     settings_t *settings = load(body, &error);
     assert_non_null(settings);
-    guint most = settings->connections;
+    guint limit = settings->connections;
     settings_free(settings);
-    return most;
+    return limit;
 }
 
-/* With 2,537 sockets granted, what their connections take must fit the memory as well. */
+/* Of 2,537 sockets, only as many are used as the memory permits. */
 static void test_connections_stay_below_sockets_and_memory(void **state)
 {
     (void)state;
-    /* less 100 for calls of our own, and 16 dispatchers' connections to workers: 6 and 16 each */
+    /* less CONNECTIONS_SPARE_COUNT, and 16 dispatchers' connections to workers: 6 and 16 each */
     assert_int_equal(connections(600, 0), 404);
     assert_int_equal(connections(2537, 0), 2181);
     assert_int_equal(connections(2537, 188), 2181);
@@ -108,7 +110,7 @@
 
 static double pace(double core_share)
 {
-    char *error = NULL;
+    g_autoptr(GError) error = NULL;
     json_t *body = settings_body();
     json_t *limits = json_object_get(json_object_get(body, "settings"), "limits");
     json_object_set_new(limits, "core_share", json_real(core_share));
@@ -119,8 +121,8 @@
     return factor;
 }
 
-/* From the usual share on, all is as it is on a whole processor. */
-static void test_pace_follows_a_small_share_only(void **state)
+/* From USUAL_CORE_SHARE on, nothing is slowed down. */
+static void test_only_a_small_share_slows_the_pace(void **state)
 {
     (void)state;
     assert_true(pace(1) == 1);
@@ -133,20 +135,56 @@
 static void test_missing_file_is_reported(void **state)
 {
     (void)state;
-    char *error = NULL;
+    g_autoptr(GError) error = NULL;
     assert_null(settings_load("/nonexistent/settings.json", &error));
-    assert_non_null(strstr(error, "/nonexistent/settings.json"));
-    g_free(error);
+    assert_true(g_error_matches(error, SETTINGS_ERROR, SETTINGS_ERROR_FILE));
+    assert_non_null(strstr(error->message, "/nonexistent/settings.json"));
+}
+
+/* One field less than a complete file: the message names it. */
+static void test_missing_field_is_reported_by_name(void **state)
+{
+    (void)state;
+    g_autoptr(GError) error = NULL;
+    json_t *body = settings_body();
+    json_object_del(json_object_get(json_object_get(body, "settings"), "workers"), "lease_s");
+    assert_null(load(body, &error));
+    assert_true(g_error_matches(error, SETTINGS_ERROR, SETTINGS_ERROR_MISSING));
+    assert_true(g_str_has_suffix(error->message, ": lease_s: missing"));
+}
+
+static void test_file_without_an_object_is_reported(void **state)
+{
+    (void)state;
+    g_autoptr(GError) error = NULL;
+    assert_null(load(json_array(), &error));
+    assert_true(g_error_matches(error, SETTINGS_ERROR, SETTINGS_ERROR_TYPE));
+    assert_true(g_str_has_suffix(error->message, ": top level: an object is expected"));
+}
+
+/* With two faults, the message is of the first one. */
+static void test_first_fault_is_reported(void **state)
+{
+    (void)state;
+    g_autoptr(GError) error = NULL;
+    json_t *body = settings_body();
+    json_object_set_new(body, "location", json_string(""));
+    json_object_set_new(body, "mesh_addr", json_string("nowhere"));
+    assert_null(load(body, &error));
+    assert_true(g_str_has_suffix(error->message, ": location: a non-empty string is expected"));
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_complete_file_is_taken_and_unknown_fields_ignored),
+        cmocka_unit_test(test_complete_file_is_loaded_and_unknown_fields_are_ignored),
         cmocka_unit_test(test_wrong_types_and_values_are_reported_by_name),
         cmocka_unit_test(test_connections_stay_below_sockets_and_memory),
-        cmocka_unit_test(test_pace_follows_a_small_share_only),
+        cmocka_unit_test(test_only_a_small_share_slows_the_pace),
         cmocka_unit_test(test_missing_file_is_reported),
+        cmocka_unit_test(test_missing_field_is_reported_by_name),
+        cmocka_unit_test(test_file_without_an_object_is_reported),
+        cmocka_unit_test(test_first_fault_is_reported),
     };
     return cmocka_run_group_tests_name("settings", tests, NULL, NULL);
 }
