--- a/src/constants.h
+++ b/src/constants.h
@@ -154,6 +154,8 @@
     CONNECTION_BUFFER_BYTES = 16 * 1024, /**< HTTP buffers of a connection. */
     CONNECTION_COST_BYTES = 32 * 1024,   /**< Upper bound of a connection: buffers and a request. */
     ANSWER_BUFFER_BYTES = 1 << 18,       /**< Largest response buffer kept for the next call. */
+    HTTP_READ_BYTES = 16384,             /**< Read from an HTTP connection at once. */
+    REAL_DIGITS_COUNT = 9,               /**< Significant digits of a real number in a request. */
     LISTEN_BACKLOG_COUNT = 16,           /**< Connections of siblings waiting to be accepted. */
     CONNECTION_IDLE_S = 30, /**< Idle connections are closed; active clients send every few s. */
     CONNECTIONS_SPARE_COUNT = 100, /**< Sockets of fd_limit reserved for the controller's calls: 33
--- a/src/controller/api/status.c
+++ b/src/controller/api/status.c
@@ -57,8 +57,7 @@
         }
         kv_result_t result = api_commit(request, &txn, failed);
         for (size_t i = 0; result == KV_OK && i < json_array_size(txn.conditions); i++) {
-            const char *key =
-                json_string_value(json_object_get(json_array_get(txn.conditions, i), "K"));
+            const char *key = kv_txn_required_key(&txn, i);
             g_hash_table_add(status_batch->live, g_strdup(key + strlen("jobs/")));
             g_hash_table_remove(status_batch->unanswered, key + strlen("jobs/"));
         }
--- a/src/controller/placement/command_dispatcher.c
+++ b/src/controller/placement/command_dispatcher.c
@@ -116,7 +116,7 @@
     const dispatcher_t *dispatcher = data;
     controller_t *controller = dispatcher->controller;
     http_client_t *client = http_client_new(controller->settings->dispatcher_connections);
-    http_client_hurry(client, PUSH_CONNECT_TIMEOUT_MS);
+    http_client_set_connect_timeout(client, PUSH_CONNECT_TIMEOUT_MS);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     for (;;) {
         g_array_set_size(commands, 0);
--- a/src/io/http_client.c
+++ b/src/io/http_client.c
@@ -1,11 +1,12 @@
+/* Blocking HTTP calls, by libcurl. */
 #include "io/http_client.h"
 
 #include <curl/curl.h>
 
 struct http_client {
-    CURL *curl;
-    GString *answer;
-    struct curl_slist *headers;
+    CURL *curl;                 /* owned */
+    GString *answer;            /* the body of the last answer; owned */
+    struct curl_slist *headers; /* of each request; owned, curl borrows it */
 };
 
 void http_start(void)
@@ -13,9 +14,10 @@
     curl_global_init(CURL_GLOBAL_NOTHING);
 }
 
-static size_t take(char *data, size_t size, size_t count, void *to)
+/* curl's callback for a part of the answer. */
+static size_t append_answer(char *data, size_t size, size_t count, void *answer)
 {
-    g_string_append_len(to, data, (gssize)(size * count));
+    g_string_append_len(answer, data, (gssize)(size * count));
     return size * count;
 }
 
@@ -30,30 +32,31 @@
     curl_easy_setopt(client->curl, CURLOPT_PROXY, "");
     curl_easy_setopt(client->curl, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
     curl_easy_setopt(client->curl, CURLOPT_MAXCONNECTS, connections);
-    curl_easy_setopt(client->curl, CURLOPT_WRITEFUNCTION, take);
+    curl_easy_setopt(client->curl, CURLOPT_WRITEFUNCTION, append_answer);
     curl_easy_setopt(client->curl, CURLOPT_WRITEDATA, client->answer);
     curl_easy_setopt(client->curl, CURLOPT_HTTPHEADER, client->headers);
-    curl_easy_setopt(client->curl, CURLOPT_BUFFERSIZE, 16384L);
+    curl_easy_setopt(client->curl, CURLOPT_BUFFERSIZE, (long)HTTP_READ_BYTES);
     return client;
 }
 
-void http_client_hurry(http_client_t *client, long connect_ms)
+void http_client_set_connect_timeout(http_client_t *client, long connect_ms)
 {
     curl_easy_setopt(client->curl, CURLOPT_CONNECTTIMEOUT_MS, connect_ms);
 }
 
-static int failed_request(CURL *curl, CURLcode code)
+/* The outcome of a call without an answer. A connection attempt that was given up does not complete
+ * later, so without a byte sent nothing is executed. */
+static int classify_failure(CURL *curl, CURLcode code)
 {
-    long sent = 0;
-    curl_easy_getinfo(curl, CURLINFO_REQUEST_SIZE, &sent);
-    /* A connection attempt that was given up does not complete later. */
-    if ((code == CURLE_COULDNT_CONNECT || code == CURLE_OPERATION_TIMEDOUT) && sent == 0)
+    long sent_bytes = 0;
+    curl_easy_getinfo(curl, CURLINFO_REQUEST_SIZE, &sent_bytes);
+    if ((code == CURLE_COULDNT_CONNECT || code == CURLE_OPERATION_TIMEDOUT) && sent_bytes == 0)
         return HTTP_NOT_SENT;
     return HTTP_NO_ANSWER;
 }
 
-/* A follow can answer with a lot at once; that memory is not kept. */
-static void empty_answer(http_client_t *client)
+/* The answer of a watch may be large: more than ANSWER_BUFFER_BYTES is not kept. */
+static void clear_answer(http_client_t *client)
 {
     g_string_truncate(client->answer, 0);
     if (client->answer->allocated_len <= ANSWER_BUFFER_BYTES)
@@ -63,34 +66,41 @@
     curl_easy_setopt(client->curl, CURLOPT_WRITEDATA, client->answer);
 }
 
+static void set_method(CURL *curl, const char *method, const char *body)
+{
+    curl_easy_setopt(curl, CURLOPT_CUSTOMREQUEST, method);
+    if (g_strcmp0(method, "POST") != 0) {
+        curl_easy_setopt(curl, CURLOPT_HTTPGET, 1L);
+        return;
+    }
+    const char *text = body ? body : "";
+    curl_easy_setopt(curl, CURLOPT_POST, 1L);
+    curl_easy_setopt(curl, CURLOPT_POSTFIELDS, text);
+    curl_easy_setopt(curl, CURLOPT_POSTFIELDSIZE, (long)strlen(text));
+}
+
 int http_call(http_client_t *client, const char *method, const char *url, const json_t *body,
               long timeout_ms, json_t **answer)
 {
     CURL *curl = client->curl;
-    char *text = body ? json_dumps(body, JSON_COMPACT | JSON_REAL_PRECISION(9)) : NULL;
+    char *text =
+        body ? json_dumps(body, JSON_COMPACT | JSON_REAL_PRECISION(REAL_DIGITS_COUNT)) : NULL;
     if (answer)
         *answer = NULL;
-    empty_answer(client);
+    clear_answer(client);
     curl_easy_setopt(curl, CURLOPT_URL, url);
     curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, timeout_ms);
-    curl_easy_setopt(curl, CURLOPT_CUSTOMREQUEST, method);
-    if (g_strcmp0(method, "POST") == 0) {
-        curl_easy_setopt(curl, CURLOPT_POST, 1L);
-        curl_easy_setopt(curl, CURLOPT_POSTFIELDS, text ? text : "");
-        curl_easy_setopt(curl, CURLOPT_POSTFIELDSIZE, (long)(text ? strlen(text) : 0));
-    } else {
-        curl_easy_setopt(curl, CURLOPT_HTTPGET, 1L);
-    }
+    set_method(curl, method, text);
     CURLcode code = curl_easy_perform(curl);
     free(text);
     if (code != CURLE_OK)
-        return failed_request(curl, code);
+        return classify_failure(curl, code);
     long status = 0;
     curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
     if (answer)
         *answer = json_loadb(client->answer->str, client->answer->len, 0, NULL);
     if (client->answer->allocated_len > ANSWER_BUFFER_BYTES)
-        empty_answer(client);
+        clear_answer(client);
     return (int)status;
 }
 
--- a/src/io/kv_store.c
+++ b/src/io/kv_store.c
@@ -1,3 +1,4 @@
+/* Client of the key-value store: its protocol on HTTP. */
 #include "io/kv_store.h"
 
 #include <string.h>
@@ -24,40 +25,56 @@
     return entries;
 }
 
-static kv_result_t send_request(kv_store_t *kv_store, http_client_t *client, const char *method,
-                                const char *path, const json_t *body, long timeout_ms,
-                                json_t **answer)
+/* Whether the status comes from the store itself: it is up and handled the request. */
+static bool is_answered(int status)
+{
+    return status == HTTP_OK || status == HTTP_NOT_FOUND || status == HTTP_CONFLICT ||
+           status == HTTP_GONE;
+}
+
+static kv_result_t result_of(int status, const json_t *answer)
 {
-    char url[URL_BYTES];
-    g_snprintf(url, sizeof url, "%s%s", kv_store->base_url, path);
-    msec_t sent = clock_steady();
-    int status = http_call(client, method, url, body, timeout_ms, answer);
     switch (status) {
     case HTTP_OK:
-        break;
-    case HTTP_NO_ANSWER:
-        return KV_INDETERMINATE;
+        return answer ? KV_OK : KV_INDETERMINATE;
     case HTTP_NOT_FOUND:
+        return KV_NOT_FOUND;
     case HTTP_CONFLICT:
+        return KV_CONFLICT;
     case HTTP_GONE:
-        break;
+        return KV_COMPACTED;
     case HTTP_BAD_REQUEST:
         return KV_INVALID;
     case HTTP_NOT_SENT:
     case HTTP_TOO_MANY_REQUESTS:
     case HTTP_UNAVAILABLE:
         return KV_NOT_EXECUTED;
-    default:
+    case HTTP_NO_ANSWER:
+    default: /* a status that the protocol does not have says nothing about the execution */
         return KV_INDETERMINATE;
     }
+}
+
+/* Raises answered_at to sent_at, unless a newer request was answered already. */
+static void record_answer(kv_store_t *kv_store, msec_t sent_at)
+{
     msec_t before = atomic_load(&kv_store->answered_at);
-    while (sent > before && !atomic_compare_exchange_weak(&kv_store->answered_at, &before, sent))
+    while (sent_at > before &&
+           !atomic_compare_exchange_weak(&kv_store->answered_at, &before, sent_at))
         ;
-    if (status == HTTP_OK)
-        return *answer ? KV_OK : KV_INDETERMINATE;
-    return status == HTTP_NOT_FOUND  ? KV_NOT_FOUND
-           : status == HTTP_CONFLICT ? KV_CONFLICT
-                                     : KV_COMPACTED;
+}
+
+static kv_result_t send_request(kv_store_t *kv_store, http_client_t *client, const char *method,
+                                const char *path, const json_t *body, long timeout_ms,
+                                json_t **answer)
+{
+    char url[URL_BYTES];
+    g_snprintf(url, sizeof url, "%s%s", kv_store->base_url, path);
+    msec_t sent_at = clock_steady();
+    int status = http_call(client, method, url, body, timeout_ms, answer);
+    if (is_answered(status))
+        record_answer(kv_store, sent_at);
+    return result_of(status, *answer);
 }
 
 static uint64_t get_number(const json_t *object, const char *name)
@@ -69,7 +86,7 @@
                    kv_entry_t *entry)
 {
     char path[URL_BYTES];
-    json_t *answer = NULL;
+    json_auto_t *answer = NULL;
     g_snprintf(path, sizeof path, "/keys/%s", key);
     kv_result_t result = send_request(kv_store, client, "GET", path, NULL, timeout_ms, &answer);
     if (result == KV_OK) {
@@ -77,40 +94,50 @@
         entry->value = json_incref(json_object_get(answer, "Value"));
         entry->revision = get_number(answer, "Stamp");
     }
-    json_decref(answer);
     return result;
 }
 
+/* Reads the page after the key `since` (NULL: the first one). */
+static kv_result_t list_page(kv_store_t *kv_store, http_client_t *client, const char *prefix,
+                             const char *since, GArray *entries, uint64_t *revision, bool *has_more)
+{
+    char path[URL_BYTES];
+    json_auto_t *answer = NULL;
+    g_snprintf(path, sizeof path, "/keys?Under=%s%s%s&Limit=%d", prefix, since ? "&Since=" : "",
+               since ? since : "", KEYS_PAGE_COUNT);
+    kv_result_t result = send_request(kv_store, client, "GET", path, NULL, KV_TIMEOUT_MS, &answer);
+    if (result != KV_OK)
+        return result;
+    if (revision)
+        *revision = get_number(answer, "Logline");
+    size_t i;
+    json_t *item;
+    json_array_foreach(json_object_get(answer, "Entries"), i, item)
+    {
+        kv_entry_t entry = {.key = g_strdup(json_string_value(json_object_get(item, "K"))),
+                            .value = json_incref(json_object_get(item, "Value")),
+                            .revision = get_number(item, "Stamp")};
+        g_array_append_val(entries, entry);
+    }
+    *has_more = json_is_true(json_object_get(answer, "More"));
+    return KV_OK;
+}
+
 kv_result_t kv_list(kv_store_t *kv_store, http_client_t *client, const char *prefix,
                     GArray *entries, uint64_t *revision)
 {
-    char path[URL_BYTES];
-    bool more = true, first = true;
-    while (more) {
-        json_t *answer = NULL;
-        const char *since = first ? NULL : g_array_index(entries, kv_entry_t, entries->len - 1).key;
-        g_snprintf(path, sizeof path, "/keys?Under=%s%s%s&Limit=%d", prefix, since ? "&Since=" : "",
-                   since ? since : "", KEYS_PAGE_COUNT);
-        kv_result_t result =
-            send_request(kv_store, client, "GET", path, NULL, KV_TIMEOUT_MS, &answer);
-        if (result != KV_OK) {
-            json_decref(answer);
+    const guint before = entries->len;
+    bool has_more = true;
+    while (has_more) {
+        bool is_first = entries->len == before;
+        const char *since =
+            is_first ? NULL : g_array_index(entries, kv_entry_t, entries->len - 1).key;
+        kv_result_t result = list_page(kv_store, client, prefix, since, entries,
+                                       is_first ? revision : NULL, &has_more);
+        if (result != KV_OK)
             return result;
-        }
-        if (first && revision)
-            *revision = get_number(answer, "Logline");
-        size_t i;
-        json_t *item;
-        json_array_foreach(json_object_get(answer, "Entries"), i, item)
-        {
-            kv_entry_t entry = {.key = g_strdup(json_string_value(json_object_get(item, "K"))),
-                                .value = json_incref(json_object_get(item, "Value")),
-                                .revision = get_number(item, "Stamp")};
-            g_array_append_val(entries, entry);
-            first = false;
-        }
-        more = json_is_true(json_object_get(answer, "More")) && !first;
-        json_decref(answer);
+        /* A first page without entries has no key to go on from. */
+        has_more = has_more && entries->len > before;
     }
     return KV_OK;
 }
@@ -132,11 +159,16 @@
                           json_pack("{s:s,s:I}", "K", key, "Stamp", (json_int_t)revision));
 }
 
+const char *kv_txn_required_key(const kv_txn_t *txn, size_t index)
+{
+    return json_string_value(json_object_get(json_array_get(txn->conditions, index), "K"));
+}
+
 void kv_txn_put(kv_txn_t *txn, const char *key, json_t *value, uint64_t lease)
 {
     json_t *change = json_pack("{s:s,s:o}", "Set", key, "Value", value);
-    /* A record that could not be built must not be committed as something else: its attempts would
-     * be forgotten, and run twice. */
+    /* A record that could not be built must not be committed in part: its attempts would be lost,
+     * and run twice. */
     txn->is_invalid = txn->is_invalid || !change;
     if (lease)
         json_object_set_new(change, "Tether", json_integer((json_int_t)lease));
@@ -148,48 +180,52 @@
     json_array_append_new(txn->changes, json_pack("{s:s}", "Delete", key));
 }
 
+static void append_failed_keys(const json_t *answer, GPtrArray *failed)
+{
+    size_t i;
+    json_t *key;
+    json_array_foreach(json_object_get(answer, "failed"), i, key)
+    {
+        g_ptr_array_add(failed, g_strdup(json_string_value(key)));
+    }
+}
+
 kv_result_t kv_commit(kv_store_t *kv_store, http_client_t *client, const kv_txn_t *txn,
                       long timeout_ms, uint64_t *revision, GPtrArray *failed)
 {
-    json_t *answer = NULL;
     if (txn->is_invalid)
         return KV_INVALID;
+    json_auto_t *answer = NULL;
     json_t *body = json_pack("{s:O,s:O}", "If", txn->conditions, "Then", txn->changes);
     kv_result_t result = send_request(kv_store, client, "POST", "/txn", body, timeout_ms, &answer);
     json_decref(body);
     if (result == KV_OK && revision)
         *revision = get_number(answer, "Logline");
-    size_t i;
-    json_t *key;
     if (result == KV_CONFLICT && failed)
-        json_array_foreach(json_object_get(answer, "failed"), i, key)
-            g_ptr_array_add(failed, g_strdup(json_string_value(key)));
-    json_decref(answer);
+        append_failed_keys(answer, failed);
     return result;
 }
 
 kv_result_t kv_lease_create(kv_store_t *kv_store, http_client_t *client, guint life_ms,
                             uint64_t *lease)
 {
-    json_t *answer = NULL;
+    json_auto_t *answer = NULL;
     json_t *body = json_pack("{s:i}", "LifeMs", (int)life_ms);
     kv_result_t result =
         send_request(kv_store, client, "POST", "/grants", body, KV_TIMEOUT_MS, &answer);
     json_decref(body);
     if (result == KV_OK)
         *lease = get_number(answer, "Tether");
-    json_decref(answer);
     return result;
 }
 
 kv_result_t kv_lease_extend(kv_store_t *kv_store, http_client_t *client, uint64_t lease)
 {
     char path[URL_BYTES];
-    json_t *answer = NULL;
+    json_auto_t *answer = NULL;
     g_snprintf(path, sizeof path, "/grants/%" G_GUINT64_FORMAT "/extend", lease);
     kv_result_t result =
         send_request(kv_store, client, "POST", path, NULL, LEASE_EXTEND_GAP_MS, &answer);
-    json_decref(answer);
     return result;
 }
 
@@ -197,15 +233,13 @@
                      guint block_ms, uint64_t *revision, GArray *changes)
 {
     char path[URL_BYTES];
-    json_t *answer = NULL;
+    json_auto_t *answer = NULL;
     g_snprintf(path, sizeof path, "/follow?Under=%s&Since=%" G_GUINT64_FORMAT "&BlockMs=%u", prefix,
                *revision, block_ms);
     kv_result_t result =
         send_request(kv_store, client, "GET", path, NULL, (long)block_ms + KV_TIMEOUT_MS, &answer);
-    if (result != KV_OK) {
-        json_decref(answer);
+    if (result != KV_OK)
         return result;
-    }
     size_t i;
     json_t *item;
     json_array_foreach(json_object_get(answer, "News"), i, item)
@@ -218,6 +252,5 @@
         g_array_append_val(changes, entry);
     }
     *revision = get_number(answer, "Logline");
-    json_decref(answer);
     return KV_OK;
 }
--- a/src/io/log.c
+++ b/src/io/log.c
@@ -1,3 +1,4 @@
+/* Events on standard error. */
 #include "io/log.h"
 
 #include <stdarg.h>
@@ -6,32 +7,28 @@
 
 #include "constants.h"
 
-static const char *const level_names[] = {"error", "info", "debug"};
+static const char *const level_names[] = {
+    [LOG_LEVEL_ERROR] = "error", [LOG_LEVEL_INFO] = "info", [LOG_LEVEL_DEBUG] = "debug"};
 
-/* Set before any thread starts, read only afterwards. */
-static log_level_t current = LOG_LEVEL_INFO;
+/* Set before any other thread starts, only read afterwards. */
+static log_level_t enabled_level = LOG_LEVEL_INFO;
 
-int log_set_level(const char *word)
+bool log_set_level(const char *word)
 {
     if (!word || !*word)
-        return 0;
-    for (int i = 0; i < 3; i++) {
+        return true;
+    for (int i = LOG_LEVEL_ERROR; i <= LOG_LEVEL_DEBUG; i++) {
         if (strcmp(word, level_names[i]) == 0) {
-            current = (log_level_t)i;
-            return 0;
+            enabled_level = (log_level_t)i;
+            return true;
         }
     }
-    return -1;
-}
-
-int log_enabled(log_level_t level)
-{
-    return level <= current;
+    return false;
 }
 
 void log_write(log_level_t level, const char *format, ...)
 {
-    if (!log_enabled(level))
+    if (level > enabled_level)
         return;
     char line[LOG_LINE_BYTES];
     va_list args;
@@ -39,6 +36,6 @@
     va_start(args, format);
     vsnprintf(line + used, sizeof line - (size_t)used - 1, format, args);
     va_end(args);
-    /* One call, so that lines of several threads don't mix. */
+    /* A single call, so that lines of several threads are not interleaved. */
     fprintf(stderr, "%s\n", line);
 }
--- a/src/io/log.h
+++ b/src/io/log.h
@@ -1,16 +1,31 @@
-/* Events on standard error, one a line, key=value. The level is set once, at start. */
+/** @file
+ * The log: events on standard error, one a line, as key=value pairs. The level is set once, before
+ * other threads start; writing is thread-safe and lines are not interleaved.
+ */
 #ifndef PEPPERPULLEY_LOG_H
 #define PEPPERPULLEY_LOG_H
 
-typedef enum { LOG_LEVEL_ERROR, LOG_LEVEL_INFO, LOG_LEVEL_DEBUG } log_level_t;
+#include <stdbool.h>
 
-/* From the value of LOG_LEVEL (may be NULL: info). Returns 0, or -1 for an unknown word. */
-int log_set_level(const char *word);
+/** Levels, the most important first. */
+typedef enum {
+    LOG_LEVEL_ERROR, /**< Something that an operator should look into. */
+    LOG_LEVEL_INFO,  /**< A rare event. */
+    LOG_LEVEL_DEBUG  /**< Details, for the search for a fault. */
+} log_level_t;
+
+/** Sets the level from the value of LOG_LEVEL: error, info or debug. NULL and the empty text leave
+ * it as it is (info). Returns false for an unknown word. */
+bool log_set_level(const char *word);
+
+/** Writes a line, if @p level is enabled; a line above LOG_LINE_BYTES is truncated. */
 void log_write(log_level_t level, const char *format, ...) __attribute__((format(printf, 2, 3)));
-int log_enabled(log_level_t level);
 
+/** Logs at LOG_LEVEL_ERROR. */
 #define log_error(...) log_write(LOG_LEVEL_ERROR, __VA_ARGS__)
+/** Logs at LOG_LEVEL_INFO. */
 #define log_info(...) log_write(LOG_LEVEL_INFO, __VA_ARGS__)
+/** Logs at LOG_LEVEL_DEBUG. */
 #define log_debug(...) log_write(LOG_LEVEL_DEBUG, __VA_ARGS__)
 
 #endif
--- a/src/io/rate_limiter.c
+++ b/src/io/rate_limiter.c
@@ -1,20 +1,27 @@
+/* A token bucket. */
 #include "io/rate_limiter.h"
 
 void rate_limiter_init(rate_limiter_t *limiter, double rate, msec_t now)
 {
     pthread_mutex_init(&limiter->lock, NULL);
     limiter->rate = rate;
-    limiter->left = rate;
-    limiter->at = now;
+    limiter->tokens = rate;
+    limiter->refilled_at = now;
 }
 
-static void refill(rate_limiter_t *limiter, msec_t now)
+static double capacity(const rate_limiter_t *limiter)
 {
-    if (now > limiter->at) {
-        limiter->left += limiter->rate * (double)(now - limiter->at) / MS_PER_S;
-        limiter->at = now;
+    return MAX(limiter->rate, 1);
+}
+
+/* Called with the limiter's lock held. */
+static void refill_locked(rate_limiter_t *limiter, msec_t now)
+{
+    if (now > limiter->refilled_at) {
+        limiter->tokens += limiter->rate * (double)(now - limiter->refilled_at) / MS_PER_S;
+        limiter->refilled_at = now;
     }
-    limiter->left = MIN(limiter->left, MAX(limiter->rate, 1));
+    limiter->tokens = MIN(limiter->tokens, capacity(limiter));
 }
 
 void rate_limiter_set_rate(rate_limiter_t *limiter, double rate)
@@ -27,28 +34,27 @@
 bool rate_limiter_take(rate_limiter_t *limiter, double amount, msec_t now)
 {
     pthread_mutex_lock(&limiter->lock);
-    refill(limiter, now);
-    /* An amount above a whole burst passes when the bucket is full. */
-    bool taken = limiter->left >= MIN(amount, MAX(limiter->rate, 1));
-    if (taken)
-        limiter->left -= amount;
+    refill_locked(limiter, now);
+    bool is_taken = limiter->tokens >= MIN(amount, capacity(limiter));
+    if (is_taken)
+        limiter->tokens -= amount;
     pthread_mutex_unlock(&limiter->lock);
-    return taken;
+    return is_taken;
 }
 
 double rate_limiter_left(rate_limiter_t *limiter, msec_t now)
 {
     pthread_mutex_lock(&limiter->lock);
-    refill(limiter, now);
-    double left = limiter->left;
+    refill_locked(limiter, now);
+    double tokens = limiter->tokens;
     pthread_mutex_unlock(&limiter->lock);
-    return left;
+    return tokens;
 }
 
 void rate_limiter_charge(rate_limiter_t *limiter, double amount, msec_t now)
 {
     pthread_mutex_lock(&limiter->lock);
-    refill(limiter, now);
-    limiter->left -= amount;
+    refill_locked(limiter, now);
+    limiter->tokens -= amount;
     pthread_mutex_unlock(&limiter->lock);
 }
