--- /dev/null
+++ b/tests/io/test_machine_pages.c
@@ -0,0 +1,199 @@
+/* Tests of pages of machine records: their size, splits and names. */
+#include "records_fixture.h"
+
+enum {
+    FLEET = 90,     /* machines */
+    EACH = 8,       /* tasks of each */
+    VALUE = 16384,  /* bytes of a value */
+    TXN = 64 * 1024 /* bytes of a transaction */
+};
+
+/* Machines of one shard: more than its share of a thousand in one zone. */
+static GPtrArray *fleet_of_one_shard(void)
+{
+    GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
+    char own_shard[SHARD_NAME_BYTES];
+    char shard[SHARD_NAME_BYTES];
+    shard_of("m-000001", "zone-a", own_shard, sizeof own_shard);
+    for (guint i = 1; ids->len < FLEET; i++) {
+        char *id = g_strdup_printf("m-%06u", i);
+        shard_of(id, "zone-a", shard, sizeof shard);
+        if (strcmp(shard, own_shard) == 0)
+            g_ptr_array_add(ids, id);
+        else
+            g_free(id);
+    }
+    return ids;
+}
+
+/* Makes a commit that must keep the limits, and returns the number of pages written. refused: it
+ * requires another view and must fail. */
+static guint commit_within_limits(records_fixture_t *fixture, bool refused)
+{
+    uint64_t view = fake_kv_store_revision(fixture->store, "view/number") - refused;
+    partition_batch_t *batch = partition_batch_take(
+        fixture->partition, &(partition_limits_t){24, 96, VALUE, KV_TXN_VALUES_BYTES}, 1000);
+    kv_txn_t txn = records_commit(NULL, batch, view);
+    size_t i;
+    json_t *change;
+    json_array_foreach(txn.changes, i, change)
+    {
+        char *value = json_dumps(json_object_get(change, "Value"), JSON_COMPACT | JSON_ENCODE_ANY);
+        assert_true(!value || strlen(value) <= VALUE);
+        free(value);
+    }
+    json_t *whole = json_pack("{s:O,s:O}", "If", txn.conditions, "Then", txn.changes);
+    char *text = json_dumps(whole, JSON_COMPACT | JSON_REAL_PRECISION(9));
+    assert_true(strlen(text) <= TXN);
+    assert_in_range(json_array_size(txn.changes), 0, 24);
+    assert_in_range(json_array_size(txn.conditions), 1, 96);
+    free(text);
+    json_decref(whole);
+    guint records = batch->records->len;
+    kv_result_t result = fake_kv_store_apply(fixture->store, txn);
+    assert_int_equal(result, refused ? KV_CONFLICT : KV_OK);
+    if (refused)
+        partition_batch_undo(fixture->partition, batch);
+    else
+        partition_batch_commit(fixture->partition, batch, fixture->store->revision, 1000);
+    partition_batch_free(batch);
+    return records;
+}
+
+/* Returns the number of recorded attempts and collects the recorded machines (a set of ids), each
+ * of which must be under one key only. */
+static guint count_recorded_attempts(records_fixture_t *fixture, GHashTable *machines)
+{
+    guint attempts = 0;
+    GHashTableIter iter;
+    gpointer key;
+    gpointer value;
+    g_hash_table_remove_all(machines);
+    g_hash_table_iter_init(&iter, fixture->store->keys);
+    while (g_hash_table_iter_next(&iter, &key, &value)) {
+        page_record_t record;
+        if (!fixture_read_page(key, value, &record))
+            continue;
+        for (guint i = 0; i < record.machines->len; i++) {
+            const machine_record_t *machine = &g_array_index(record.machines, machine_record_t, i);
+            assert_true(g_hash_table_add(machines, g_strdup(machine->machine)));
+            attempts += machine->entries->len;
+        }
+        g_array_unref(record.machines);
+    }
+    return attempts;
+}
+
+/* The requests have job revision 0 and the jobs do not exist, so the conditions on jobs hold. */
+static void test_shard_of_any_size_records_all_its_starts(void **state)
+{
+    records_fixture_t *fixture = *state;
+    GPtrArray *ids = fleet_of_one_shard();
+    GHashTable *machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    for (guint i = 0; i < ids->len; i++)
+        fixture_heartbeat(fixture, g_ptr_array_index(ids, i), "t16", 1);
+    fixture_place_tasks(fixture, FLEET * EACH, 2);
+    /* Some are refused: pages that were split in memory only must still be written together. */
+    for (guint round = 0; round < 60; round++) {
+        commit_within_limits(fixture, round % 3 == 1);
+        count_recorded_attempts(fixture, machines);
+    }
+    assert_int_equal(count_recorded_attempts(fixture, machines), FLEET * EACH);
+    assert_int_equal(g_hash_table_size(machines), FLEET);
+    assert_in_range(g_hash_table_size(fixture->store->keys), 3, 24);
+    assert_int_equal(commit_within_limits(fixture, false),
+                     0); /* without changes nothing is written */
+    g_hash_table_unref(machines);
+    g_ptr_array_unref(ids);
+}
+
+/* A later owner reads the pages as they were written. */
+static void test_pages_are_loaded_as_they_were_written(void **state)
+{
+    records_fixture_t *fixture = *state;
+    GPtrArray *ids = fleet_of_one_shard();
+    for (guint i = 0; i < ids->len; i++)
+        fixture_heartbeat(fixture, g_ptr_array_index(ids, i), "t16", 1);
+    fixture_place_tasks(fixture, FLEET * EACH, 2);
+    for (guint round = 0; round < 40; round++)
+        commit_within_limits(fixture, false);
+    fixture_replace_partition(fixture, 1);
+    GHashTableIter iter;
+    gpointer key;
+    gpointer value;
+    g_hash_table_iter_init(&iter, fixture->store->keys);
+    while (g_hash_table_iter_next(&iter, &key, &value)) {
+        page_record_t record;
+        if (!fixture_read_page(key, value, &record))
+            continue;
+        partition_load(fixture->partition, &record, 1000);
+        g_array_unref(record.machines);
+    }
+    assert_int_equal(g_hash_table_size(fixture->partition->attempts), FLEET * EACH);
+    partition_machine_terminated(
+        fixture->partition, g_ptr_array_index(ids, 0)); /* its page is written under its revision */
+    assert_int_equal(commit_within_limits(fixture, false), 1);
+    assert_int_equal(g_hash_table_size(fixture->partition->attempts), (FLEET - 1) * EACH);
+    g_ptr_array_unref(ids);
+}
+
+/* One key can't record all the small tasks that fit on the machine: it refuses more, instead of
+ * keeping their reservations forever, and accepts some again when others have ended. */
+static void test_machine_that_fills_a_page_takes_no_more(void **state)
+{
+    records_fixture_t *fixture = *state;
+    machine_type_t large = {.name = "t1000", .capacity = {1000, 0, 4000}};
+    g_array_append_val(fixture->machine_types, large);
+    fixture_heartbeat(fixture, "m-000001", "t1000", 1);
+    fixture_place_tasks(fixture, 600, 1);
+    guint before = 0;
+    guint after = 1;
+    GHashTable *machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    while (before != after) {
+        before = count_recorded_attempts(fixture, machines);
+        commit_within_limits(fixture, false);
+        commit_within_limits(fixture, false);
+        after = count_recorded_attempts(fixture, machines);
+    }
+    assert_in_range(after, 100, 599);
+    placement_request_t request = {.need = {1, 0, 1}, .job = "j-000999", .attempt = 9U << 24};
+    assert_null(partition_place(fixture->partition, &request, 1000));
+    partition_end_job(fixture->partition, "j-000000");
+    fixture_heartbeat(fixture, "m-000001", "t1000", 2);
+    commit_within_limits(fixture, false);
+    assert_non_null(partition_place(fixture->partition, &request, 2000));
+    g_hash_table_unref(machines);
+}
+
+static void test_page_names_are_read_back(void **state)
+{
+    (void)state;
+    char name[PAGE_NAME_BYTES];
+    char shard[SHARD_NAME_BYTES];
+    guint page = 9;
+    page_name("zone-c+1.b.07", 0, name, sizeof name);
+    assert_string_equal(name, "zone-c+1.b.07"); /* as builds without pages wrote it */
+    assert_true(page_parse(name, shard, sizeof shard, &page));
+    assert_string_equal(shard, "zone-c+1.b.07");
+    assert_int_equal(page, 0);
+    page_name("zone-c+1.b.07", 12, name, sizeof name);
+    assert_true(page_parse(name, shard, sizeof shard, &page));
+    assert_string_equal(shard, "zone-c+1.b.07");
+    assert_int_equal(page, 12);
+    assert_false(page_parse("zone-c.07+x", shard, sizeof shard, &page));
+    assert_false(page_parse("zone-c", shard, sizeof shard, &page));
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test_setup_teardown(test_shard_of_any_size_records_all_its_starts,
+                                        records_set_up, records_tear_down),
+        cmocka_unit_test_setup_teardown(test_pages_are_loaded_as_they_were_written, records_set_up,
+                                        records_tear_down),
+        cmocka_unit_test_setup_teardown(test_machine_that_fills_a_page_takes_no_more,
+                                        records_set_up, records_tear_down),
+        cmocka_unit_test(test_page_names_are_read_back),
+    };
+    return cmocka_run_group_tests_name("machine pages", tests, NULL, NULL);
+}
