--- a/tools/load.c
+++ b/tools/load.c
@@ -1,9 +1,9 @@
-/* A load for the service, to find where its processor time goes: the stand-ins of the tests, as
- * many workers and users as asked for, and controllers that are processes of their own, so that a
- * profiler or a call counter can be put on them. No test, and not in CI.
+/* Puts a load on the service, to find where its processor time goes: the stand-ins of the tests for
+ * the outside services, simulated workers and users, and controllers that are processes of their
+ * own, so that a profiler can be attached to them. Not a test, and not part of CI.
  *
- * It prints, for each controller, what /metrics said at the end less what it said after the
- * warm-up, a second. CONTRIBUTING.md tells how it is used. */
+ * For each controller it prints the rates of its /metrics between the end of the warm-up and the
+ * end of the run. CONTRIBUTING.md describes its use. */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,26 +17,26 @@
 #include "services.h"
 
 enum {
-    TICK_MS_LOAD = 250,  /* between looks of a worker at what changed */
-    CONTROLLERS_MAX = 3, /* a port of the key-value store each */
-    CHANGE_GAP_MS = 500, /* a worker reports a change no sooner after its last heartbeat */
-    USER_POLL_MS = 5000, /* users ask for a job so often */
-    HTTP_TIMEOUT_MS = 4000,
-    CPU_MS_PER_S = 1000
+    WORKER_TICK_MS = 250,   /* between a worker's checks for changes */
+    CONTROLLERS_MAX = 3,    /* each has a port of the key-value store */
+    CHANGE_GAP_MS = 500,    /* least time from a worker's heartbeat to the next, after a change */
+    USER_POLL_MS = 5000,    /* between users' requests for the status of a job */
+    HTTP_TIMEOUT_MS = 4000, /* of a call */
+    RANDOM_STEPS = 1000     /* resolution of a random decision */
 };
 
 typedef struct options {
     int controllers;
-    int machines;
-    int seconds;
-    int warmup;
-    double heartbeat_interval_s;
-    double jobs_per_s;
-    int tasks;
-    double run_s;
-    double core_share;
-    char *program;
-    char *command;
+    int machines;                /* simulated workers */
+    int seconds;                 /* measured */
+    int warmup;                  /* seconds before that */
+    double heartbeat_interval_s; /* of a worker */
+    double jobs_per_s;           /* submitted; 0: none */
+    int tasks;                   /* of a job */
+    double run_s;                /* mean run time of a task */
+    double core_share;           /* in the controllers' settings */
+    char *program;               /* the service */
+    char *command;               /* run during the measurement; NULL: none */
 } options_t;
 
 typedef struct load {
@@ -44,7 +44,7 @@
     uint16_t ports[CONTROLLERS_MAX];
     uint16_t peer_ports[CONTROLLERS_MAX];
     GPid pids[CONTROLLERS_MAX];
-    volatile bool over;
+    volatile bool is_over;
 } load_t;
 
 static load_t load = {.options = {.controllers = 3,
@@ -118,87 +118,118 @@
     g_free(path);
 }
 
-/* A worker: reports every report_s and soon after a change, and its tasks end by and by. */
+static guint random_controller(void)
+{
+    return arc4random_uniform((guint)load.options.controllers);
+}
+
+/* Ends a task now and then, so that tasks run for run_s on average. */
+static void end_tasks(fake_machine_t *machine)
+{
+    double probability = (double)WORKER_TICK_MS / MS_PER_S / load.options.run_s;
+    if (arc4random_uniform(RANDOM_STEPS) < probability * RANDOM_STEPS)
+        fake_machine_complete(machine);
+}
+
+/* Whether the worker has changed since *runs, which is updated. */
+static bool has_changed(fake_machine_t *machine, guint *runs)
+{
+    pthread_mutex_lock(&machine->lock);
+    bool is_changed = machine->worker->runs != *runs;
+    *runs = machine->worker->runs;
+    pthread_mutex_unlock(&machine->lock);
+    return is_changed;
+}
+
+/* Sends a heartbeat to *controller, which becomes the one for the next: the owner if it is named,
+ * another if there is no answer. Returns whether it was accepted. */
+static bool send_heartbeat(fake_machine_t *machine, http_client_t *client, guint *controller,
+                           msec_t *sent_at)
+{
+    json_auto_t *answer = NULL;
+    json_auto_t *body = fake_machine_heartbeat(machine);
+    int status = call(client, *controller, "POST", "/hello", body, &answer);
+    const char *owner = json_string_value(json_object_get(answer, "Bosun"));
+    *sent_at = clock_steady();
+    if (status == HTTP_OK)
+        fake_machine_answer(machine, answer);
+    else if (status == HTTP_MISDIRECTED && owner)
+        *controller = (guint)(owner[strlen("controller-")] - '0');
+    else
+        *controller = (*controller + 1) % (guint)load.options.controllers;
+    return status == HTTP_OK;
+}
+
+/* A worker: sends a heartbeat at the interval, and soon after a change. */
 static void *machine_run(void *data)
 {
     fake_machine_t *machine = data;
     http_client_t *client = http_client_new(2);
-    guint controller = arc4random_uniform((guint)load.options.controllers);
+    const msec_t interval_ms = (msec_t)(load.options.heartbeat_interval_s * MS_PER_S);
+    guint controller = random_controller();
     guint runs = 0;
-    msec_t reported = 0;
-    while (!load.over) {
-        sleep_ms(TICK_MS_LOAD);
-        double ending = (double)TICK_MS_LOAD / MS_PER_S / load.options.run_s;
-        if (arc4random_uniform(CPU_MS_PER_S) < ending * CPU_MS_PER_S)
-            fake_machine_complete(machine);
-        pthread_mutex_lock(&machine->lock);
-        bool changed = machine->worker->runs != runs;
-        runs = machine->worker->runs;
-        pthread_mutex_unlock(&machine->lock);
-        msec_t age = clock_steady() - reported;
-        if (age <
-            (changed ? CHANGE_GAP_MS : (msec_t)(load.options.heartbeat_interval_s * MS_PER_S)))
+    msec_t sent_at = 0;
+    while (!load.is_over) {
+        sleep_ms(WORKER_TICK_MS);
+        end_tasks(machine);
+        msec_t gap_ms = has_changed(machine, &runs) ? CHANGE_GAP_MS : interval_ms;
+        if (clock_steady() - sent_at < gap_ms)
             continue;
-        json_t *answer = NULL;
-        json_t *body = fake_machine_heartbeat(machine);
-        int status = call(client, controller, "POST", "/hello", body, &answer);
-        const char *owner = json_string_value(json_object_get(answer, "Bosun"));
-        reported = clock_steady();
-        if (status == HTTP_OK)
-            fake_machine_answer(machine, answer);
-        else if (status == HTTP_MISDIRECTED && owner)
-            controller = (guint)(owner[strlen("controller-")] - '0');
-        else
-            controller = (controller + 1) % (guint)load.options.controllers;
-        reported -= status == HTTP_OK ? 0 : (msec_t)(load.options.heartbeat_interval_s * MS_PER_S);
-        json_decref(answer);
-        json_decref(body);
+        if (!send_heartbeat(machine, client, &controller, &sent_at))
+            sent_at -= interval_ms; /* the next one is due at once */
     }
     return NULL;
 }
 
-/* Users: a job now and then; each job is asked for until it is done. */
+static void submit_job(http_client_t *client, const char *id)
+{
+    json_auto_t *body = json_pack(
+        "{s:s,s:s,s:s,s:s,s:s,s:i,s:f,s:f,s:f,s:s,s:f,s:n,s:n,s:b,s:b,s:b,s:f,s:f,s:f,s:n}", "Uid",
+        id, "Reel", "c", "Crew", "team-a", "Rig", "sweep", "Urgency", "normal", "Pieces",
+        load.options.tasks, "Cpus", 1.0, "Accelerators", 0.0, "MemGb", 2.0, "Cargo", "i", "ImageGb",
+        1.0, "Hulls", "Dock", "SamePlace", 0, "Apart", 0, "Driftwood", 1, "HaulS",
+        load.options.run_s, "KnotS", 0.0, "StowS", 0.0, "TideS");
+    call(client, random_controller(), "POST", "/v2/runs", body, NULL);
+}
+
+/* Requests the status of each job and removes those that are done. */
+static void poll_jobs(http_client_t *client, GPtrArray *ids)
+{
+    for (guint i = ids->len; i-- > 0;) {
+        char path[URL_BYTES];
+        json_auto_t *answer = NULL;
+        g_snprintf(path, sizeof path, "/v2/runs/%s", (char *)g_ptr_array_index(ids, i));
+        call(client, random_controller(), "GET", path, NULL, &answer);
+        if (g_strcmp0(json_string_value(json_object_get(answer, "Trim")), "done") == 0)
+            g_ptr_array_remove_index(ids, i);
+    }
+}
+
+/* The users: submit jobs, and poll each until it is done. */
 static void *users_run(void *data)
 {
     (void)data;
     http_client_t *client = http_client_new(2);
-    GPtrArray *open = g_ptr_array_new_with_free_func(g_free);
+    GPtrArray *ids = g_ptr_array_new_with_free_func(g_free); /* of char *, jobs that are not done */
+    const double jobs_per_s = load.options.jobs_per_s;
     guint number = 0;
-    msec_t polled = 0;
-    while (!load.over) {
-        sleep_ms(load.options.jobs_per_s > 0 ? (msec_t)(MS_PER_S / load.options.jobs_per_s)
-                                             : MS_PER_S);
-        if (load.options.jobs_per_s > 0) {
+    msec_t polled_at = 0;
+    while (!load.is_over) {
+        sleep_ms(jobs_per_s > 0 ? (msec_t)(MS_PER_S / jobs_per_s) : MS_PER_S);
+        if (jobs_per_s > 0) {
             char *id = g_strdup_printf("j-%06u", ++number);
-            json_t *body = json_pack(
-                "{s:s,s:s,s:s,s:s,s:s,s:i,s:f,s:f,s:f,s:s,s:f,s:n,s:n,s:b,s:b,s:b,s:f,s:f,s:f,s:n}",
-                "Uid", id, "Reel", "c", "Crew", "team-a", "Rig", "sweep", "Urgency", "normal",
-                "Pieces", load.options.tasks, "Cpus", 1.0, "Accelerators", 0.0, "MemGb", 2.0,
-                "Cargo", "i", "ImageGb", 1.0, "Hulls", "Dock", "SamePlace", 0, "Apart", 0,
-                "Driftwood", 1, "HaulS", load.options.run_s, "KnotS", 0.0, "StowS", 0.0, "TideS");
-            call(client, arc4random_uniform((guint)load.options.controllers), "POST", "/v2/runs",
-                 body, NULL);
-            json_decref(body);
-            g_ptr_array_add(open, id);
+            submit_job(client, id);
+            g_ptr_array_add(ids, id);
         }
-        if (clock_steady() - polled < USER_POLL_MS)
+        if (clock_steady() - polled_at < USER_POLL_MS)
             continue;
-        polled = clock_steady();
-        for (guint i = open->len; i-- > 0;) {
-            char path[URL_BYTES];
-            json_t *answer = NULL;
-            g_snprintf(path, sizeof path, "/v2/runs/%s", (char *)g_ptr_array_index(open, i));
-            call(client, arc4random_uniform((guint)load.options.controllers), "GET", path, NULL,
-                 &answer);
-            if (g_strcmp0(json_string_value(json_object_get(answer, "Trim")), "done") == 0)
-                g_ptr_array_remove_index(open, i);
-            json_decref(answer);
-        }
+        polled_at = clock_steady();
+        poll_jobs(client, ids);
     }
     return NULL;
 }
 
-/* What /metrics of the controller says: name -> value. */
+/* Returns the controller's /metrics: from a name (char *) to its value (double *), both owned. */
 static GHashTable *read_metrics(http_client_t *client, guint controller)
 {
     GHashTable *values = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -263,11 +294,10 @@
         {"command", 0, 0, G_OPTION_ARG_STRING, &options->command,
          "run in the measured time; {} is the process id of controller-0", "LINE"},
         {0}};
-    GOptionContext *context = g_option_context_new("- load for the service");
+    g_autoptr(GOptionContext) context = g_option_context_new("- load for the service");
     g_option_context_add_main_entries(context, entries, NULL);
-    bool parsed = g_option_context_parse(context, &argc, &argv, &error);
-    g_option_context_free(context);
-    if (!parsed || options->controllers < 1 || options->controllers > CONTROLLERS_MAX) {
+    bool is_valid = g_option_context_parse(context, &argc, &argv, &error);
+    if (!is_valid || options->controllers < 1 || options->controllers > CONTROLLERS_MAX) {
         fprintf(stderr, "load: %s\n", error ? error->message : "1 to 3 controllers");
         exit(EXIT_FAILURE);
     }
@@ -295,10 +325,10 @@
         load.peer_ports[i] = services_free_port();
     }
     http_client_t *client = http_client_new(2);
-    for (guint i = 0; i < controllers; i++) { /* the first one leads */
+    for (guint i = 0; i < controllers; i++) { /* one after the other: the first is the leader */
         start_controller(services, i, folder);
         while (call(client, i, "GET", "/ready", NULL, NULL) != HTTP_OK)
-            sleep_ms(TICK_MS_LOAD);
+            sleep_ms(WORKER_TICK_MS);
     }
     for (int i = 0; i < load.options.machines; i++) {
         char id[ID_BYTES];
@@ -308,7 +338,7 @@
     threads_start("users", users_run, NULL);
 }
 
-/* Each worker takes some of them. */
+/* Each worker uses some. */
 static void allow_many_sockets(void)
 {
     struct rlimit limit;
@@ -317,6 +347,21 @@
     setrlimit(RLIMIT_NOFILE, &limit);
 }
 
+/* Measures all controllers for the time of the run, and prints their rates. */
+static void measure(void)
+{
+    const guint controllers = (guint)load.options.controllers;
+    http_client_t *client = http_client_new(1);
+    GHashTable *before[CONTROLLERS_MAX] = {NULL};
+    for (guint i = 0; i < controllers; i++)
+        before[i] = read_metrics(client, i);
+    msec_t until = clock_steady() + (msec_t)load.options.seconds * MS_PER_S;
+    run_command();
+    sleep_ms(MAX(until - clock_steady(), 0));
+    for (guint i = 0; i < controllers; i++)
+        print_difference(i, before[i], read_metrics(client, i));
+}
+
 int main(int argc, char **argv)
 {
     parse_options(argc, argv);
@@ -328,17 +373,9 @@
     char *folder = g_dir_make_tmp("load-XXXXXX", NULL);
     start_all(services, folder);
     sleep((guint)load.options.warmup);
-    http_client_t *client = http_client_new(1);
-    GHashTable *before[CONTROLLERS_MAX] = {NULL};
-    for (guint i = 0; i < (guint)load.options.controllers; i++)
-        before[i] = read_metrics(client, i);
-    msec_t until = clock_steady() + (msec_t)load.options.seconds * MS_PER_S;
-    run_command();
-    sleep_ms(MAX(until - clock_steady(), 0));
-    for (guint i = 0; i < (guint)load.options.controllers; i++)
-        print_difference(i, before[i], read_metrics(client, i));
-    load.over = true;
-    for (guint i = 0; i < (guint)load.options.controllers; i++)
+    measure();
+    load.is_over = true;
+    for (int i = 0; i < load.options.controllers; i++)
         kill(load.pids[i], SIGKILL);
     return EXIT_SUCCESS;
 }
