--- a/tests/io/test_machine_pages.c
+++ b/tests/io/test_machine_pages.c
@@ -139,7 +139,7 @@
 
 /* One key can't record all the small tasks that fit on the machine: it refuses more, instead of
  * keeping their reservations forever, and accepts some again when others have ended. */
-static void test_machine_that_fills_a_page_takes_no_more(void **state)
+static void test_a_machine_that_fills_a_page_takes_no_more(void **state)
 {
     records_fixture_t *fixture = *state;
     machine_type_t large = {.name = "t1000", .capacity = {1000, 0, 4000}};
@@ -191,7 +191,7 @@
                                         records_set_up, records_tear_down),
         cmocka_unit_test_setup_teardown(test_pages_are_loaded_as_they_were_written, records_set_up,
                                         records_tear_down),
-        cmocka_unit_test_setup_teardown(test_machine_that_fills_a_page_takes_no_more,
+        cmocka_unit_test_setup_teardown(test_a_machine_that_fills_a_page_takes_no_more,
                                         records_set_up, records_tear_down),
         cmocka_unit_test(test_page_names_are_read_back),
     };
--- a/tests/io/test_records.c
+++ b/tests/io/test_records.c
@@ -3,7 +3,7 @@
 
 /* An entry executed after a newer one of the same controller would bind it to a lease that ends:
  * the controller would drop out of the view. */
-static void test_member_entry_written_late_fails(void **state)
+static void test_late_entry_of_a_member_fails(void **state)
 {
     records_fixture_t *fixture = *state;
     member_t self = {.name = "node-1", .zone = "zone-a", .incarnation = 5};
@@ -140,7 +140,7 @@
 }
 
 /* Each change counts in the key-value store's write rate. */
-static void test_job_of_one_task_costs_few_changes(void **state)
+static void test_jobs_of_one_task_cost_few_changes(void **state)
 {
     records_fixture_t *fixture = *state;
     job_spec_t spec = fixture_job("j-000001", 1);
@@ -157,7 +157,7 @@
 /* A machine that is not in the cloud's list yet gets work. The answer to the commit of its record
  * is lost, and the leader fails: the next one knows machine and task from the record alone,
  * contacts the machine at once, and accepts only proof of the task's end. */
-static void test_start_on_a_new_machine_survives_its_leader(void **state)
+static void test_a_start_on_a_machine_just_up_outlives_its_leader(void **state)
 {
     records_fixture_t *fixture = *state;
     job_spec_t spec = fixture_job("j-000001", 1);
@@ -194,7 +194,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_member_entry_written_late_fails, records_set_up,
+        cmocka_unit_test_setup_teardown(test_late_entry_of_a_member_fails, records_set_up,
                                         records_tear_down),
         cmocka_unit_test_setup_teardown(test_late_start_record_of_an_older_view_fails,
                                         records_set_up, records_tear_down),
@@ -209,9 +209,9 @@
         cmocka_unit_test_setup_teardown(test_abort_deletes_the_progress, records_set_up,
                                         records_tear_down),
         cmocka_unit_test(test_transaction_with_an_unbuildable_value_is_never_sent),
-        cmocka_unit_test_setup_teardown(test_job_of_one_task_costs_few_changes, records_set_up,
+        cmocka_unit_test_setup_teardown(test_jobs_of_one_task_cost_few_changes, records_set_up,
                                         records_tear_down),
-        cmocka_unit_test_setup_teardown(test_start_on_a_new_machine_survives_its_leader,
+        cmocka_unit_test_setup_teardown(test_a_start_on_a_machine_just_up_outlives_its_leader,
                                         records_set_up, records_tear_down),
     };
     return cmocka_run_group_tests_name("records", tests, NULL, NULL);
