--- /dev/null
+++ b/src/controller/api/http_response.c
@@ -0,0 +1,69 @@
+/* Turns replies into responses of libmicrohttpd. */
+#include "controller/api/http_response.h"
+
+#include <string.h>
+
+#include "io/codec/codec.h"
+
+/* The response to heartbeats that call for no commands. It is the same for all workers of a view,
+ * so each HTTP thread builds it once and keeps it. */
+static struct MHD_Response *unchanged_heartbeat_response(uint64_t fencing_token)
+{
+    static _Thread_local struct MHD_Response *response;
+    static _Thread_local uint64_t built_for_token;
+    if (built_for_token == fencing_token)
+        return response;
+    if (response)
+        MHD_destroy_response(response);
+    json_t *body = codec_build_commands(fencing_token, NULL);
+    char *text = json_dumps(body, JSON_COMPACT);
+    json_decref(body);
+    response = MHD_create_response_from_buffer(strlen(text), text, MHD_RESPMEM_MUST_FREE);
+    MHD_add_response_header(response, "Content-Type", "application/json");
+    built_for_token = fencing_token;
+    return response;
+}
+
+/* text: transfer full; NULL: an empty body. */
+static struct MHD_Response *new_response(char *text, const char *content_type)
+{
+    static char empty[] = "";
+    struct MHD_Response *response =
+        text ? MHD_create_response_from_buffer(strlen(text), text, MHD_RESPMEM_MUST_FREE)
+             : MHD_create_response_from_buffer(0, empty, MHD_RESPMEM_PERSISTENT);
+    MHD_add_response_header(response, "Content-Type", content_type);
+    return response;
+}
+
+/* Returns a response with the body of a reply that is not kept ready, and takes the body over. */
+static struct MHD_Response *new_body_response(const reply_t *reply)
+{
+    if (reply->kind == REPLY_TEXT)
+        return new_response(reply->text, "text/plain");
+    char *text = json_dumps(reply->body, JSON_COMPACT | JSON_REAL_PRECISION(9));
+    json_decref(reply->body);
+    return new_response(text, "application/json");
+}
+
+static void add_retry_after(struct MHD_Response *response, unsigned retry_after_s)
+{
+    char seconds[NUMBER_BYTES];
+    g_snprintf(seconds, sizeof seconds, "%u", retry_after_s);
+    MHD_add_response_header(response, "Retry-After", seconds);
+}
+
+enum MHD_Result http_response_send(struct MHD_Connection *connection, reply_t reply,
+                                   bool is_closing)
+{
+    if (reply.kind == REPLY_UNCHANGED_HEARTBEAT)
+        return MHD_queue_response(connection, reply.status,
+                                  unchanged_heartbeat_response(reply.fencing_token));
+    struct MHD_Response *response = new_body_response(&reply);
+    if (is_closing)
+        MHD_add_response_header(response, "Connection", "close");
+    if (reply.retry_after_s)
+        add_retry_after(response, reply.retry_after_s);
+    enum MHD_Result result = MHD_queue_response(connection, reply.status, response);
+    MHD_destroy_response(response);
+    return result;
+}
--- a/src/controller/api/jobs.c
+++ b/src/controller/api/jobs.c
@@ -1,37 +1,58 @@
 /* Users' submissions and aborts. */
-#include "controller/api/api_internal.h"
+#include "controller/api/jobs.h"
 
 #include <string.h>
 
+#include "controller/api/health.h"
+#include "controller/api/job_state.h"
+#include "controller/api/kv_access.h"
+#include "controller/api/status.h"
+#include "controller/controller.h"
 #include "io/clock.h"
 #include "io/codec/codec.h"
 #include "io/codec/json_input.h"
 #include "io/log.h"
 #include "io/records.h"
 
-/* A submission that can't be taken as it is: but if its id is that of an accepted job, it is a
- * repeat, whatever else it says. Reads for it are limited: anybody can send any number of these. */
-static reply_t reject(request_t *request, const char *id, reply_t reply)
+/* Whether a submission can be accepted, as far as quotas and machine types tell. */
+typedef enum {
+    SUBMISSION_ACCEPTABLE,
+    SUBMISSION_UNDECIDED, /* the machine types are not known yet */
+    SUBMISSION_UNKNOWN_TEAM,
+    SUBMISSION_OVER_QUOTA,
+    SUBMISSION_FITS_NO_MACHINE
+} submission_verdict_t;
+
+static reply_t look_up_accepted(request_t *request, const char *id)
 {
     controller_t *controller = request->controller;
-    if (!codec_is_job_id(id))
-        return reply;
-    reply_t known;
     if (api_must_shed(controller))
-        // NOLINTNEXTLINE(bugprone-branch-clone): the order of the questions counts
-        known = api_retry_later();
-    else if (!rate_limiter_take(&controller->api_request_limiter, 1, clock_steady()))
-        known = api_refuse(HTTP_TOO_MANY_REQUESTS, "too many requests", 2);
-    else if (!api_acquire_client(request))
-        known = api_retry_later();
-    else
-        known = api_status_reply(controller, id, api_look_up(request, id, true), HTTP_OK);
-    bool unknown = known.status == HTTP_NOT_FOUND;
-    json_decref(unknown ? known.body : reply.body);
-    return unknown ? reply : known;
-}
-
-/* An array runs as its team's limit permits, a task at a time if need be; any other job as a whole.
+        return api_retry_later();
+    /* Reads for submissions that can't be accepted are limited: anybody can send any number. */
+    if (!rate_limiter_take(&controller->api_request_limiter, 1, clock_steady()))
+        return api_refuse(HTTP_TOO_MANY_REQUESTS, "too many requests", 2);
+    if (!api_acquire_client(request))
+        return api_retry_later();
+    return api_status_reply(controller, id, api_look_up(request, id, true));
+}
+
+/* Returns the reply to a submission that can't be accepted as it is. If its id is that of an
+ * accepted job, it is a repeat, whatever else it says, and gets that job's status; else it gets
+ * refusal, which is taken over. */
+static reply_t refuse_unless_repeated(request_t *request, const char *id, reply_t refusal)
+{
+    if (!codec_is_job_id(id))
+        return refusal;
+    reply_t accepted = look_up_accepted(request, id);
+    if (accepted.status == HTTP_NOT_FOUND) {
+        api_reply_clear(&accepted);
+        return refusal;
+    }
+    api_reply_clear(&refusal);
+    return accepted;
+}
+
+/* An array runs as its team's quota permits, a task at a time if need be; any other job as a whole.
  */
 static bool exceeds_quota(const job_spec_t *spec, const team_t *team)
 {
@@ -40,21 +61,28 @@
            (team->max_gpus > 0 && tasks * spec->need.gpus > team->max_gpus + EPSILON);
 }
 
-static const char *find_quota_violation(controller_t *controller, const job_spec_t *spec,
-                                        bool *undecided)
+static submission_verdict_t check_team_quota(const controller_t *controller, const job_spec_t *spec)
 {
-    const char *why = "unknown team";
-    pthread_mutex_lock(&controller->lock);
-    *undecided = controller->placement.machine_types->len == 0;
+    submission_verdict_t verdict = SUBMISSION_UNKNOWN_TEAM;
     for (guint i = 0; i < controller->settings->teams->len; i++) {
         const team_t *team = &g_array_index(controller->settings->teams, team_t, i);
         if (strcmp(team->name, spec->team) == 0)
-            why = exceeds_quota(spec, team) ? "it needs more than the team's limit" : NULL;
+            verdict = exceeds_quota(spec, team) ? SUBMISSION_OVER_QUOTA : SUBMISSION_ACCEPTABLE;
     }
-    if (!why && !job_spec_fits_some(spec, controller->placement.machine_types))
-        why = "a task fits no allowed machine type";
+    return verdict;
+}
+
+static submission_verdict_t check_submission(controller_t *controller, const job_spec_t *spec)
+{
+    submission_verdict_t verdict = check_team_quota(controller, spec);
+    pthread_mutex_lock(&controller->lock);
+    const GArray *machine_types = controller->placement.machine_types;
+    if (machine_types->len == 0)
+        verdict = SUBMISSION_UNDECIDED;
+    else if (verdict == SUBMISSION_ACCEPTABLE && !job_spec_fits_some(spec, machine_types))
+        verdict = SUBMISSION_FITS_NO_MACHINE;
     pthread_mutex_unlock(&controller->lock);
-    return why;
+    return verdict;
 }
 
 static reply_t commit_job(request_t *request, const job_spec_t *spec)
@@ -62,33 +90,31 @@
     kv_txn_t txn = records_submit(spec);
     kv_result_t result = api_commit(request, &txn, NULL);
     kv_txn_free(&txn);
-    if (result == KV_OK)
+    switch (result) {
+    case KV_OK:
         log_info("event=job_accepted job=%s class=%s tasks=%u", spec->id, spec->class_name,
                  spec->tasks);
-    if (result == KV_OK)
-        return (reply_t){.status = HTTP_CREATED,
-                         .body = codec_build_status(spec->id, "queued", 0, 0)};
-    if (result == KV_NOT_EXECUTED)
+        return api_reply_json(HTTP_CREATED, codec_build_status(spec->id, "queued", 0, 0));
+    case KV_NOT_EXECUTED:
         return api_retry_later();
-    if (result == KV_INVALID)
-        return reject(request, spec->id,
-                      api_refuse(HTTP_BAD_REQUEST, "too large to be recorded", 0));
+    case KV_INVALID:
+        return refuse_unless_repeated(request, spec->id,
+                                      api_refuse(HTTP_BAD_REQUEST, "too large to be recorded", 0));
+    case KV_CONFLICT:
+    case KV_NOT_FOUND:
+    case KV_INDETERMINATE:
+    case KV_COMPACTED:
+        break;
+    }
     job_state_t state = api_look_up(request, spec->id, true);
-    if (state == JOB_NEVER)
-        return api_retry_later(); /* no answer, and not applied so far */
-    return api_status_reply(request->controller, spec->id, state, HTTP_OK);
+    if (state == JOB_NOT_FOUND)
+        return api_retry_later(); /* the commit got no answer and has not been applied so far */
+    return api_status_reply(request->controller, spec->id, state);
 }
 
-static reply_t submit_job(request_t *request, job_spec_t *spec)
+static reply_t submit_acceptable(request_t *request, job_spec_t *spec)
 {
     controller_t *controller = request->controller;
-    bool undecided = false;
-    const char *never = find_quota_violation(controller, spec, &undecided);
-    if (undecided)
-        return reject(request, spec->id,
-                      api_refuse(HTTP_UNAVAILABLE, "the machine types are not known yet", 1));
-    if (never)
-        return reject(request, spec->id, api_refuse(HTTP_UNPROCESSABLE, never, 0));
     if (api_must_shed(controller))
         return api_retry_later();
     if (!rate_limiter_take(&controller->api_write_limiter, 1, clock_steady()))
@@ -99,7 +125,31 @@
     return commit_job(request, spec);
 }
 
-/* The job that the submission is about, as far as that can be read. */
+static reply_t refuse_unprocessable(request_t *request, const char *id, const char *why)
+{
+    return refuse_unless_repeated(request, id, api_refuse(HTTP_UNPROCESSABLE, why, 0));
+}
+
+static reply_t submit_job(request_t *request, job_spec_t *spec)
+{
+    switch (check_submission(request->controller, spec)) {
+    case SUBMISSION_UNDECIDED:
+        return refuse_unless_repeated(
+            request, spec->id,
+            api_refuse(HTTP_UNAVAILABLE, "the machine types are not known yet", 1));
+    case SUBMISSION_UNKNOWN_TEAM:
+        return refuse_unprocessable(request, spec->id, "unknown team");
+    case SUBMISSION_OVER_QUOTA:
+        return refuse_unprocessable(request, spec->id, "it needs more than the team's limit");
+    case SUBMISSION_FITS_NO_MACHINE:
+        return refuse_unprocessable(request, spec->id, "a task fits no allowed machine type");
+    case SUBMISSION_ACCEPTABLE:
+        break;
+    }
+    return submit_acceptable(request, spec);
+}
+
+/* Copies the id of the job that the submission is about, as far as it can be read; else "". */
 static void read_id(const json_t *partial, char *id, gsize size)
 {
     const json_t *value = json_object_get(partial, "Uid");
@@ -115,26 +165,25 @@
     json_t *body = json_input_load(text->str, text->len, &partial);
     char id[ID_BYTES];
     job_spec_t spec;
-    reason_t why = {"a JSON object is expected"};
-    bool valid = !request->is_too_long && codec_parse_job(body, false, &spec, &why);
+    reason_t reason = {"a JSON object is expected"};
+    bool is_valid = !request->is_too_long && codec_parse_job(body, false, &spec, &reason);
     read_id(partial, id, sizeof id);
     json_decref(body);
     json_decref(partial);
-    if (valid) {
+    if (is_valid) {
         reply_t reply = submit_job(request, &spec);
         job_spec_clear(&spec);
         return reply;
     }
-    return reject(request, id,
-                  api_refuse(HTTP_BAD_REQUEST,
-                             request->is_too_long ? "the body is over 64 KiB" : why.text, 0));
+    const char *fault = request->is_too_long ? "the body is over 64 KiB" : reason.text;
+    return refuse_unless_repeated(request, id, api_refuse(HTTP_BAD_REQUEST, fault, 0));
 }
 
 reply_t api_submit(request_t *request)
 {
-    msec_t begun = clock_steady();
+    msec_t started_at = clock_steady();
     reply_t reply = submit(request);
-    metrics_time(request->controller->metrics, TIME_SUBMIT, clock_steady() - begun);
+    metrics_time(request->controller->metrics, TIME_SUBMIT, clock_steady() - started_at);
     return reply;
 }
 
@@ -149,35 +198,63 @@
     return result;
 }
 
-static reply_t abort_with(request_t *request, const char *id)
+/* What an attempt to cancel a job came to. */
+typedef enum {
+    CANCEL_COMMITTED,
+    CANCEL_NOT_EXECUTED,
+    CANCEL_UNDECIDED /* it is not live, or the answer was lost: its state has to be looked up */
+} cancel_result_t;
+
+static cancel_result_t cancel_if_live(request_t *request, const char *id)
 {
-    controller_t *controller = request->controller;
     kv_entry_t entry = {0};
     kv_result_t result = api_read_key(request, "jobs", id, &entry);
-    if (result != KV_OK && result != KV_NOT_FOUND)
+    if (result == KV_NOT_FOUND)
+        return CANCEL_UNDECIDED;
+    if (result != KV_OK)
+        return CANCEL_NOT_EXECUTED;
+    uint32_t tasks = (uint32_t)json_integer_value(json_object_get(entry.value, "Pieces"));
+    result = commit_abort(request, id, entry.revision, tasks);
+    api_entry_clear(&entry);
+    switch (result) {
+    case KV_OK:
+        return CANCEL_COMMITTED;
+    case KV_CONFLICT:
+    case KV_INDETERMINATE:
+        return CANCEL_UNDECIDED;
+    case KV_NOT_FOUND:
+    case KV_NOT_EXECUTED:
+    case KV_COMPACTED:
+    case KV_INVALID:
+        break;
+    }
+    return CANCEL_NOT_EXECUTED;
+}
+
+static reply_t abort_job(request_t *request, const char *id)
+{
+    controller_t *controller = request->controller;
+    job_state_t state = JOB_UNKNOWN;
+    switch (cancel_if_live(request, id)) {
+    case CANCEL_COMMITTED:
+        log_info("event=job_cancelled job=%s", id);
+        state = api_record_terminal_state(controller, id, false);
+        return api_status_reply(controller, id, state);
+    case CANCEL_NOT_EXECUTED:
         return api_retry_later();
-    if (result == KV_OK) {
-        uint32_t tasks = (uint32_t)json_integer_value(json_object_get(entry.value, "Pieces"));
-        result = commit_abort(request, id, entry.revision, tasks);
-        api_entry_clear(&entry);
-        if (result == KV_OK) {
-            log_info("event=job_cancelled job=%s", id);
-            return api_status_reply(controller, id,
-                                    api_record_terminal_state(controller, id, false), HTTP_OK);
-        }
-        if (result != KV_CONFLICT && result != KV_INDETERMINATE)
-            return api_retry_later();
+    case CANCEL_UNDECIDED:
+        break;
     }
-    /* It ended meanwhile, or the answer was lost: only a final state may be told. */
-    job_state_t state = api_look_up(request, id, true);
-    return state == JOB_LIVE ? api_retry_later() : api_status_reply(controller, id, state, HTTP_OK);
+    /* A reply to an abort tells terminal states only. */
+    state = api_look_up(request, id, true);
+    return state == JOB_LIVE ? api_retry_later() : api_status_reply(controller, id, state);
 }
 
 reply_t api_abort(request_t *request, const char *id)
 {
-    bool likely_live;
+    known_job_t known = api_known_job(request->controller, id);
     reply_t reply;
-    if (api_answer_at_once(request, id, &likely_live, &reply))
+    if (api_answer_at_once(request, id, &known, &reply))
         return reply;
-    return api_acquire_client(request) ? abort_with(request, id) : api_retry_later();
+    return api_acquire_client(request) ? abort_job(request, id) : api_retry_later();
 }
--- /dev/null
+++ b/src/controller/api/reply.c
@@ -0,0 +1,50 @@
+/* Builds replies. */
+#include "controller/api/reply.h"
+
+#include <stdlib.h>
+
+#include "io/http_client.h"
+
+reply_t api_reply_json(unsigned status, json_t *body)
+{
+    return (reply_t){.kind = REPLY_JSON, .status = status, .body = body};
+}
+
+reply_t api_reply_text(char *text)
+{
+    return (reply_t){.kind = REPLY_TEXT, .status = HTTP_OK, .text = text};
+}
+
+reply_t api_reply_unchanged_heartbeat(uint64_t fencing_token)
+{
+    return (reply_t){
+        .kind = REPLY_UNCHANGED_HEARTBEAT, .status = HTTP_OK, .fencing_token = fencing_token};
+}
+
+reply_t api_refuse(unsigned status, const char *why, unsigned retry_after_s)
+{
+    reply_t reply = api_reply_json(status, json_pack("{s:s}", "error", why));
+    reply.retry_after_s = retry_after_s;
+    return reply;
+}
+
+reply_t api_retry_later(void)
+{
+    return api_refuse(HTTP_UNAVAILABLE, "the state service can't be asked now", 1);
+}
+
+void api_reply_clear(reply_t *reply)
+{
+    switch (reply->kind) {
+    case REPLY_JSON:
+        json_decref(reply->body);
+        reply->body = NULL;
+        break;
+    case REPLY_TEXT:
+        free(reply->text);
+        reply->text = NULL;
+        break;
+    case REPLY_UNCHANGED_HEARTBEAT:
+        break;
+    }
+}
--- a/src/controller/api/worker_heartbeats.c
+++ b/src/controller/api/worker_heartbeats.c
@@ -1,16 +1,19 @@
 /* Workers' heartbeats. */
-#include "controller/api/api_internal.h"
-#include "controller/worker_lease.h"
+#include "controller/api/worker_heartbeats.h"
+
+#include <string.h>
 
+#include "controller/controller.h"
+#include "controller/worker_lease.h"
 #include "io/clock.h"
 #include "io/codec/codec.h"
 #include "io/log.h"
 
-/* Whether the owner is in reach of workers of the zone, as far as this controller can tell. Cuts go
- * between zones or round a controller: what this controller or the owner reaches within the
- * worker's zone, the worker reaches too. */
-static bool owner_is_reachable(const controller_t *controller, const member_t *owner,
-                               const char *zone, msec_t now)
+/* Returns whether workers of the zone can reach the owner, as far as this controller can tell.
+ * Network partitions separate zones, or one controller: what this controller or the owner reaches
+ * within the worker's zone, the worker reaches too. */
+static bool is_owner_reachable_locked(const controller_t *controller, const member_t *owner,
+                                      const char *zone, msec_t now)
 {
     if (strcmp(zone, controller->settings->zone) != 0 && strcmp(zone, owner->zone) != 0)
         return false;
@@ -22,101 +25,135 @@
     return false;
 }
 
-/* A worker that this controller does not own: sent to the owner or, if it can't reach that, kept
- * alive here: no starts, but stops for what is cancelled. */
-static reply_t redirect_worker(controller_t *controller, const worker_heartbeat_t *heartbeat,
-                               const member_t *owner, msec_t now)
+static redirection_verdict_t judge_redirection_locked(controller_t *controller,
+                                                      const worker_heartbeat_t *heartbeat,
+                                                      const member_t *owner, msec_t now)
 {
-    char key[KV_KEY_BYTES];
-    g_snprintf(key, sizeof key, "%s#%" G_GUINT64_FORMAT, owner->name, owner->incarnation);
-    bool is_reachable = owner_is_reachable(controller, owner, heartbeat->zone, now);
-    redirection_verdict_t verdict = redirection_handle_heartbeat(controller->membership.redirection,
-                                                                 heartbeat, key, is_reachable, now);
-    if (verdict == REDIRECTION_DUPLICATE)
-        return api_refuse(HTTP_UNAVAILABLE, "an old heartbeat", 0);
-    if (verdict == REDIRECTION_TO_OWNER)
-        return (reply_t){.status = HTTP_MISDIRECTED,
-                         .body = json_pack("{s:s}", "Bosun", owner->name)};
+    char owner_key[KV_KEY_BYTES];
+    g_snprintf(owner_key, sizeof owner_key, "%s#%" G_GUINT64_FORMAT, owner->name,
+               owner->incarnation);
+    bool is_reachable = is_owner_reachable_locked(controller, owner, heartbeat->zone, now);
+    return redirection_handle_heartbeat(controller->membership.redirection, heartbeat, owner_key,
+                                        is_reachable, now);
+}
+
+/* Keeps a worker of another owner alive: its reply has no starts, but stops for cancelled jobs. */
+static reply_t retain_worker_locked(controller_t *controller, const worker_heartbeat_t *heartbeat)
+{
+    g_autoptr(GArray) commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     log_debug("event=worker_retained machine=%s", heartbeat->machine);
-    GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     redirection_stop_ended(heartbeat, controller->jobs.live, commands);
-    reply_t reply = {.status = HTTP_OK,
-                     .body = codec_build_commands(controller->membership.view.number, commands)};
-    g_array_unref(commands);
-    return reply;
+    return api_reply_json(HTTP_OK,
+                          codec_build_commands(controller->membership.view.number, commands));
 }
 
-/* An answer renews the lease of all that runs there, so it always stops what users were told is
- * cancelled: also where the partition is not loaded, for as long as the key-value store is away,
- * and where nothing is taken of the heartbeat. */
-static reply_t answer_own(controller_t *controller, const worker_heartbeat_t *heartbeat, msec_t now)
+/* A worker that this controller does not own is redirected to its owner or, if it can't reach the
+ * owner, retained here. */
+static reply_t redirect_worker_locked(controller_t *controller, const worker_heartbeat_t *heartbeat,
+                                      const member_t *owner, msec_t now)
 {
-    GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    heartbeat_verdict_t verdict = HEARTBEAT_UNVERIFIED;
-    reply_t reply;
-    uint64_t changes =
-        controller->placement.partition ? controller->placement.partition->changes : 0;
-    if (controller->placement.is_loaded) {
-        partition_pause_starts(controller->placement.partition,
-                               !worker_lease_may_start(controller, now));
-        verdict = partition_handle_heartbeat(controller->placement.partition, heartbeat, false, now,
-                                             commands);
+    switch (judge_redirection_locked(controller, heartbeat, owner, now)) {
+    case REDIRECTION_DUPLICATE:
+        return api_refuse(HTTP_UNAVAILABLE, "an old heartbeat", 0);
+    case REDIRECTION_TO_OWNER:
+        return api_reply_json(HTTP_MISDIRECTED, json_pack("{s:s}", "Bosun", owner->name));
+    case REDIRECTION_RETAINED:
+    case REDIRECTION_UNVERIFIED:
+        break;
     }
+    return retain_worker_locked(controller, heartbeat);
+}
+
+/* Hands the heartbeat to the loaded partition, which appends its commands. */
+static heartbeat_verdict_t update_partition_locked(controller_t *controller,
+                                                   const worker_heartbeat_t *heartbeat, msec_t now,
+                                                   GArray *commands)
+{
+    partition_t *partition = controller->placement.partition;
+    if (!controller->placement.is_loaded)
+        return HEARTBEAT_UNVERIFIED;
+    partition_pause_starts(partition, !worker_lease_may_start(controller, now));
+    return partition_handle_heartbeat(partition, heartbeat, false, now, commands);
+}
+
+static reply_t commands_reply_locked(const controller_t *controller, const GArray *commands)
+{
+    uint64_t fencing_token = controller->membership.view.number;
+    if (commands->len == 0)
+        return api_reply_unchanged_heartbeat(fencing_token);
+    return api_reply_json(HTTP_OK, codec_build_commands(fencing_token, commands));
+}
+
+/* A reply renews the lease of everything that runs on the worker, so it always stops the jobs that
+ * users were told are cancelled: also while the partition is not loaded, for as long as the
+ * key-value store is away, and where the partition did not accept the heartbeat. */
+static reply_t own_worker_reply_locked(controller_t *controller,
+                                       const worker_heartbeat_t *heartbeat,
+                                       heartbeat_verdict_t verdict, GArray *commands)
+{
+    if (verdict == HEARTBEAT_DUPLICATE)
+        return api_refuse(HTTP_UNAVAILABLE, "an old heartbeat", 0);
+    if (verdict != HEARTBEAT_ACCEPTED)
+        redirection_stop_ended(heartbeat, controller->jobs.live, commands);
+    return commands_reply_locked(controller, commands);
+}
+
+static reply_t handle_own_worker_locked(controller_t *controller,
+                                        const worker_heartbeat_t *heartbeat, msec_t now)
+{
+    g_autoptr(GArray) commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
+    const partition_t *partition = controller->placement.partition;
+    uint64_t changes = partition ? partition->changes : 0;
+    heartbeat_verdict_t verdict = update_partition_locked(controller, heartbeat, now, commands);
     if (verdict == HEARTBEAT_ACCEPTED)
         controller->peers.worker_heartbeat_at = now;
-    if (verdict == HEARTBEAT_DUPLICATE) {
-        reply = api_refuse(HTTP_UNAVAILABLE, "an old heartbeat", 0);
-    } else {
-        if (verdict != HEARTBEAT_ACCEPTED)
-            redirection_stop_ended(heartbeat, controller->jobs.live, commands);
-        reply = commands->len
-                    ? (reply_t){.status = HTTP_OK,
-                                .body = codec_build_commands(controller->membership.view.number,
-                                                             commands)}
-                    : (reply_t){.status = HTTP_OK,
-                                .unchanged_fencing_token = controller->membership.view.number};
-    }
-    if (controller->placement.partition && controller->placement.partition->changes != changes)
+    reply_t reply = own_worker_reply_locked(controller, heartbeat, verdict, commands);
+    if (partition && partition->changes != changes)
         controller_notify_placement(controller);
-    g_array_unref(commands);
     return reply;
 }
 
-static reply_t handle_heartbeat(controller_t *controller, const worker_heartbeat_t *heartbeat)
+/* A higher fencing token is in use: this controller's view is old. Workers would drop its replies,
+ * while they stay here instead of moving on to their owner. */
+static bool is_view_outdated_locked(const controller_t *controller,
+                                    const worker_heartbeat_t *heartbeat)
+{
+    return MAX(heartbeat->fencing_token, controller->membership.highest_view_seen) >
+           controller->membership.view.number;
+}
+
+static reply_t handle_heartbeat_locked(controller_t *controller,
+                                       const worker_heartbeat_t *heartbeat)
 {
+    const view_t *view = &controller->membership.view;
     msec_t now = clock_steady();
     metrics_count(controller->metrics, COUNT_WORKER_HEARTBEATS, 1);
-    /* A higher fencing token is out: this controller's view is old, and a 200 from it would be
-     * dropped while it holds the worker here. Silence about aborts ends the answers as well. */
-    if (controller->membership.view.count == 0 ||
-        MAX(heartbeat->fencing_token, controller->membership.highest_view_seen) >
-            controller->membership.view.number)
+    if (view->count == 0 || is_view_outdated_locked(controller, heartbeat))
         return api_refuse(HTTP_UNAVAILABLE, "not entitled now", 0);
     if (!worker_lease_may_renew(controller, now)) {
-        /* It lives, though its lease may not be renewed: after an outage, machines that were only
-         * refused must not be taken for dead. */
+        /* The machine is alive, though its lease may not be renewed: after an outage, machines
+         * whose heartbeats were only refused must not be taken for dead. */
         if (controller->placement.is_loaded)
             partition_record_unanswered_heartbeat(controller->placement.partition, heartbeat, now);
         return api_refuse(HTTP_UNAVAILABLE, "not entitled now", 0);
     }
     guint owner = membership_owner_index(controller, heartbeat->machine, heartbeat->zone);
-    metrics_count(controller->metrics, COUNT_WORKER_HEARTBEATS_NOT_OWNED,
-                  owner != controller->membership.own_index);
-    if (owner != controller->membership.own_index)
-        return redirect_worker(controller, heartbeat, &controller->membership.view.members[owner],
-                               now);
-    return answer_own(controller, heartbeat, now);
+    bool is_own = owner == controller->membership.own_index;
+    metrics_count(controller->metrics, COUNT_WORKER_HEARTBEATS_NOT_OWNED, !is_own);
+    if (!is_own)
+        return redirect_worker_locked(controller, heartbeat, &view->members[owner], now);
+    return handle_own_worker_locked(controller, heartbeat, now);
 }
 
 reply_t api_handle_worker_heartbeat(controller_t *controller, const request_t *request)
 {
     worker_heartbeat_t heartbeat;
-    reason_t why = {"too long"};
+    reason_t reason = {"too long"};
     if (request->is_too_long ||
-        !codec_parse_worker_heartbeat(request->body->str, request->body->len, &heartbeat, &why))
-        return api_refuse(HTTP_BAD_REQUEST, why.text, 0);
+        !codec_parse_worker_heartbeat(request->body->str, request->body->len, &heartbeat, &reason))
+        return api_refuse(HTTP_BAD_REQUEST, reason.text, 0);
     pthread_mutex_lock(&controller->lock);
-    reply_t reply = handle_heartbeat(controller, &heartbeat);
+    reply_t reply = handle_heartbeat_locked(controller, &heartbeat);
     pthread_mutex_unlock(&controller->lock);
     worker_heartbeat_clear(&heartbeat);
     return reply;
--- a/tests/io/codec/test_encoding_samples.c
+++ b/tests/io/codec/test_encoding_samples.c
@@ -1,7 +1,7 @@
 /* The exact bytes of what the service writes and reads, compared with the files of tests/samples,
  * which the builds that are in use wrote: controllers of both builds run side by side during an
  * update, and read each other's values and messages. */
-#include "controller/api/api_internal.h"
+#include "controller/api/reply.h"
 #include "io/codec/codec.h"
 #include "io/records.h"
 #include "policy/policy.h"
