--- a/src/controller/api/job_state.h
+++ b/src/controller/api/job_state.h
@@ -30,7 +30,7 @@
 /** Returns what this controller knows of the job without a call to the key-value store. */
 known_job_t api_known_job(controller_t *controller, const char *id);
 
-/** Records a terminal state, as it must be before any user can be told of it: for the other threads
+/** Records a terminal state, as it must be before any reply names it: for the other threads
  * and, of a cancellation, for the other controllers. Returns JOB_DONE or JOB_CANCELLED. */
 job_state_t api_record_terminal_state(controller_t *controller, const char *id, bool is_done);
 
--- a/src/controller/api/worker_heartbeats.c
+++ b/src/controller/api/worker_heartbeats.c
@@ -85,7 +85,7 @@
 }
 
 /* A reply renews the lease of everything that runs on the worker, so it always stops the jobs that
- * users were told are cancelled: also while the partition is not loaded, for as long as the
+ * users know to be cancelled: also while the partition is not loaded, for as long as the
  * key-value store is away, and where the partition did not accept the heartbeat. */
 static reply_t own_worker_reply_locked(controller_t *controller,
                                        const worker_heartbeat_t *heartbeat,
--- a/src/controller/placement/dispatch_state.h
+++ b/src/controller/placement/dispatch_state.h
@@ -1,4 +1,6 @@
-/* Which command dispatchers run, wait or work. Guarded by the controller's lock. */
+/** @file
+ * Which command dispatchers run, wait or work.
+ */
 #ifndef PEPPERPULLEY_DISPATCH_STATE_H
 #define PEPPERPULLEY_DISPATCH_STATE_H
 
@@ -8,12 +10,14 @@
 
 #include "constants.h"
 
+/** The state of all dispatchers. Guarded by the controller's lock. */
 typedef struct dispatch_state {
-    pthread_cond_t
-        ready[DISPATCHERS_COUNT]; /* signalled when the dispatcher has commands to push */
-    uint32_t idle;                /* a bit for each dispatcher that waits or has no thread yet */
-    uint32_t started;             /* a bit for each dispatcher that has a thread */
-    bool has_polling;             /* one dispatcher waits with a time limit, for all of them */
+    pthread_cond_t ready[DISPATCHERS_COUNT]; /**< For each dispatcher: signalled when there are
+                                                commands for it to push. */
+    uint32_t idle;    /**< A bit for each dispatcher that waits or has no thread yet. */
+    uint32_t started; /**< A bit for each dispatcher that has a thread. */
+    bool has_polling; /**< One idle dispatcher polls: it waits with a time limit, on behalf of
+                         all. */
 } dispatch_state_t;
 
 #endif
--- /dev/null
+++ b/src/controller/placement/record_loader.c
@@ -0,0 +1,248 @@
+/* Reads the records of a view and loads them. */
+#include "controller/placement/record_loader.h"
+
+#include <stdlib.h>
+#include <string.h>
+
+#include "controller/controller.h"
+#include "controller/placement/command_dispatcher.h"
+#include "io/clock.h"
+#include "io/codec/codec.h"
+#include "io/log.h"
+
+/* The records as read. */
+typedef struct listing {
+    GArray *machines; /* of kv_entry_t, owned: machines/ */
+    GArray *done;     /* of kv_entry_t, owned: done/, of the leader only */
+    GArray *jobs;     /* of kv_entry_t, owned: jobs/ */
+} listing_t;
+
+static listing_t listing_new(void)
+{
+    return (listing_t){
+        .machines = kv_entries_new(), .done = kv_entries_new(), .jobs = kv_entries_new()};
+}
+
+static void listing_clear(listing_t *listing)
+{
+    g_array_unref(listing->machines);
+    g_array_unref(listing->done);
+    g_array_unref(listing->jobs);
+}
+
+static bool read_prefix(controller_t *controller, http_client_t *client, const char *prefix,
+                        GArray *entries)
+{
+    return kv_list(&controller->kv_store, client, prefix, entries, NULL) == KV_OK;
+}
+
+/* Returns whether all was read. Jobs are read last: the finished tasks of a job that is listed then
+ * were read before it, and a job that is not listed is over. */
+static bool read_listing(controller_t *controller, http_client_t *client, bool is_leader,
+                         listing_t *listing)
+{
+    rate_limiter_charge(&controller->core_request_limiter, is_leader ? 3 : 2, clock_steady());
+    return read_prefix(controller, client, "machines/", listing->machines) &&
+           (!is_leader || read_prefix(controller, client, "done/", listing->done)) &&
+           read_prefix(controller, client, "jobs/", listing->jobs);
+}
+
+static void load_jobs_locked(controller_t *controller, const GArray *entries)
+{
+    for (guint i = 0; i < entries->len; i++) {
+        const kv_entry_t *entry = &g_array_index(entries, kv_entry_t, i);
+        job_spec_t spec;
+        if (!codec_parse_job(entry->value, true, &spec, NULL))
+            continue;
+        if (!g_hash_table_contains(controller->jobs.terminal, spec.id))
+            leader_add_job(controller->placement.leader, &spec, entry->revision);
+        job_spec_clear(&spec);
+    }
+}
+
+/* Loads a chunk of a job's finished tasks: done/<job>/<chunk>, a bit for each task. */
+static void load_chunk_locked(controller_t *controller, const kv_entry_t *entry)
+{
+    g_auto(GStrv) key_fields = g_strsplit(entry->key, "/", 3);
+    gsize length = 0;
+    g_autofree uint8_t *bits = codec_parse_bits(entry->value, &length);
+    if (g_strv_length(key_fields) == 3 && bits)
+        leader_load_chunk(controller->placement.leader, key_fields[1],
+                          (guint)g_ascii_strtoull(key_fields[2], NULL, DECIMAL), bits, length,
+                          entry->revision);
+}
+
+static void load_finished_tasks_locked(controller_t *controller, const GArray *entries)
+{
+    for (guint i = 0; i < entries->len; i++)
+        load_chunk_locked(controller, &g_array_index(entries, kv_entry_t, i));
+}
+
+/* Loads the attempts of a machine into the leader, and ends those of jobs that are over. live_jobs:
+ * set of ids. */
+static void load_attempts_locked(controller_t *controller, const machine_record_t *record,
+                                 guint owner, GHashTable *live_jobs)
+{
+    bool is_own = owner == controller->membership.own_index;
+    for (guint i = 0; i < record->entries->len; i++) {
+        const record_entry_t *attempt = &g_array_index(record->entries, record_entry_t, i);
+        if (controller->membership.is_leader)
+            leader_load_attempt(controller->placement.leader, attempt, record->zone, owner);
+        if (is_own && !g_hash_table_contains(live_jobs, attempt->job))
+            partition_end_job(controller->placement.partition, attempt->job);
+    }
+}
+
+static void load_page_locked(controller_t *controller, const page_record_t *page,
+                             GHashTable *live_jobs, msec_t now)
+{
+    if (page->machines->len == 0)
+        return;
+    const machine_record_t *first = &g_array_index(page->machines, machine_record_t, 0);
+    guint owner = membership_owner_index(controller, first->machine, first->zone);
+    if (owner == controller->membership.own_index)
+        partition_load(controller->placement.partition, page, now);
+    for (guint i = 0; i < page->machines->len; i++)
+        load_attempts_locked(controller, &g_array_index(page->machines, machine_record_t, i), owner,
+                             live_jobs);
+}
+
+/* Returns whether none of the page's machines is in another page too: its attempts would be removed
+ * from one page only. Adds them to the set of ids, which owns them. */
+static bool add_unique_machines(GHashTable *machines, const page_record_t *page, const char *key)
+{
+    bool is_unique = true;
+    for (guint i = 0; i < page->machines->len; i++) {
+        const char *id = g_array_index(page->machines, machine_record_t, i).machine;
+        if (!g_hash_table_add(machines, g_strdup(id))) {
+            log_error("event=bad_record key=%s machine=%s", key, id);
+            is_unique = false;
+        }
+    }
+    return is_unique;
+}
+
+/* Returns the jobs that are live, a set of ids (char *, borrowed from the entries). A job may have
+ * been cancelled since it was listed, and its tasks must stop: the data of the view before recorded
+ * that, but they are void, and no other notice follows. */
+static GHashTable *live_job_ids_locked(const controller_t *controller, const GArray *job_entries)
+{
+    GHashTable *live_jobs = g_hash_table_new(g_str_hash, g_str_equal);
+    for (guint i = 0; i < job_entries->len; i++) {
+        char *id = g_array_index(job_entries, kv_entry_t, i).key + strlen("jobs/");
+        if (!g_hash_table_contains(controller->jobs.terminal, id))
+            g_hash_table_add(live_jobs, id);
+    }
+    return live_jobs;
+}
+
+/* Returns whether every record is valid; each invalid one is logged. Loading ends at the first: if
+ * it were taken for empty, its tasks would run twice. */
+static bool load_machines_locked(controller_t *controller, const listing_t *listing, msec_t now)
+{
+    bool is_valid = true;
+    /* Set of ids (char *, owned). */
+    g_autoptr(GHashTable) machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    g_autoptr(GHashTable) live_jobs = live_job_ids_locked(controller, listing->jobs);
+    for (guint i = 0; i < listing->machines->len; i++) {
+        const kv_entry_t *entry = &g_array_index(listing->machines, kv_entry_t, i);
+        const char *page_name = entry->key + strlen("machines/");
+        page_record_t page;
+        if (!codec_parse_record(page_name, entry->value, entry->revision, &page)) {
+            log_error("event=bad_record key=%s", entry->key);
+            is_valid = false;
+            continue;
+        }
+        if (!add_unique_machines(machines, &page, entry->key))
+            is_valid = false;
+        if (is_valid)
+            load_page_locked(controller, &page, live_jobs, now);
+        g_array_unref(page.machines);
+    }
+    return is_valid;
+}
+
+/* Replaces the partition by an empty one, which keeps the drains of the old one. */
+static void renew_partition_locked(controller_t *controller)
+{
+    const settings_t *settings = controller->settings;
+    msec_t reservation_ttl_ms =
+        (msec_t)(tunable_value(controller->policy, TUNABLE_RESERVATION_TTL) * MS_PER_S);
+    partition_t *earlier = controller->placement.partition;
+    partition_t *partition =
+        partition_new(controller->placement.machine_types, settings->teams, reservation_ttl_ms);
+    if (earlier) {
+        partition_inherit_drains(partition, earlier);
+        partition_free(earlier);
+    }
+    partition_set_view(partition, controller->membership.view.number);
+    partition_set_heartbeat_interval(partition, settings->heartbeat_interval_s);
+    if (settings->pace > 1)
+        partition_delay_probes(partition, settings->heartbeat_interval_s);
+    controller->placement.partition = partition;
+}
+
+static void load_leader_locked(controller_t *controller, const listing_t *listing)
+{
+    const settings_t *settings = controller->settings;
+    const view_t *view = &controller->membership.view;
+    leader_t *leader = leader_new(settings->teams, settings->slos, controller->policy, view->count);
+    leader_set_view(leader, view->number);
+    arc4random_buf(&leader->counts_epoch, sizeof leader->counts_epoch);
+    controller->placement.leader = leader;
+    load_jobs_locked(controller, listing->jobs);
+    load_finished_tasks_locked(controller, listing->done);
+}
+
+/* Wakes the threads that wait for loaded data. */
+static void notify_loaded_locked(controller_t *controller)
+{
+    pthread_cond_broadcast(&controller->peers.item_available);
+    pthread_cond_signal(&controller->peers.relay_ready);
+    pthread_cond_signal(&controller->autoscaler_ready);
+    command_dispatcher_notify(controller);
+}
+
+static void load_listing_locked(controller_t *controller, const listing_t *listing, msec_t now)
+{
+    placement_state_t *placement = &controller->placement;
+    g_clear_pointer(&placement->leader, leader_free);
+    if (!controller->autoscaler)
+        controller->autoscaler = autoscaler_new();
+    renew_partition_locked(controller);
+    if (controller->membership.is_leader)
+        load_leader_locked(controller, listing);
+    placement->is_loaded = load_machines_locked(controller, listing, now);
+    placement->generation++;
+    placement->loaded_at = now;
+    notify_loaded_locked(controller);
+}
+
+static void log_loaded_locked(const controller_t *controller, const listing_t *listing)
+{
+    const partition_t *partition = controller->placement.partition;
+    log_info("event=records_loaded view=%" G_GUINT64_FORMAT
+             " is_leader=%d jobs=%u machines=%u attempts=%u",
+             controller->membership.view.number, controller->membership.is_leader,
+             listing->jobs->len, g_hash_table_size(partition->machines),
+             g_hash_table_size(partition->attempts));
+}
+
+void record_loader_load(controller_t *controller, http_client_t *client)
+{
+    pthread_mutex_lock(&controller->lock);
+    uint64_t view_number = controller->membership.view.number;
+    bool is_leader = controller->membership.is_leader;
+    pthread_mutex_unlock(&controller->lock);
+    listing_t listing = listing_new();
+    bool is_read = read_listing(controller, client, is_leader, &listing);
+    pthread_mutex_lock(&controller->lock);
+    if (is_read && controller->membership.view.number == view_number) {
+        load_listing_locked(controller, &listing, clock_steady());
+        log_loaded_locked(controller, &listing);
+    }
+    pthread_mutex_unlock(&controller->lock);
+    listing_clear(&listing);
+    if (!is_read)
+        controller_sleep(ELECT_POLL_MS);
+}
