--- a/src/controller/api/http_response.c
+++ b/src/controller/api/http_response.c
@@ -35,16 +35,6 @@
     return response;
 }
 
-/* Returns a response with the body of a reply that is not kept ready, and takes the body over. */
-static struct MHD_Response *new_body_response(const reply_t *reply)
-{
-    if (reply->kind == REPLY_TEXT)
-        return new_response(reply->text, "text/plain");
-    char *text = json_dumps(reply->body, JSON_COMPACT | JSON_REAL_PRECISION(9));
-    json_decref(reply->body);
-    return new_response(text, "application/json");
-}
-
 static void add_retry_after(struct MHD_Response *response, unsigned retry_after_s)
 {
     char seconds[NUMBER_BYTES];
@@ -52,18 +42,38 @@
     MHD_add_response_header(response, "Retry-After", seconds);
 }
 
-enum MHD_Result http_response_send(struct MHD_Connection *connection, reply_t reply,
-                                   bool is_closing)
+/* body: transfer full; NULL: an empty body. */
+static struct MHD_Response *new_json_response(json_t *body)
+{
+    char *text = body ? json_dumps(body, JSON_COMPACT | JSON_REAL_PRECISION(9)) : NULL;
+    json_decref(body);
+    return new_response(text, "application/json");
+}
+
+static enum MHD_Result send_response(struct MHD_Connection *connection, const reply_t *reply,
+                                     bool is_closing, struct MHD_Response *response)
 {
-    if (reply.kind == REPLY_UNCHANGED_HEARTBEAT)
-        return MHD_queue_response(connection, reply.status,
-                                  unchanged_heartbeat_response(reply.fencing_token));
-    struct MHD_Response *response = new_body_response(&reply);
     if (is_closing)
         MHD_add_response_header(response, "Connection", "close");
-    if (reply.retry_after_s)
-        add_retry_after(response, reply.retry_after_s);
-    enum MHD_Result result = MHD_queue_response(connection, reply.status, response);
+    if (reply->retry_after_s)
+        add_retry_after(response, reply->retry_after_s);
+    enum MHD_Result result = MHD_queue_response(connection, reply->status, response);
     MHD_destroy_response(response);
     return result;
 }
+
+enum MHD_Result http_response_send(struct MHD_Connection *connection, reply_t reply,
+                                   bool is_closing)
+{
+    switch (reply.kind) {
+    case REPLY_UNCHANGED_HEARTBEAT:
+        return MHD_queue_response(connection, reply.status,
+                                  unchanged_heartbeat_response(reply.fencing_token));
+    case REPLY_TEXT:
+        return send_response(connection, &reply, is_closing,
+                             new_response(reply.text, "text/plain"));
+    case REPLY_JSON:
+        return send_response(connection, &reply, is_closing, new_json_response(reply.body));
+    }
+    return MHD_NO;
+}
