--- a/src/controller/api/worker_heartbeats.c
+++ b/src/controller/api/worker_heartbeats.c
@@ -54,8 +54,9 @@
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     heartbeat_verdict_t verdict = HEARTBEAT_UNVERIFIED;
     reply_t reply;
-    uint64_t changes =
-        controller->placement.partition ? controller->placement.partition->changes : 0;
+    uint64_t changes = controller->placement.partition
+                           ? partition_change_count(controller->placement.partition)
+                           : 0;
     if (controller->placement.is_loaded) {
         partition_pause_starts(controller->placement.partition,
                                !worker_lease_may_start(controller, now));
@@ -76,7 +77,8 @@
                     : (reply_t){.status = HTTP_OK,
                                 .unchanged_fencing_token = controller->membership.view.number};
     }
-    if (controller->placement.partition && controller->placement.partition->changes != changes)
+    if (controller->placement.partition &&
+        partition_change_count(controller->placement.partition) != changes)
         controller_notify_placement(controller);
     g_array_unref(commands);
     return reply;
--- a/src/controller/placement/command_dispatcher.c
+++ b/src/controller/placement/command_dispatcher.c
@@ -47,13 +47,13 @@
         partition_finish_push(controller->placement.partition, push->machine, commands,
                               push->fencing_token, result);
         msec_t now = clock_steady();
-        uint64_t changes = controller->placement.partition->changes;
+        uint64_t changes = partition_change_count(controller->placement.partition);
         if (reported && strcmp(heartbeat.machine, push->machine) == 0 &&
             partition_handle_heartbeat(controller->placement.partition, &heartbeat, true, now,
                                        NULL) == HEARTBEAT_ACCEPTED &&
             result == PUSH_EXECUTED)
             partition_record_probe_answer(controller->placement.partition, push->machine, now);
-        if (controller->placement.partition->changes != changes)
+        if (partition_change_count(controller->placement.partition) != changes)
             controller_notify_placement(controller);
     }
     pthread_mutex_unlock(&controller->lock);
@@ -129,10 +129,10 @@
             continue;
         }
         push_t push = {.fencing_token = controller->membership.view.number,
-                       .worker_epoch = machine->worker_epoch,
+                       .worker_epoch = machine_worker_epoch(machine),
                        .generation = controller->placement.generation};
-        g_strlcpy(push.machine, machine->id, sizeof push.machine);
-        g_snprintf(push.url, sizeof push.url, "http://%s/do", machine->address);
+        g_strlcpy(push.machine, machine_id(machine), sizeof push.machine);
+        g_snprintf(push.url, sizeof push.url, "http://%s/do", machine_address(machine));
         pthread_mutex_unlock(&controller->lock);
         json_t *body = codec_build_pushed_commands(push.fencing_token, push.worker_epoch, commands);
         if (!may_push(controller, &push, commands, now)) {
--- a/src/controller/placement/partition_items.c
+++ b/src/controller/placement/partition_items.c
@@ -5,33 +5,29 @@
 #include "io/clock.h"
 #include "io/log.h"
 
+/* Appends the machine's summary to data, an array of machine_summary_t. */
+static void append_summary(const machine_status_t *status, gpointer data)
+{
+    GArray *summaries = data;
+    machine_summary_t summary = {.spot = status->is_spot,
+                                 .open = status->accepts_starts,
+                                 .draining = status->is_draining,
+                                 .total = status->total,
+                                 .free = status->free,
+                                 .attempts = status->attempts,
+                                 .silent_ms = status->unacknowledged_ms,
+                                 .idle_ms = status->idle_ms,
+                                 .known_ms = status->known_ms};
+    g_strlcpy(summary.machine, status->id, sizeof summary.machine);
+    g_strlcpy(summary.type, status->type, sizeof summary.type);
+    g_strlcpy(summary.zone, status->zone, sizeof summary.zone);
+    g_array_append_val(summaries, summary);
+}
+
 GArray *partition_items_summaries(const controller_t *controller, msec_t now)
 {
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
-    GHashTableIter iter;
-    gpointer value;
-    g_hash_table_iter_init(&iter, controller->placement.partition->machines);
-    while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const machine_t *machine = value;
-        if (machine->is_terminated)
-            continue;
-        machine_summary_t summary = {
-            .spot = machine->spot,
-            .open = partition_is_reachable(controller->placement.partition, machine, now) &&
-                    machine->is_capacity_known && !machine->is_draining &&
-                    !machine->interruption_at,
-            .draining = machine->is_draining,
-            .total = machine->capacity,
-            .free = partition_free_resources(machine),
-            .attempts = machine->attempts->len,
-            .silent_ms = now - machine->last_acknowledged_at,
-            .idle_ms = now - machine->idle_since,
-            .known_ms = now - machine->first_seen_at};
-        g_strlcpy(summary.machine, machine->id, sizeof summary.machine);
-        g_strlcpy(summary.type, machine->type, sizeof summary.type);
-        g_strlcpy(summary.zone, machine->zone, sizeof summary.zone);
-        g_array_append_val(summaries, summary);
-    }
+    partition_visit_machines(controller->placement.partition, now, append_summary, summaries);
     return summaries;
 }
 
@@ -111,7 +107,7 @@
         return;
     }
     log_debug("event=task_placed task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s", request->job,
-              request->task, request->attempt, machine->id);
+              request->task, request->attempt, machine_id(machine));
     controller_notify_placement(controller);
 }
 
--- a/src/controller/placement/placement_loop.c
+++ b/src/controller/placement/placement_loop.c
@@ -188,8 +188,8 @@
         log_info("event=records_loaded view=%" G_GUINT64_FORMAT
                  " is_leader=%d jobs=%u machines=%u attempts=%u",
                  number, is_leader, listing.jobs->len,
-                 g_hash_table_size(controller->placement.partition->machines),
-                 g_hash_table_size(controller->placement.partition->attempts));
+                 partition_machine_count(controller->placement.partition),
+                 partition_attempt_count(controller->placement.partition));
     }
     pthread_mutex_unlock(&controller->lock);
     g_array_unref(listing.machines);
@@ -216,7 +216,7 @@
 
 static void take_results(controller_t *controller, msec_t now)
 {
-    GArray *results = controller->placement.partition->results;
+    const GArray *results = partition_results(controller->placement.partition);
     for (guint i = 0; i < results->len; i++) {
         const attempt_result_t *result = &g_array_index(results, attempt_result_t, i);
         if (controller->membership.is_leader)
@@ -226,7 +226,7 @@
             channel_push(controller->peers.leader_channel,
                          (channel_item_t){.kind = CHANNEL_ATTEMPT_RESULT, .result = *result});
     }
-    g_array_set_size(results, 0);
+    partition_clear_results(controller->placement.partition);
 }
 
 static void send_placement_requests(controller_t *controller, msec_t now, guint most)
--- a/src/core/partition/attempts.c
+++ b/src/core/partition/attempts.c
@@ -1,5 +1,6 @@
-/* The attempts of a partition: how each of them stands, and the results for the leader. */
+#include "core/partition/attempt_internal.h"
 #include "core/partition/partition_internal.h"
+#include "core/partition/push_queue_internal.h"
 
 #include <string.h>
 
@@ -23,7 +24,8 @@
     g_ptr_array_remove(attempt->machine->attempts, attempt);
 }
 
-static attempt_t *find_ref(partition_t *partition, const task_ref_t *ref)
+/* The attempt of this number; NULL: the task has another one, or none. */
+static attempt_t *find_by_ref(partition_t *partition, const task_ref_t *ref)
 {
     attempt_t *attempt = g_hash_table_lookup(partition->attempts, ref);
     return attempt && attempt->ref.attempt == ref->attempt ? attempt : NULL;
@@ -35,7 +37,7 @@
 {
     task_ref_t ref =
         task_ref(reported_attempt->job, reported_attempt->task, reported_attempt->attempt);
-    attempt_t *attempt = find_ref(partition, &ref);
+    attempt_t *attempt = find_by_ref(partition, &ref);
     return attempt && attempt->machine == machine ? attempt : NULL;
 }
 
@@ -44,7 +46,7 @@
     attempt_result_t result = {.ref = attempt->ref, .cause = attempt->cause};
     g_strlcpy(result.machine, attempt->machine->id, sizeof result.machine);
     g_array_append_val(partition->results, result);
-    partition->changes++;
+    partition->change_count++;
 }
 
 void partition_terminate_attempt(partition_t *partition, attempt_t *attempt, cause_t cause)
@@ -76,12 +78,24 @@
 
 void partition_withdraw(partition_t *partition, const task_ref_t *ref, msec_t now)
 {
-    attempt_t *attempt = find_ref(partition, ref);
+    attempt_t *attempt = find_by_ref(partition, ref);
     if (!attempt)
         return;
     partition_stop(partition, attempt, now);
-    partition_flush_machine(partition,
-                            attempt->machine); /* one not recorded goes with the next round */
+    /* One that is not recorded is dropped when the next batch is taken. */
+    partition_flush_machine(partition, attempt->machine);
+}
+
+static void end_attempt(partition_t *partition, attempt_t *attempt)
+{
+    attempt->is_stop_requested = true;
+    attempt->kill_at = 0; /* what it would save is of no use */
+    attempt->is_acknowledged = true;
+    partition_queue_push(partition, attempt->machine);
+    if (attempt->is_in_record)
+        attempt->machine->page->is_flush_deferred = true;
+    else
+        partition_flush_machine(partition, attempt->machine);
 }
 
 void partition_end_job(partition_t *partition, const char *job)
@@ -91,22 +105,14 @@
     g_hash_table_iter_init(&iter, partition->attempts);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         attempt_t *attempt = value;
-        if (strcmp(attempt->entry.job, job) != 0)
-            continue;
-        attempt->is_stop_requested = true;
-        attempt->kill_at = 0; /* nobody wants what it would save */
-        attempt->is_acknowledged = true;
-        partition_queue_push(partition, attempt->machine);
-        if (attempt->is_in_record)
-            attempt->machine->page->is_flush_deferred = true;
-        else
-            partition_flush_machine(partition, attempt->machine);
+        if (strcmp(attempt->entry.job, job) == 0)
+            end_attempt(partition, attempt);
     }
 }
 
 void partition_acknowledge(partition_t *partition, const task_ref_t *ref)
 {
-    attempt_t *attempt = find_ref(partition, ref);
+    attempt_t *attempt = find_by_ref(partition, ref);
     if (!attempt)
         return;
     attempt->is_acknowledged = true;
--- /dev/null
+++ b/src/core/partition/commands_internal.h
@@ -0,0 +1,22 @@
+/** @file
+ * The commands that bring a worker to the wanted state.
+ *
+ * Private to the partition. Called with the controller's lock held.
+ */
+#ifndef PEPPERPULLEY_COMMANDS_INTERNAL_H
+#define PEPPERPULLEY_COMMANDS_INTERNAL_H
+
+#include "core/partition/partition_type.h"
+#include "core/types.h"
+
+/** Appends a command to @p commands, an array of worker_command_t. @p grace_s: time that a stop
+ * gives to save, in seconds. */
+void commands_append(GArray *commands, worker_command_op_t op, const char *job, uint32_t task,
+                     uint64_t attempt, double grace_s);
+/** Appends the commands that bring the machine to the wanted state: stops, then runs. A start that
+ * waits for the resources of preempted attempts is appended once they are free, or right after the
+ * stops that free them. */
+void commands_append_wanted(const partition_t *partition, const machine_t *machine, msec_t now,
+                            GArray *commands);
+
+#endif
--- a/src/core/partition/placement.c
+++ b/src/core/partition/placement.c
@@ -1,25 +1,11 @@
-/* Placement: the score, and the machine that a placement request gets. */
+/* Projected least-loaded placement: the rank of machines, and the choice among them. */
+#include "core/partition/candidates_internal.h"
 #include "core/partition/partition_internal.h"
+#include "core/partition/preemption_internal.h"
 
-#include <string.h>
-
-/* Whether the machine is open for the placement request, resources aside. One that has not reported
- * in this view, or is not reached, may be hanging, cut off or gone: it takes no starts (the design
- * ranks it last; a start there would only wait, and be lost with its lease). */
-bool partition_is_open(const partition_t *partition, const machine_t *machine,
-                       const placement_request_t *request, msec_t now)
-{
-    if (!partition_is_reachable(partition, machine, now) || !machine->is_capacity_known ||
-        machine->is_draining || machine->interruption_at || machine->is_page_full)
-        return false;
-    if (request->zone[0] && strcmp(request->zone, machine->zone) != 0)
-        return false;
-    if (machine->spot && !request->spot)
-        return false;
-    return !request->types || g_strv_contains((const char *const *)request->types, machine->type);
-}
-
-static double pressure(const machine_t *machine, resources_t need)
+/* The design's score: the larger of the projected use of cpus and of memory, as a fraction of the
+ * capacity, with the request placed there. The lowest is best. */
+static double score(const machine_t *machine, resources_t need)
 {
     resources_t left = partition_free_resources(machine);
     double cpus =
@@ -29,69 +15,76 @@
     return MAX(cpus, memory);
 }
 
-bool partition_is_warm(const machine_t *machine, const placement_request_t *request)
+static int compare_counts(guint first, guint second)
 {
-    return g_hash_table_contains(machine->images, request->image);
+    if (first == second)
+        return 0;
+    return first < second ? -1 : 1;
 }
 
-/* The design's order: reported first, lower score, fewer starting, fewer running. 0: equal. Whether
- * the image is there already breaks ties of the score; for urgent work, which is to start within a
- * second where a fetch takes five, it comes before the score. */
+static int compare_load(const machine_t *first, const machine_t *second)
+{
+    int starting = compare_counts(first->starting + first->reservations->len,
+                                  second->starting + second->reservations->len);
+    if (starting != 0)
+        return starting;
+    return compare_counts(first->running, second->running);
+}
+
+/* The design's order: responded first, lower score, fewer starting, fewer running. Below 0: the
+ * first machine is better; 0: they are equal. A machine that has the image already wins where the
+ * scores are equal; for urgent work, which is to start within a second where a fetch takes five,
+ * the image comes before the score. */
 static int compare_rank(const machine_t *first, const machine_t *second,
                         const placement_request_t *request)
 {
-    bool first_warm = partition_is_warm(first, request);
-    bool second_warm = partition_is_warm(second, request);
+    bool first_has_image = candidates_has_image(first, request);
+    bool second_has_image = candidates_has_image(second, request);
     if (first->has_responded != second->has_responded)
         return first->has_responded ? -1 : 1;
-    if (request->priority >= PRIORITY_HIGH && first_warm != second_warm)
-        return first_warm ? -1 : 1;
-    double difference = pressure(first, request->need) - pressure(second, request->need);
+    if (request->priority >= PRIORITY_HIGH && first_has_image != second_has_image)
+        return first_has_image ? -1 : 1;
+    double difference = score(first, request->need) - score(second, request->need);
     if (difference < -EPSILON || difference > EPSILON)
         return difference < 0 ? -1 : 1;
-    if (first_warm != second_warm)
-        return first_warm ? -1 : 1;
-    guint first_starting = first->starting + first->reservations->len;
-    guint second_starting = second->starting + second->reservations->len;
-    if (first_starting != second_starting)
-        return first_starting < second_starting ? -1 : 1;
-    if (first->running != second->running)
-        return first->running < second->running ? -1 : 1;
-    return 0;
+    if (first_has_image != second_has_image)
+        return first_has_image ? -1 : 1;
+    return compare_load(first, second);
 }
 
-static machine_t *choose_free(partition_t *partition, const placement_request_t *request,
-                              msec_t now)
+/* Whether the newest of so many equal machines is chosen in place of the one before. */
+static bool takes_turn(partition_t *partition, guint equals)
+{
+    guint turn = partition->round_robin_turn++;
+    return turn % equals == 0;
+}
+
+static machine_t *choose_free_machine(partition_t *partition, const placement_request_t *request,
+                                      msec_t now)
 {
     machine_t *best = NULL;
     guint equals = 0;
-    GHashTableIter iter;
-    gpointer value;
-    g_hash_table_iter_init(&iter, partition->machines);
-    while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        machine_t *machine = value;
-        if (!partition_is_open(partition, machine, request, now) ||
-            !resources_fit(request->need, partition_free_resources(machine)))
+    candidates_t candidates;
+    candidates_init(&candidates, partition, request, now);
+    for (machine_t *machine = candidates_next(&candidates); machine;
+         machine = candidates_next(&candidates)) {
+        if (!resources_fit(request->need, partition_free_resources(machine)))
             continue;
         int rank = best ? compare_rank(machine, best, request) : -1;
         if (rank < 0) {
             best = machine;
             equals = 1;
-        } else if (rank == 0 && partition->round_robin_turn++ % ++equals == 0) {
-            best = machine;
+        } else if (rank == 0) {
+            equals++;
+            if (takes_turn(partition, equals))
+                best = machine;
         }
     }
     return best;
 }
 
-machine_t *partition_place(partition_t *partition, const placement_request_t *request, msec_t now)
+static record_entry_t entry_of(const placement_request_t *request)
 {
-    machine_t *best = choose_free(partition, request, now);
-    bool waits = !best && request->may_preempt;
-    if (waits)
-        best = partition_preempt_for(partition, request, now);
-    if (!best)
-        return NULL;
     record_entry_t entry = {.need = request->need,
                             .priority = request->priority,
                             .save_s = request->save_s,
@@ -101,13 +94,33 @@
     g_strlcpy(entry.job, request->job, sizeof entry.job);
     g_strlcpy(entry.team, request->team, sizeof entry.team);
     g_strlcpy(entry.image, request->image, sizeof entry.image);
-    attempt_t *attempt = partition_attempt_add(partition, best, &entry);
+    return entry;
+}
+
+/* Adds the attempt to the machine and reserves its resources there. */
+static attempt_t *reserve(partition_t *partition, machine_t *machine,
+                          const placement_request_t *request, msec_t now)
+{
+    record_entry_t entry = entry_of(request);
+    attempt_t *attempt = partition_attempt_add(partition, machine, &entry);
     attempt->phase = ATTEMPT_PLACED;
     attempt->job_revision = request->job_revision;
-    attempt->worker_epoch = best->worker_epoch;
-    attempt->waits_for_preempted = waits;
-    reservation_add(best->reservations, attempt->reservation_id, request->need, best->receipt_count,
-                    now);
-    partition_flush_machine(partition, best);
-    return best;
+    attempt->worker_epoch = machine->worker_epoch;
+    reservation_add(machine->reservations, attempt->reservation_id, request->need,
+                    machine->receipt_count, now);
+    return attempt;
+}
+
+machine_t *partition_place(partition_t *partition, const placement_request_t *request, msec_t now)
+{
+    machine_t *machine = choose_free_machine(partition, request, now);
+    bool needs_preemption = !machine && request->may_preempt;
+    if (needs_preemption)
+        machine = partition_preempt_for(partition, request, now);
+    if (!machine)
+        return NULL;
+    attempt_t *attempt = reserve(partition, machine, request, now);
+    attempt->waits_for_preempted = needs_preemption;
+    partition_flush_machine(partition, machine);
+    return machine;
 }
--- a/src/core/partition/preemption.c
+++ b/src/core/partition/preemption.c
@@ -1,129 +1,157 @@
-/* Preemption and draining: which running work is stopped to make room for other work, or to empty a
- * machine. */
+#include "core/partition/candidates_internal.h"
 #include "core/partition/partition_internal.h"
+#include "core/partition/preemption_internal.h"
 
 #include <string.h>
 
-static bool is_preemption_candidate(const partition_t *partition, const attempt_t *attempt,
-                                    const placement_request_t *request, msec_t now)
+/* Whether the team is one of the other teams whose work the request may preempt. */
+static bool is_preemptible_team(const partition_t *partition, const placement_request_t *request,
+                                const char *team)
+{
+    for (guint i = 0; i < partition->teams->len && i < TEAMS_MASK_BITS; i++)
+        if ((request->preemptible_teams >> i & 1) &&
+            strcmp(g_array_index(partition->teams, team_t, i).name, team) == 0)
+            return true;
+    return false;
+}
+
+static bool is_preemptible(const partition_t *partition, const attempt_t *attempt,
+                           const placement_request_t *request, msec_t now)
 {
     if (attempt->phase != ATTEMPT_RECORDED || !attempt->is_listed || attempt->is_stop_requested ||
         now - attempt->listed_since_at < PREEMPT_PROTECT_MS)
         return false;
-    bool same = strcmp(attempt->entry.team, request->team) == 0;
-    bool yields = same;
-    for (guint i = 0; !yields && i < partition->teams->len && i < TEAMS_MASK_BITS; i++)
-        yields = (request->preemptible_teams >> i & 1) &&
-                 strcmp(g_array_index(partition->teams, team_t, i).name, attempt->entry.team) == 0;
-    return yields &&
-           (attempt->entry.priority < request->priority || (request->claims_guarantee && !same));
+    bool is_same_team = strcmp(attempt->entry.team, request->team) == 0;
+    if (!is_same_team && !is_preemptible_team(partition, request, attempt->entry.team))
+        return false;
+    return attempt->entry.priority < request->priority ||
+           (request->claims_guarantee && !is_same_team);
 }
 
 /* Work lost by a stop, in cpu seconds: what ran since the start, or since the last checkpoint, and
  * the wait for a new place. */
 static double lost_work(const attempt_t *attempt, msec_t now)
 {
-    double ran = (double)(now - attempt->listed_since_at) / MS_PER_S;
+    double ran_s = (double)(now - attempt->listed_since_at) / MS_PER_S;
     if (attempt->entry.checkpoint_s > 0)
-        ran = MIN(ran, attempt->entry.checkpoint_s / 2);
-    return (ran + PREEMPT_COST_S) * attempt->entry.need.cpus;
+        ran_s = MIN(ran_s, attempt->entry.checkpoint_s / 2);
+    return (ran_s + PREEMPT_COST_S) * attempt->entry.need.cpus;
 }
 
-/* Cheapest first; lost work is compared as it was when the list was made. */
-typedef struct preemption_candidate {
-    attempt_t *attempt;
-    double lost;
-} preemption_candidate_t;
+/* An attempt that may be preempted, with the work that this would lose. */
+typedef struct victim {
+    attempt_t *attempt; /* transfer none */
+    double lost_work;   /* cpu seconds */
+} victim_t;
 
-static gint compare_preemption_candidates(gconstpointer left, gconstpointer right)
+/* Lowest priority first; then least lost work. */
+static gint compare_victims(gconstpointer left, gconstpointer right)
 {
-    const preemption_candidate_t *first = left;
-    const preemption_candidate_t *second = right;
+    const victim_t *first = left;
+    const victim_t *second = right;
     if (first->attempt->entry.priority != second->attempt->entry.priority)
         return first->attempt->entry.priority < second->attempt->entry.priority ? -1 : 1;
-    return first->lost < second->lost ? -1 : first->lost > second->lost;
+    if (first->lost_work < second->lost_work)
+        return -1;
+    return first->lost_work > second->lost_work;
 }
 
-/* Victims that make room for the placement request on the machine, cheapest first; NULL if there is
- * no way. */
-static GArray *choose_preempted_attempts(const partition_t *partition, const machine_t *machine,
-                                         const placement_request_t *request, msec_t now,
-                                         double *lost)
+/* The attempts of the machine that may be preempted, cheapest first: array of victim_t (transfer
+ * full). */
+static GArray *preemptible_attempts(const partition_t *partition, const machine_t *machine,
+                                    const placement_request_t *request, msec_t now)
 {
-    GArray *preemptible_teams = g_array_new(FALSE, FALSE, sizeof(preemption_candidate_t));
+    GArray *victims = g_array_new(FALSE, FALSE, sizeof(victim_t));
     for (guint i = 0; i < machine->attempts->len; i++) {
-        preemption_candidate_t victim = {.attempt = g_ptr_array_index(machine->attempts, i)};
-        if (!is_preemption_candidate(partition, victim.attempt, request, now))
+        victim_t victim = {.attempt = machine_attempt(machine, i)};
+        if (!is_preemptible(partition, victim.attempt, request, now))
             continue;
-        victim.lost = lost_work(victim.attempt, now);
-        g_array_append_val(preemptible_teams, victim);
+        victim.lost_work = lost_work(victim.attempt, now);
+        g_array_append_val(victims, victim);
     }
-    g_array_sort(preemptible_teams, compare_preemption_candidates);
+    g_array_sort(victims, compare_victims);
+    return victims;
+}
+
+/* The attempts that make room for the request on the machine, cheapest first: array of victim_t
+ * (transfer full); NULL: stopping all that may be preempted does not make room. *lost: the work
+ * that it loses, in cpu seconds. */
+static GArray *choose_victims(const partition_t *partition, const machine_t *machine,
+                              const placement_request_t *request, msec_t now, double *lost)
+{
+    g_autoptr(GArray) victims = preemptible_attempts(partition, machine, request, now);
     resources_t resources = partition_free_resources(machine);
     guint taken = 0;
     *lost = 0;
-    while (!resources_fit(request->need, resources) && taken < preemptible_teams->len) {
-        const preemption_candidate_t *victim =
-            &g_array_index(preemptible_teams, preemption_candidate_t, taken++);
+    while (!resources_fit(request->need, resources) && taken < victims->len) {
+        const victim_t *victim = &g_array_index(victims, victim_t, taken);
+        taken++;
         resources_add(&resources, victim->attempt->entry.need, 1);
-        *lost += victim->lost;
+        *lost += victim->lost_work;
     }
-    if (!resources_fit(request->need, resources)) {
-        g_array_unref(preemptible_teams);
+    if (!resources_fit(request->need, resources))
         return NULL;
-    }
-    g_array_set_size(preemptible_teams, taken);
-    return preemptible_teams;
+    g_array_set_size(victims, taken);
+    return g_steal_pointer(&victims);
 }
 
-/* Makes room by stopping what may be stopped, where that loses least. */
-machine_t *partition_preempt_for(partition_t *partition, const placement_request_t *request,
-                                 msec_t now)
+/* A machine, and the attempts on it to preempt. */
+typedef struct preemption {
+    machine_t *machine; /* transfer none; NULL: there is none */
+    GArray *victims;    /* victim_t, owned; NULL: there is none */
+    double lost_work;   /* cpu seconds, and the cost of a fetch of the image */
+} preemption_t;
+
+static preemption_t choose_preemption(const partition_t *partition,
+                                      const placement_request_t *request, msec_t now)
 {
-    machine_t *best = NULL;
-    GArray *best_victims = NULL;
-    double least = 0;
-    GHashTableIter iter;
-    gpointer value;
-    g_hash_table_iter_init(&iter, partition->machines);
-    while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        machine_t *machine = value;
+    preemption_t best = {0};
+    candidates_t candidates;
+    candidates_init(&candidates, partition, request, now);
+    for (machine_t *machine = candidates_next(&candidates); machine;
+         machine = candidates_next(&candidates)) {
         double lost;
-        if (!partition_is_open(partition, machine, request, now))
+        g_autoptr(GArray) victims = choose_victims(partition, machine, request, now, &lost);
+        lost += candidates_has_image(machine, request) ? 0 : PREEMPT_COLD_S * request->need.cpus;
+        if (!victims || (best.machine && lost >= best.lost_work))
             continue;
-        GArray *preemptible_teams =
-            choose_preempted_attempts(partition, machine, request, now, &lost);
-        lost += partition_is_warm(machine, request) ? 0 : PREEMPT_COLD_S * request->need.cpus;
-        if (preemptible_teams && (!best || lost < least)) {
-            if (best_victims)
-                g_array_unref(best_victims);
-            best = machine;
-            best_victims = preemptible_teams;
-            least = lost;
-        } else if (preemptible_teams) {
-            g_array_unref(preemptible_teams);
-        }
+        g_clear_pointer(&best.victims, g_array_unref);
+        best.machine = machine;
+        best.victims = g_steal_pointer(&victims);
+        best.lost_work = lost;
     }
-    for (guint i = 0; best && i < best_victims->len; i++) {
-        attempt_t *attempt = g_array_index(best_victims, preemption_candidate_t, i).attempt;
-        partition_stop(partition, attempt, now);
-        attempt->is_preempted = true;
-        partition->has_preempted = true;
-        if (request->priority >= PRIORITY_HIGH)
-            attempt->kill_at = now; /* no time to save: the request is to start at once */
-    }
-    if (best_victims)
-        g_array_unref(best_victims);
     return best;
 }
 
+static void preempt(partition_t *partition, attempt_t *attempt, const placement_request_t *request,
+                    msec_t now)
+{
+    partition_stop(partition, attempt, now);
+    attempt->is_preempted = true;
+    partition->has_preempted = true;
+    if (request->priority >= PRIORITY_HIGH)
+        attempt->kill_at = now; /* no time to save: the request is to start at once */
+}
+
+machine_t *partition_preempt_for(partition_t *partition, const placement_request_t *request,
+                                 msec_t now)
+{
+    preemption_t best = choose_preemption(partition, request, now);
+    if (!best.machine)
+        return NULL;
+    for (guint i = 0; i < best.victims->len; i++)
+        preempt(partition, g_array_index(best.victims, victim_t, i).attempt, request, now);
+    g_array_unref(best.victims);
+    return best.machine;
+}
+
 double partition_cpus_being_preempted(const partition_t *partition, const char *team)
 {
+    if (!partition->has_preempted)
+        return 0;
     double cpus = 0;
     GHashTableIter iter;
     gpointer value;
-    if (!partition->has_preempted)
-        return 0;
     g_hash_table_iter_init(&iter, partition->attempts);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const attempt_t *attempt = value;
@@ -132,19 +160,3 @@
     }
     return cpus;
 }
-
-/* Least-loaded placement leaves a machine that is to go back with a few tasks, and a long one would
- * keep all of it for minutes. What can save goes on elsewhere, once most of the machine is empty.
- */
-void partition_empty_drained(partition_t *partition, machine_t *machine, msec_t now)
-{
-    if (!machine->is_draining || machine->is_terminated ||
-        partition_free_resources(machine).cpus < machine->capacity.cpus * DRAIN_EMPTY_FRACTION)
-        return;
-    for (guint i = 0; i < machine->attempts->len; i++) {
-        attempt_t *attempt = g_ptr_array_index(machine->attempts, i);
-        if (attempt->phase == ATTEMPT_RECORDED && attempt->is_listed &&
-            attempt->entry.checkpoint_s > 0)
-            partition_stop(partition, attempt, now);
-    }
-}
--- a/src/core/partition/reservation.c
+++ b/src/core/partition/reservation.c
@@ -1,24 +1,25 @@
 #include "core/partition/reservation.h"
 
-void reservation_add(GArray *list, uint64_t reservation_id, resources_t need, uint64_t receipt,
-                     msec_t now)
+void reservation_add(GArray *list, uint64_t reservation_id, resources_t need,
+                     uint64_t receipt_count, msec_t now)
 {
-    reservation_t entry = {.reservation_id = reservation_id,
-                           .receipt = receipt,
-                           .made_at = now,
-                           .cpus = need.cpus,
-                           .gpus = need.gpus,
-                           .memory = need.memory};
-    g_array_append_val(list, entry);
+    reservation_t reservation = {.reservation_id = reservation_id,
+                                 .receipt_count = receipt_count,
+                                 .made_at = now,
+                                 .cpus = need.cpus,
+                                 .gpus = need.gpus,
+                                 .memory = need.memory};
+    g_array_append_val(list, reservation);
 }
 
-static reservation_t *find(GArray *list, uint64_t reservation_id, guint *at)
+/* The reservation, and its index in the list; NULL: it is not there. */
+static reservation_t *find_reservation(GArray *list, uint64_t reservation_id, guint *index)
 {
     for (guint i = 0; i < list->len; i++) {
-        reservation_t *entry = &g_array_index(list, reservation_t, i);
-        if (entry->reservation_id == reservation_id) {
-            *at = i;
-            return entry;
+        reservation_t *reservation = &g_array_index(list, reservation_t, i);
+        if (reservation->reservation_id == reservation_id) {
+            *index = i;
+            return reservation;
         }
     }
     return NULL;
@@ -26,63 +27,69 @@
 
 void reservation_free(GArray *list, uint64_t reservation_id)
 {
-    guint at;
-    if (find(list, reservation_id, &at))
-        g_array_remove_index(list, at);
+    guint index;
+    if (find_reservation(list, reservation_id, &index))
+        g_array_remove_index(list, index);
 }
 
-void reservation_record_start(GArray *list, uint64_t reservation_id, uint64_t receipt)
+void reservation_record_start(GArray *list, uint64_t reservation_id, uint64_t receipt_count)
 {
-    guint at;
-    reservation_t *entry = find(list, reservation_id, &at);
-    if (entry && entry->receipt < receipt)
-        entry->start_seen = true;
+    guint index;
+    reservation_t *reservation = find_reservation(list, reservation_id, &index);
+    if (reservation && reservation->receipt_count < receipt_count)
+        reservation->is_start_listed = true;
 }
 
-static void take(double *left, double *growth)
+static void confirm_dimension(double *unconfirmed, double *growth)
 {
-    double partition = MIN(*left, *growth);
-    *left -= partition;
-    *growth -= partition;
+    double confirmed = MIN(*unconfirmed, *growth);
+    *unconfirmed -= confirmed;
+    *growth -= confirmed;
 }
 
-void reservation_confirm(GArray *list, resources_t growth, uint64_t receipt)
+/* Takes what it confirms off both; true: nothing of the reservation is left unconfirmed. */
+static bool confirm_reservation(reservation_t *reservation, resources_t *growth)
 {
-    for (guint i = 0; i < list->len;) {
-        reservation_t *entry = &g_array_index(list, reservation_t, i);
-        if (entry->receipt < receipt && entry->start_seen) {
-            take(&entry->cpus, &growth.cpus);
-            take(&entry->gpus, &growth.gpus);
-            take(&entry->memory, &growth.memory);
-            if (entry->cpus + entry->gpus + entry->memory < EPSILON) {
-                g_array_remove_index(list, i);
-                continue;
-            }
-        }
-        i++;
+    confirm_dimension(&reservation->cpus, &growth->cpus);
+    confirm_dimension(&reservation->gpus, &growth->gpus);
+    confirm_dimension(&reservation->memory, &growth->memory);
+    return reservation->cpus + reservation->gpus + reservation->memory < EPSILON;
+}
+
+void reservation_confirm(GArray *list, resources_t growth, uint64_t receipt_count)
+{
+    guint i = 0;
+    while (i < list->len) {
+        reservation_t *reservation = &g_array_index(list, reservation_t, i);
+        bool may_confirm =
+            reservation->receipt_count < receipt_count && reservation->is_start_listed;
+        if (may_confirm && confirm_reservation(reservation, &growth))
+            g_array_remove_index(list, i);
+        else
+            i++;
     }
 }
 
-guint reservation_expire(GArray *list, msec_t now, msec_t reservation_ttl)
+guint reservation_expire(GArray *list, msec_t now, msec_t reservation_ttl_ms)
 {
-    guint ended = 0;
+    guint expired = 0;
     for (guint i = list->len; i-- > 0;) {
-        if (now - g_array_index(list, reservation_t, i).made_at >= reservation_ttl) {
+        if (now - g_array_index(list, reservation_t, i).made_at >= reservation_ttl_ms) {
             g_array_remove_index(list, i);
-            ended++;
+            expired++;
         }
     }
-    return ended;
+    return expired;
 }
 
 resources_t reservation_sum(const GArray *list)
 {
     resources_t sum = {0};
     for (guint i = 0; i < list->len; i++) {
-        const reservation_t *entry = &g_array_index(list, reservation_t, i);
-        sum.cpus += entry->cpus;
-        sum.gpus += entry->gpus;
-        sum.memory += entry->memory;
+        const reservation_t *reservation = &g_array_index(list, reservation_t, i);
+        sum.cpus += reservation->cpus;
+        sum.gpus += reservation->gpus;
+        sum.memory += reservation->memory;
     }
     return sum;
 }
--- a/src/core/partition/reservation.h
+++ b/src/core/partition/reservation.h
@@ -1,32 +1,47 @@
-/* Reservations: resources reserved on one machine for starts that its heartbeats do not show yet.
+/** @file
+ * Reservations: resources reserved on one machine for starts that its heartbeats do not show yet.
  *
- * The list belongs to the machine that embeds it. A reservation frees projected resources when it
- * ends; it never frees the task itself: only proof does that (see partition.h). */
+ * Part of projected least-loaded placement: a reservation is made when an attempt is placed, is
+ * confirmed by the growth of the listed attempts, and expires after a time to live. Its end frees
+ * projected resources; it never frees the task itself, which only proof does (see partition.h).
+ *
+ * A list is a GArray of reservation_t, in the order in which they were made, and belongs to the
+ * machine. Called with the controller's lock held.
+ */
 #ifndef PEPPERPULLEY_RESERVATION_H
 #define PEPPERPULLEY_RESERVATION_H
 
 #include "core/types.h"
 
+/** The reservation of one attempt. */
 typedef struct reservation {
-    uint64_t reservation_id; /* the partition's own number for the attempt */
-    uint64_t receipt;        /* the newest heartbeat of the machine when the reservation was made */
-    msec_t made_at;
-    bool start_seen; /* a heartbeat listed the task as fetching */
-    double cpus;     /* still unconfirmed, per dimension */
-    double gpus;
-    double memory;
+    uint64_t reservation_id; /**< The partition's own number for the attempt. */
+    uint64_t receipt_count;  /**< Heartbeats that had been accepted from the machine when the
+                                reservation was made. */
+    msec_t made_at;          /**< When it was made. */
+    bool is_start_listed;    /**< A later heartbeat listed the task as fetching its image. */
+    double cpus;             /**< Cpus still unconfirmed. */
+    double gpus;             /**< Gpus still unconfirmed. */
+    double memory;           /**< Memory still unconfirmed. */
 } reservation_t;
 
-/* list: array of reservation_t. */
-void reservation_add(GArray *list, uint64_t reservation_id, resources_t need, uint64_t receipt,
-                     msec_t now);
+/** Appends a reservation of @p need to @p list, made at @p now after @p receipt_count heartbeats.
+ */
+void reservation_add(GArray *list, uint64_t reservation_id, resources_t need,
+                     uint64_t receipt_count, msec_t now);
+/** Removes the reservation from @p list, if it is there. */
 void reservation_free(GArray *list, uint64_t reservation_id);
-void reservation_record_start(GArray *list, uint64_t reservation_id, uint64_t receipt);
-/* Growth of booked resources, as a heartbeat newer than `receipt` shows it, confirms older
- * reservations whose start was seen, each dimension by itself. What matches nothing is dropped. */
-void reservation_confirm(GArray *list, resources_t growth, uint64_t receipt);
-/* Ends what is older than lapse; returns how many ended. */
-guint reservation_expire(GArray *list, msec_t now, msec_t reservation_ttl);
+/** Records that heartbeat number @p receipt_count lists the task as fetching its image. A
+ * reservation made after that heartbeat stays as it is. */
+void reservation_record_start(GArray *list, uint64_t reservation_id, uint64_t receipt_count);
+/** Confirms reservations, oldest first: @p growth, the growth of booked resources that heartbeat
+ * number @p receipt_count shows, is taken off those made before it whose start was listed, each
+ * dimension by itself. What is left of the growth is dropped; a reservation without anything
+ * unconfirmed is removed. */
+void reservation_confirm(GArray *list, resources_t growth, uint64_t receipt_count);
+/** Removes reservations as old as @p reservation_ttl_ms or older; returns how many. */
+guint reservation_expire(GArray *list, msec_t now, msec_t reservation_ttl_ms);
+/** Returns the sum of what is still unconfirmed. */
 resources_t reservation_sum(const GArray *list);
 
 #endif
--- /dev/null
+++ b/tests/core/partition/test_partition_proofs.c
@@ -0,0 +1,258 @@
+/* Tests of what proves an attempt over, so that its task may be placed again, and of what does not.
+ */
+#include "partition_fixture.h"
+#include "unit_test.h"
+
+static void test_silence_is_no_proof(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    exchange_heartbeat(fixture);
+    place_task(fixture, "j-000001", 0, 100);
+    commit_batch(fixture);
+    exchange_heartbeat(fixture);
+    fixture->now += (msec_t)3600 * 1000;
+    partition_tick(fixture->partition, fixture->now);
+    commit_batch(fixture);
+    assert_int_equal(partition_results(fixture->partition)->len, 0);
+    assert_int_equal(partition_attempt_count(fixture->partition), 1);
+}
+
+static void test_new_worker_epoch_proves_the_old_one_over(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    exchange_heartbeat(fixture);
+    place_task(fixture, "j-000001", 0, 100);
+    commit_batch(fixture);
+    exchange_heartbeat(fixture);
+    fake_worker_lose_lease(fixture->worker);
+    exchange_heartbeat(fixture);
+    /* The result is reported only once the attempt has left the record. */
+    assert_int_equal(partition_results(fixture->partition)->len, 0);
+    commit_batch(fixture);
+    assert_true(has_result(fixture, 0, CAUSE_NONE));
+    assert_int_equal(partition_attempt_count(fixture->partition), 0);
+}
+
+/* A pushed `run` got no answer and arrives after the task has ended: if the attempt were forgotten
+ * before, the worker would start it a second time. */
+static void test_late_run_meets_a_worker_that_remembers_its_attempt(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    exchange_heartbeat(fixture);
+    place_task(fixture, "j-000001", 0, 100);
+    commit_batch(fixture);
+    GArray *late = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
+    assert_non_null(partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, late));
+    partition_finish_push(fixture->partition, "m-000001", late, 7, PUSH_UNANSWERED);
+    exchange_heartbeat(fixture); /* the heartbeat's answer starts it */
+    assert_int_equal(fixture->worker->runs, 1);
+    fake_worker_exit(fixture->worker, "j-000001", 0, CAUSE_ERROR);
+    exchange_heartbeat(fixture);
+    commit_batch(fixture);
+    exchange_heartbeat(fixture);
+    assert_int_equal(count_commands(fixture, COMMAND_FORGET), 0);
+    assert_true(partition_needs_new_fencing_token(fixture->partition));
+    assert_true(fake_worker_push(fixture->worker, 7, 1, late));
+    assert_int_equal(fixture->worker->runs, 1);
+    /* Under a higher fencing token the copy is refused, and the attempt may be forgotten. */
+    partition_set_view(fixture->partition, 8);
+    exchange_heartbeat(fixture);
+    exchange_heartbeat(fixture);
+    assert_int_equal(fixture->worker->attempts->len, 0);
+    assert_false(fake_worker_push(fixture->worker, 7, 1, late));
+    assert_int_equal(fixture->worker->runs, 1);
+    g_array_unref(late);
+}
+
+static void test_cancellation_racing_a_start_in_flight_waits_for_proof(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    exchange_heartbeat(fixture);
+    place_task(fixture, "j-000001", 0, 100);
+    commit_batch(fixture);
+    GArray *late = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
+    partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, late);
+    partition_end_job(fixture->partition, "j-000001");
+    exchange_heartbeat(fixture); /* not listed, but the pushed command may still arrive */
+    commit_batch(fixture);
+    assert_int_equal(partition_results(fixture->partition)->len, 0);
+    assert_true(fake_worker_push(fixture->worker, 7, 1, late));
+    partition_finish_push(fixture->partition, "m-000001", late, 7, PUSH_UNANSWERED);
+    exchange_heartbeat(fixture);
+    assert_int_equal(fake_worker_active(fixture->worker), 0); /* stopped as soon as it is listed */
+    exchange_heartbeat(fixture);
+    commit_batch(fixture);
+    assert_true(has_result(fixture, 0, CAUSE_STOPPED));
+    g_array_unref(late);
+}
+
+/* The job was cancelled under an earlier view: absence proves nothing before the worker has seen
+ * this view's fencing token. */
+static void test_absence_proves_only_under_the_present_fencing_token(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    load_page_record(fixture);
+    partition_end_job(fixture->partition, "j-000001");
+    fixture->worker->fencing_token = 6;
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+    assert_int_equal(deliver_heartbeat(fixture, &heartbeat, false), HEARTBEAT_UNVERIFIED);
+    fake_worker_answer(fixture->worker, 7, fixture->commands);
+    commit_batch(fixture);
+    assert_int_equal(partition_results(fixture->partition)->len, 0);
+    exchange_heartbeat(fixture);
+    commit_batch(fixture);
+    assert_true(has_result(fixture, 0, CAUSE_STOPPED));
+}
+
+/* All controllers were away for longer than a lease, so the workers killed everything. With the
+ * second heartbeat, whose fencing token shows that it is no copy, each recorded attempt is over,
+ * and its task may be placed again. */
+static void test_after_all_controllers_were_away_each_record_is_over_at_once(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    load_page_record(fixture);
+    fixture->worker->fencing_token = 6;
+    fixture->worker->heartbeat_sequence = 40;
+    fake_worker_lose_lease(fixture->worker);
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+    assert_int_equal(deliver_heartbeat(fixture, &heartbeat, false), HEARTBEAT_UNVERIFIED);
+    commit_batch(fixture);
+    assert_int_equal(partition_results(fixture->partition)->len, 0);
+    fake_worker_answer(fixture->worker, 7, fixture->commands);
+    exchange_heartbeat(fixture);
+    assert_int_equal(fixture->worker->runs, 0); /* not sent again under the old attempt */
+    commit_batch(fixture);
+    assert_true(has_result(fixture, 0, CAUSE_NONE));
+}
+
+/* The leader failed over while this machine, which runs a long task, could not be reached, or
+ * receives no answers of the new owner: its heartbeats arrive, under the old fencing token. The
+ * attempt stays recorded until the cloud confirms that the machine is terminated. */
+static void test_machine_that_receives_nothing_keeps_its_task_through_a_failover(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    load_page_record(fixture);
+    fixture->worker->fencing_token = 6;
+    reported_attempt_t reported_attempt = {.job = "j-000001", .attempt = 55, .state = TASK_RUNNING};
+    g_array_append_val(fixture->worker->attempts, reported_attempt);
+    for (int i = 0; i < 4; i++) {
+        worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+        assert_int_equal(deliver_heartbeat(fixture, &heartbeat, false), HEARTBEAT_UNVERIFIED);
+        fixture->now += 15000;
+    }
+    fake_worker_lose_lease(fixture->worker);
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+    deliver_heartbeat(fixture, &heartbeat, false);
+    commit_batch(fixture);
+    assert_int_equal(partition_results(fixture->partition)->len, 0);
+    partition_machine_terminated(fixture->partition, "m-000001");
+    commit_batch(fixture);
+    assert_true(has_result(fixture, 0, CAUSE_NONE));
+}
+
+/* Pushed commands reach the worker, but its heartbeats reach no controller: its lease ends all the
+ * same. The answer that refuses a command shows the new worker epoch, which is proof; an answer of
+ * the old epoch proves nothing. */
+static void test_answer_to_a_pushed_command_resolves_a_machine_without_heartbeats(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    load_page_record(fixture);
+    assert_non_null(
+        partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands));
+    assert_int_equal(fixture->commands->len, 0);
+    worker_heartbeat_t same = fake_worker_heartbeat(fixture->worker);
+    /* It lists no attempt, which proves nothing by itself. */
+    assert_int_equal(deliver_heartbeat(fixture, &same, true), HEARTBEAT_ACCEPTED);
+    commit_batch(fixture);
+    assert_int_equal(partition_results(fixture->partition)->len, 0);
+    fake_worker_lose_lease(fixture->worker);
+    worker_heartbeat_t answer = fake_worker_heartbeat(fixture->worker);
+    deliver_heartbeat(fixture, &answer, true);
+    partition_finish_push(fixture->partition, "m-000001", fixture->commands, 7, PUSH_REFUSED);
+    commit_batch(fixture);
+    assert_true(has_result(fixture, 0, CAUSE_NONE));
+    placement_request_t request = placement_request_of("j-000009", 0, 900, 4);
+    fixture->now += fixture->partition->acknowledgement_timeout_ms;
+    /* The machine gets no starts, since their leases can't be renewed. */
+    assert_null(partition_place(fixture->partition, &request, fixture->now));
+}
+
+static void test_terminated_machine_is_proof(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    exchange_heartbeat(fixture);
+    place_task(fixture, "j-000001", 0, 100);
+    commit_batch(fixture);
+    partition_machine_terminated(fixture->partition, "m-000001");
+    commit_batch(fixture);
+    assert_true(has_result(fixture, 0, CAUSE_NONE));
+    assert_int_equal(partition_machine_count(fixture->partition), 0);
+}
+
+/* A pushed `run` went unanswered, and its job is cancelled. Heartbeats that do not list the task
+ * prove nothing while the `run` may still arrive. When it has, the attempt is stopped in the answer
+ * to the next heartbeat, and forgotten only under a fencing token under which every copy is
+ * refused.
+ */
+static void test_run_in_flight_stays_outstanding_until_proof(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    exchange_heartbeat(fixture);
+    place_task(fixture, "j-000001", 0, 100);
+    commit_batch(fixture);
+    GArray *late = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
+    assert_non_null(partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, late));
+    partition_finish_push(fixture->partition, "m-000001", late, 7, PUSH_UNANSWERED);
+    partition_end_job(fixture->partition, "j-000001");
+    for (guint i = 0; i < 16; i++) {
+        exchange_heartbeat(fixture);
+        commit_batch(fixture);
+        assert_int_equal(partition_results(fixture->partition)->len, 0);
+    }
+    assert_true(fake_worker_push(fixture->worker, 7, 1, late));
+    assert_int_equal(fake_worker_active(fixture->worker), 1);
+    exchange_heartbeat(fixture);
+    assert_int_equal(fake_worker_active(fixture->worker), 0);
+    exchange_heartbeat(fixture);
+    commit_batch(fixture);
+    assert_true(has_result(fixture, 0, CAUSE_STOPPED));
+    exchange_heartbeat(fixture);
+    assert_int_equal(count_commands(fixture, COMMAND_FORGET), 0);
+    partition_set_view(fixture->partition, 8);
+    exchange_heartbeat(fixture);
+    exchange_heartbeat(fixture);
+    assert_int_equal(fixture->worker->attempts->len, 0);
+    assert_false(fake_worker_push(fixture->worker, 7, 1, late));
+    assert_int_equal(fixture->worker->runs, 1);
+    g_array_unref(late);
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test_setup_teardown(test_silence_is_no_proof, partition_fixture_set_up,
+                                        partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(test_new_worker_epoch_proves_the_old_one_over,
+                                        partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(test_late_run_meets_a_worker_that_remembers_its_attempt,
+                                        partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(test_cancellation_racing_a_start_in_flight_waits_for_proof,
+                                        partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(test_absence_proves_only_under_the_present_fencing_token,
+                                        partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(
+            test_after_all_controllers_were_away_each_record_is_over_at_once,
+            partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(
+            test_machine_that_receives_nothing_keeps_its_task_through_a_failover,
+            partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(
+            test_answer_to_a_pushed_command_resolves_a_machine_without_heartbeats,
+            partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(test_terminated_machine_is_proof, partition_fixture_set_up,
+                                        partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(test_run_in_flight_stays_outstanding_until_proof,
+                                        partition_fixture_set_up, partition_fixture_tear_down),
+    };
+    return cmocka_run_group_tests_name("partition proofs", tests, NULL, NULL);
+}
--- /dev/null
+++ b/tests/core/partition/test_partition_reachability.c
@@ -0,0 +1,193 @@
+/* Tests of reachability: probes, pushed commands, and which machines get starts. */
+#include "partition_fixture.h"
+#include "unit_test.h"
+
+/* Each machine has a dispatcher that keeps a connection to it; another serves it only in place of
+ * that one. */
+static void test_commands_go_to_the_dispatcher_of_their_machine(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    exchange_heartbeat(fixture);
+    place_task(fixture, "j-000001", 0, 100);
+    commit_batch(fixture);
+    const machine_t *machine = fixture_machine(fixture);
+    uint32_t own = 1U << machine->dispatcher_index;
+    assert_int_equal(partition_due_dispatchers(fixture->partition, fixture->now), own);
+    assert_null(partition_take_push(fixture->partition, ~own, fixture->now, fixture->commands));
+    assert_ptr_equal(partition_take_push(fixture->partition, own, fixture->now, fixture->commands),
+                     machine);
+    assert_int_equal(partition_due_dispatchers(fixture->partition, fixture->now), 0);
+}
+
+/* Heartbeats arrive, while answers and pushed commands are lost: the worker waits 4 s for each
+ * answer and turns from controller to controller, so that its heartbeats arrive here every 15 s.
+ * All starts sent there would be lost with its lease, time after time. */
+static void test_machine_without_acknowledgements_gets_no_starts(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    placement_request_t request = placement_request_of("j-000001", 1, 101, 4);
+    exchange_heartbeat(fixture);
+    place_task(fixture, "j-000001", 0, 100);
+    commit_batch(fixture);
+    exchange_heartbeat(fixture);
+    for (int round = 0; round < 3; round++) {
+        fixture->now += 15000;
+        fake_worker_lose_lease(fixture->worker);
+        worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+        assert_int_equal(deliver_heartbeat(fixture, &heartbeat, false), HEARTBEAT_ACCEPTED);
+        assert_null(partition_place(fixture->partition, &request, fixture->now));
+        /* The machine counts as silent. */
+        assert_true(fixture->now - fixture_machine(fixture)->last_acknowledged_at >= 15000);
+        commit_batch(fixture);
+        /* Its new worker epoch is proof: the task is placed elsewhere. */
+        assert_true(has_result(fixture, 0, CAUSE_NONE));
+    }
+    exchange_heartbeat(fixture);
+    exchange_heartbeat(fixture); /* it follows at once: the answer has arrived */
+    assert_non_null(partition_place(fixture->partition, &request, fixture->now));
+}
+
+/* Takes a probe and finishes it with the result; NULL: none is due. */
+static const machine_t *probe_machine(partition_fixture_t *fixture, push_result_t result)
+{
+    const machine_t *machine =
+        partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands);
+    if (!machine)
+        return NULL;
+    assert_int_equal(fixture->commands->len, 0);
+    partition_finish_push(fixture->partition, "m-000001", fixture->commands, 7, result);
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
+    if (result <= PUSH_REFUSED)
+        assert_int_equal(deliver_heartbeat(fixture, &heartbeat, true), HEARTBEAT_ACCEPTED);
+    else
+        worker_heartbeat_clear(&heartbeat);
+    if (result == PUSH_EXECUTED)
+        partition_record_probe_answer(fixture->partition, "m-000001", fixture->now);
+    return machine;
+}
+
+/* With heartbeats 3 s apart, no machine would take starts for up to 4 s after each change of view.
+ * A new owner probes its machines; the answer to a push of its own view is no copy. */
+static void test_new_owner_probes_and_need_not_wait_for_a_heartbeat(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    placement_request_t request = placement_request_of("j-000009", 0, 900, 4);
+    load_page_record(fixture);
+    assert_null(partition_place(fixture->partition, &request, fixture->now));
+    assert_non_null(probe_machine(fixture, PUSH_EXECUTED));
+    assert_non_null(partition_place(fixture->partition, &request, fixture->now));
+    /* The machine takes starts for a moment only: leases are renewed by heartbeats. */
+    request.task = 1;
+    fixture->now += fixture->partition->acknowledgement_timeout_ms;
+    assert_null(partition_place(fixture->partition, &request, fixture->now));
+    /* A heartbeat sent before this view may still be a copy. */
+    worker_heartbeat_t copy = fake_worker_heartbeat(fixture->worker);
+    copy.fencing_token = 6;
+    assert_int_equal(deliver_heartbeat(fixture, &copy, false), HEARTBEAT_UNVERIFIED);
+    assert_null(partition_place(fixture->partition, &request, fixture->now));
+    exchange_heartbeat(fixture);
+    assert_non_null(partition_place(fixture->partition, &request, fixture->now));
+}
+
+/* With a small share of a processor, probing all machines takes longer than their next heartbeats:
+ * only those that stay silent are probed. */
+static void test_delayed_probes_go_only_to_silent_machines(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    partition_delay_probes(fixture->partition, 1.0);
+    load_page_record(fixture);
+    assert_int_equal(partition_due_dispatchers(fixture->partition, fixture->now), 0);
+    assert_null(probe_machine(fixture, PUSH_EXECUTED));
+    fixture->now += fixture->partition->probe_delay_ms;
+    assert_int_not_equal(partition_due_dispatchers(fixture->partition, fixture->now), 0);
+    assert_non_null(probe_machine(fixture, PUSH_EXECUTED));
+    /* A machine that sent a heartbeat in time takes starts without a probe. */
+    partition_free(fixture->partition);
+    fixture->partition = partition_fixture_partition(fixture, 7);
+    partition_delay_probes(fixture->partition, 1.0);
+    load_page_record(fixture);
+    exchange_heartbeat(fixture);
+    placement_request_t request = placement_request_of("j-000009", 0, 900, 4);
+    assert_non_null(partition_place(fixture->partition, &request, fixture->now));
+    fixture->now += fixture->partition->probe_delay_ms;
+    exchange_heartbeat(fixture);
+    partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands);
+    assert_int_equal(fixture->partition->probes_in_flight, 0);
+}
+
+static void test_refused_probe_admits_no_starts(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    placement_request_t request = placement_request_of("j-000009", 0, 900, 4);
+    load_page_record(fixture);
+    /* Refused for another worker epoch, or a higher fencing token. */
+    assert_non_null(probe_machine(fixture, PUSH_REFUSED));
+    assert_null(partition_place(fixture->partition, &request, fixture->now));
+    assert_null(probe_machine(fixture, PUSH_EXECUTED)); /* it is probed once */
+    assert_int_equal(fixture->partition->probes_in_flight, 0);
+    exchange_heartbeat(fixture);
+    assert_non_null(partition_place(fixture->partition, &request, fixture->now));
+}
+
+/* Heartbeats every 3 s may arrive 4.5 s apart. With a limit of 4 s, a machine would look
+ * unreachable each time, and after lease_s + 5 s of that it would be terminated, with all its
+ * tasks. */
+static void test_workers_with_rare_heartbeats_do_not_count_as_silent(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    placement_request_t request = placement_request_of("j-000001", 0, 100, 1);
+    partition_set_heartbeat_interval(fixture->partition, 3.0);
+    exchange_heartbeat(fixture);
+    for (uint32_t i = 0; i < 8; i++) {
+        fixture->now += 3500; /* and 1 s in exchange_heartbeat() */
+        request.task = i;
+        request.attempt = 100 + i;
+        assert_non_null(partition_place(fixture->partition, &request, fixture->now));
+        exchange_heartbeat(fixture);
+        assert_true(fixture->now - fixture_machine(fixture)->last_acknowledged_at <= 1000);
+    }
+}
+
+/* A command to a machine that hangs holds a dispatcher until its time-out. The machine gets no
+ * further command and no start until it acknowledges again, so that those behind it in the queue
+ * have their turn. */
+static void test_hanging_machine_blocks_one_dispatcher_once(void **state)
+{
+    partition_fixture_t *fixture = *state;
+    placement_request_t request = placement_request_of("j-000001", 1, 101, 4);
+    exchange_heartbeat(fixture);
+    place_task(fixture, "j-000001", 0, 100);
+    commit_batch(fixture);
+    machine_t *machine =
+        partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands);
+    assert_ptr_equal(machine, fixture_machine(fixture));
+    partition_finish_push(fixture->partition, "m-000001", fixture->commands, 7, PUSH_UNANSWERED);
+    partition_end_job(fixture->partition, "j-000001"); /* a stop is due there */
+    assert_null(
+        partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands));
+    assert_null(partition_place(fixture->partition, &request, fixture->now));
+    exchange_heartbeat(fixture);
+    exchange_heartbeat(fixture);
+    assert_non_null(partition_place(fixture->partition, &request, fixture->now));
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test_setup_teardown(test_commands_go_to_the_dispatcher_of_their_machine,
+                                        partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(test_machine_without_acknowledgements_gets_no_starts,
+                                        partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(test_new_owner_probes_and_need_not_wait_for_a_heartbeat,
+                                        partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(test_delayed_probes_go_only_to_silent_machines,
+                                        partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(test_refused_probe_admits_no_starts,
+                                        partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(test_workers_with_rare_heartbeats_do_not_count_as_silent,
+                                        partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(test_hanging_machine_blocks_one_dispatcher_once,
+                                        partition_fixture_set_up, partition_fixture_tear_down),
+    };
+    return cmocka_run_group_tests_name("partition reachability", tests, NULL, NULL);
+}
--- a/tests/io/test_records.c
+++ b/tests/io/test_records.c
@@ -369,11 +369,11 @@
         partition_load(partition, &record, 1000);
         g_array_unref(record.machines);
     }
-    assert_int_equal(g_hash_table_size(partition->attempts), FLEET * EACH);
+    assert_int_equal(partition_attempt_count(partition), FLEET * EACH);
     partition_machine_terminated(
         partition, g_ptr_array_index(ids, 0)); /* its page is written under its revision */
     assert_int_equal(commit_within_limits(false), 1);
-    assert_int_equal(g_hash_table_size(partition->attempts), (FLEET - 1) * EACH);
+    assert_int_equal(partition_attempt_count(partition), (FLEET - 1) * EACH);
     g_ptr_array_unref(ids);
 }
 
@@ -472,14 +472,14 @@
     partition_load(partition, &record, 1000);
     g_array_unref(record.machines);
     assert_int_equal(fake_kv_store_apply(store, late), KV_CONFLICT); /* carried out once more */
-    assert_int_equal(g_hash_table_size(partition->attempts), 1);
+    assert_int_equal(partition_attempt_count(partition), 1);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     const machine_t *machine = partition_take_push(partition, G_MAXUINT32, 1000, commands);
-    assert_string_equal(machine->address, "10.1.255.254:9000");
+    assert_string_equal(machine_address(machine), "10.1.255.254:9000");
     assert_int_equal(commands->len, 0); /* asked, nothing sent */
     report_of("m-000001", "t16", 2);    /* from before the view */
-    assert_int_equal(partition->results->len, 0);
-    assert_int_equal(g_hash_table_size(partition->attempts), 1);
+    assert_int_equal(partition_results(partition)->len, 0);
+    assert_int_equal(partition_attempt_count(partition), 1);
     partition_machine_terminated(partition, "m-000001");
     assert_int_equal(commit_partition(fake_kv_store_revision(store, "view/number")), KV_OK);
     assert_null(fake_kv_store_get(store, record_key()));
