--- a/src/core/partition/attempt_internal.h
+++ b/src/core/partition/attempt_internal.h
@@ -52,10 +52,10 @@
 } attempt_t;
 
 /** Adds a new attempt to the machine, which owns it (transfer none). */
-attempt_t *partition_attempt_add(partition_t *partition, machine_t *machine,
+attempt_t *partition_add_attempt(partition_t *partition, machine_t *machine,
                                  const record_entry_t *entry);
 /** Frees the attempt and its reservation. */
-void partition_attempt_drop(partition_t *partition, attempt_t *attempt);
+void partition_drop_attempt(partition_t *partition, attempt_t *attempt);
 /** Returns the attempt that a heartbeat of the machine lists (transfer none); NULL: it is not
  * known, or is another machine's. */
 attempt_t *partition_find_attempt(partition_t *partition,
@@ -67,6 +67,6 @@
  * is being committed leaves after that commit. */
 void partition_terminate_attempt(partition_t *partition, attempt_t *attempt, cause_t cause);
 /** Makes the attempt stop. It has time to save, if it has checkpoints. */
-void partition_stop(partition_t *partition, attempt_t *attempt, msec_t now);
+void partition_stop_attempt(partition_t *partition, attempt_t *attempt, msec_t now);
 
 #endif
--- a/src/core/partition/attempts.c
+++ b/src/core/partition/attempts.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-attempt_t *partition_attempt_add(partition_t *partition, machine_t *machine,
+attempt_t *partition_add_attempt(partition_t *partition, machine_t *machine,
                                  const record_entry_t *entry)
 {
     attempt_t *attempt = g_new0(attempt_t, 1);
@@ -17,9 +17,9 @@
     return attempt;
 }
 
-void partition_attempt_drop(partition_t *partition, attempt_t *attempt)
+void partition_drop_attempt(partition_t *partition, attempt_t *attempt)
 {
-    reservation_free(attempt->machine->reservations, attempt->reservation_id);
+    reservation_remove(attempt->machine->reservations, attempt->reservation_id);
     g_hash_table_remove(partition->attempts, &attempt->ref);
     g_ptr_array_remove(attempt->machine->attempts, attempt);
 }
@@ -55,17 +55,17 @@
         return;
     attempt->phase = ATTEMPT_TERMINATED;
     attempt->cause = cause;
-    reservation_free(attempt->machine->reservations, attempt->reservation_id);
+    reservation_remove(attempt->machine->reservations, attempt->reservation_id);
     if (cause == CAUSE_DONE) {
         attempt->is_done_reported = true;
         partition_add_result(partition, attempt);
         attempt->machine->page->is_flush_deferred |= attempt->is_acknowledged;
     } else {
-        partition_flush_machine(partition, attempt->machine);
+        partition_request_flush(partition, attempt->machine);
     }
 }
 
-void partition_stop(partition_t *partition, attempt_t *attempt, msec_t now)
+void partition_stop_attempt(partition_t *partition, attempt_t *attempt, msec_t now)
 {
     if (attempt->is_stop_requested)
         return;
@@ -81,9 +81,9 @@
     attempt_t *attempt = find_by_ref(partition, ref);
     if (!attempt)
         return;
-    partition_stop(partition, attempt, now);
+    partition_stop_attempt(partition, attempt, now);
     /* One that is not recorded is dropped when the next batch is taken. */
-    partition_flush_machine(partition, attempt->machine);
+    partition_request_flush(partition, attempt->machine);
 }
 
 static void end_attempt(partition_t *partition, attempt_t *attempt)
@@ -95,7 +95,7 @@
     if (attempt->is_in_record)
         attempt->machine->page->is_flush_deferred = true;
     else
-        partition_flush_machine(partition, attempt->machine);
+        partition_request_flush(partition, attempt->machine);
 }
 
 void partition_end_job(partition_t *partition, const char *job)
--- a/src/core/partition/batches.c
+++ b/src/core/partition/batches.c
@@ -80,14 +80,14 @@
             continue;
         attempt->cause = CAUSE_NONE;
         partition_add_result(partition, attempt);
-        partition_attempt_drop(partition, attempt);
+        partition_drop_attempt(partition, attempt);
     }
 }
 
 static void drop_if_terminated(partition_t *partition, machine_t *machine)
 {
     if (machine->is_terminated && machine->attempts->len == 0)
-        partition_machine_drop(partition, machine);
+        partition_drop_machine(partition, machine);
 }
 
 /* Drops from the page what needs no commit. */
@@ -178,7 +178,7 @@
     if (attempt->phase == ATTEMPT_PLACED)
         attempt->phase = ATTEMPT_RECORDED;
     else
-        partition_flush_machine(partition, machine);
+        partition_request_flush(partition, machine);
     partition_queue_push(partition, machine);
 }
 
@@ -187,7 +187,7 @@
     machine->is_page_full = false;
     if (!attempt->is_done_reported)
         partition_add_result(partition, attempt);
-    partition_attempt_drop(partition, attempt);
+    partition_drop_attempt(partition, attempt);
 }
 
 static void commit_attempt(partition_t *partition, machine_t *machine, attempt_t *attempt)
@@ -201,7 +201,7 @@
         break;
     case BATCH_NONE:
         if (!attempt->is_in_record) /* left out, or placed since */
-            partition_flush_machine(partition, machine);
+            partition_request_flush(partition, machine);
         break;
     }
 }
@@ -252,7 +252,7 @@
     for (guint i = 0; i < batch->records->len; i++) {
         const page_record_t *record = &g_array_index(batch->records, page_record_t, i);
         page_t *page = page_of_record(partition, record);
-        partition_flush_page(partition, page);
+        partition_request_page_flush(partition, page);
         page->is_in_batch = false;
         for (guint k = 0; k < page->machines->len; k++)
             undo_machine(page_machine(page, k));
--- a/src/core/partition/drain.c
+++ b/src/core/partition/drain.c
@@ -25,7 +25,7 @@
 
 static bool is_mostly_empty(const machine_t *machine)
 {
-    return partition_free_resources(machine).cpus >= machine->capacity.cpus * DRAIN_EMPTY_FRACTION;
+    return machine_free_resources(machine).cpus >= machine->capacity.cpus * DRAIN_EMPTY_FRACTION;
 }
 
 /* Least-loaded placement leaves a draining machine with a few attempts, and a long one would keep
@@ -39,6 +39,6 @@
         attempt_t *attempt = machine_attempt(machine, i);
         if (attempt->phase == ATTEMPT_RECORDED && attempt->is_listed &&
             attempt->entry.checkpoint_s > 0)
-            partition_stop(partition, attempt, now);
+            partition_stop_attempt(partition, attempt, now);
     }
 }
--- a/src/core/partition/heartbeats.c
+++ b/src/core/partition/heartbeats.c
@@ -34,7 +34,7 @@
     partition_look_up_capacity(partition, machine);
 }
 
-static msec_t interruption_at(const worker_heartbeat_t *heartbeat, msec_t now)
+static msec_t interruption_time(const worker_heartbeat_t *heartbeat, msec_t now)
 {
     if (heartbeat->interruption_in_s < 0)
         return 0;
@@ -73,7 +73,7 @@
     } else {
         machine->running++;
         record_image(machine, attempt);
-        reservation_free(machine->reservations, attempt->reservation_id);
+        reservation_remove(machine->reservations, attempt->reservation_id);
     }
 }
 
@@ -234,7 +234,7 @@
     update_worker_epoch(partition, machine, heartbeat);
     machine->heartbeat_sequence = heartbeat->heartbeat_sequence;
     machine->receipt_count++;
-    machine->interruption_at = interruption_at(heartbeat, now);
+    machine->interruption_at = interruption_time(heartbeat, now);
     apply_listed_attempts(partition, machine, heartbeat, now);
     queue_waiting_starts(partition, machine);
     if (!is_push)
@@ -254,7 +254,7 @@
         return HEARTBEAT_DUPLICATE;
     machine_t *machine = g_hash_table_lookup(partition->machines, heartbeat->machine);
     if (!machine)
-        machine = partition_machine_add(partition, heartbeat->machine, heartbeat->zone, NULL, now);
+        machine = partition_add_machine(partition, heartbeat->machine, heartbeat->zone, NULL, now);
     heartbeat_verdict_t verdict = judge_heartbeat(partition, machine, heartbeat, is_push);
     switch (verdict) {
     case HEARTBEAT_ACCEPTED:
--- a/src/core/partition/machine_internal.h
+++ b/src/core/partition/machine_internal.h
@@ -20,8 +20,8 @@
     bool is_spot;                /**< It is a spot machine. */
     bool is_capacity_known;      /**< Its type is known, so capacity is set. */
     resources_t capacity;        /**< All resources that it has. */
-    bool has_responded;          /**< It sent an accepted heartbeat, or executed a probe, in this
-                                    view. */
+    bool has_responded;          /**< It sent an accepted ordinary heartbeat, or executed a probe,
+                                    in this view. */
     bool has_heartbeat;          /**< It sent an ordinary heartbeat in this view. */
     bool needs_probe;            /**< It is to be probed: its next heartbeat may be seconds away. */
     uint64_t worker_epoch;       /**< Worker epoch of its newest accepted heartbeat, else of its
@@ -32,8 +32,8 @@
                                         worker epoch; a copy has no higher one. */
     uint64_t receipt_count;          /**< Heartbeats and answers accepted, counted here. */
     msec_t last_heartbeat_at;        /**< When its last ordinary heartbeat was received. */
-    msec_t last_acknowledged_at;     /**< When it last showed that what is sent to it arrives. That
-                                        heartbeats arrive here does not show it. */
+    msec_t last_acknowledged_at;     /**< When it last showed that what is sent to it arrives. The
+                                        mere arrival of its heartbeats does not show it. */
     msec_t first_seen_at;            /**< When this partition first knew it. */
     msec_t idle_since_at;            /**< Since when it has had no work. */
     msec_t interruption_at; /**< When the cloud takes it away; 0: no interruption notice. */
@@ -65,17 +65,17 @@
 GHashTable *machines_new(void);
 /** Adds a new machine (transfer none). @p page: of its record; NULL: it has none yet, and is given
  * a page of its shard. */
-machine_t *partition_machine_add(partition_t *partition, const char *id, const char *zone,
+machine_t *partition_add_machine(partition_t *partition, const char *id, const char *zone,
                                  page_t *page, msec_t now);
 /** Frees a terminated machine. Its id is remembered, since ids are not used again. */
-void partition_machine_drop(partition_t *partition, machine_t *machine);
+void partition_drop_machine(partition_t *partition, machine_t *machine);
 /** Sets the machine's capacity from its type, if that is known. */
 void partition_look_up_capacity(const partition_t *partition, machine_t *machine);
 /** Makes the machine's record due to be written: something can't start, or be placed again,
  * before. */
-void partition_flush_machine(partition_t *partition, const machine_t *machine);
+void partition_request_flush(partition_t *partition, const machine_t *machine);
 /** Returns the resources that neither listed attempts nor reservations take. */
-resources_t partition_free_resources(const machine_t *machine);
+resources_t machine_free_resources(const machine_t *machine);
 /** Whether what is sent to the machine arrives there, as far as is known at @p now. */
 bool partition_is_reachable(const partition_t *partition, const machine_t *machine, msec_t now);
 /** Whether the machine takes starts at all, its resources and page aside. */
--- a/src/core/partition/machines.c
+++ b/src/core/partition/machines.c
@@ -26,7 +26,7 @@
     return shard_smallest_page(partition_ensure_shard(partition, shard));
 }
 
-machine_t *partition_machine_add(partition_t *partition, const char *id, const char *zone,
+machine_t *partition_add_machine(partition_t *partition, const char *id, const char *zone,
                                  page_t *page, msec_t now)
 {
     machine_t *machine = g_new0(machine_t, 1);
@@ -48,7 +48,7 @@
     return machine;
 }
 
-void partition_machine_drop(partition_t *partition, machine_t *machine)
+void partition_drop_machine(partition_t *partition, machine_t *machine)
 {
     g_ptr_array_remove(machine->page->machines, machine);
     if (machine->is_push_queued)
@@ -69,12 +69,12 @@
     }
 }
 
-void partition_flush_machine(partition_t *partition, const machine_t *machine)
+void partition_request_flush(partition_t *partition, const machine_t *machine)
 {
-    partition_flush_page(partition, machine->page);
+    partition_request_page_flush(partition, machine->page);
 }
 
-resources_t partition_free_resources(const machine_t *machine)
+resources_t machine_free_resources(const machine_t *machine)
 {
     resources_t resources = machine->capacity;
     resources_add(&resources, machine->booked, -1);
@@ -122,7 +122,7 @@
                               .accepts_starts = partition_accepts_starts(partition, machine, now),
                               .is_draining = machine->is_draining,
                               .total = machine->capacity,
-                              .free = partition_free_resources(machine),
+                              .free = machine_free_resources(machine),
                               .attempts = machine->attempts->len,
                               .unacknowledged_ms = now - machine->last_acknowledged_at,
                               .idle_ms = now - machine->idle_since_at,
--- a/src/core/partition/page_internal.h
+++ b/src/core/partition/page_internal.h
@@ -50,7 +50,7 @@
  * none. */
 page_t *shard_smallest_page(shard_t *shard);
 /** Makes the page due to be written. One that is due already keeps its place. */
-void partition_flush_page(partition_t *partition, page_t *page);
+void partition_request_page_flush(partition_t *partition, page_t *page);
 
 /** Returns page number @p index of the shard (transfer none). */
 static inline page_t *shard_page(const shard_t *shard, guint index)
--- a/src/core/partition/pages.c
+++ b/src/core/partition/pages.c
@@ -66,7 +66,7 @@
     return smallest;
 }
 
-void partition_flush_page(partition_t *partition, page_t *page)
+void partition_request_page_flush(partition_t *partition, page_t *page)
 {
     if (!page->flush_order)
         page->flush_order = ++partition->last_flush_order;
--- a/src/core/partition/partition.c
+++ b/src/core/partition/partition.c
@@ -93,7 +93,7 @@
 static void load_attempt(partition_t *partition, machine_t *machine, const record_entry_t *entry,
                          msec_t now)
 {
-    attempt_t *attempt = partition_attempt_add(partition, machine, entry);
+    attempt_t *attempt = partition_add_attempt(partition, machine, entry);
     attempt->phase = ATTEMPT_RECORDED;
     attempt->worker_epoch = machine->worker_epoch;
     attempt->is_in_record = true;
@@ -103,7 +103,7 @@
 static void load_machine(partition_t *partition, const machine_record_t *record, page_t *page,
                          msec_t now)
 {
-    machine_t *machine = partition_machine_add(partition, record->machine, record->zone, page, now);
+    machine_t *machine = partition_add_machine(partition, record->machine, record->zone, page, now);
     g_strlcpy(machine->address, record->address, sizeof machine->address);
     g_strlcpy(machine->type, record->type, sizeof machine->type);
     machine->is_spot = record->spot;
@@ -135,7 +135,7 @@
         partition_terminate_attempt(partition, machine_attempt(machine, i), CAUSE_NONE);
     machine->has_responded = false;
     machine->is_terminated = true;
-    partition_flush_machine(partition, machine);
+    partition_request_flush(partition, machine);
 }
 
 static void tick_machines(partition_t *partition, msec_t now)
--- a/src/core/partition/partition.h
+++ b/src/core/partition/partition.h
@@ -14,10 +14,10 @@
  * Proof is one of these:
  *  - The worker reports a newer worker epoch. Commands of an older epoch are refused there.
  *  - A heartbeat of the attempt's worker epoch lists it as exited. A late copy of its `run` has no
- *    effect after that, since the worker remembers the attempt; and `forget` is held back while
- * such a copy may be in flight.
+ *    effect after that, since the worker remembers the attempt; and `forget` is held back while a
+ *    copy may be in flight.
  *  - An ordinary heartbeat, not the answer to a pushed command, does not list it, and was sent
- * under a fencing token above any under which a `run` was sent that may still arrive (see
+ *    under a fencing token above any under which a `run` was sent that may still arrive (see
  *    is_run_in_flight() in heartbeats.c).
  *  - The cloud confirmed that the machine is terminated.
  *
--- a/src/core/partition/placement.c
+++ b/src/core/partition/placement.c
@@ -7,7 +7,7 @@
  * capacity, with the request placed there. The lowest is best. */
 static double score(const machine_t *machine, resources_t need)
 {
-    resources_t left = partition_free_resources(machine);
+    resources_t left = machine_free_resources(machine);
     double cpus =
         (machine->capacity.cpus - left.cpus + need.cpus) / MAX(machine->capacity.cpus, EPSILON);
     double memory = (machine->capacity.memory - left.memory + need.memory) /
@@ -68,7 +68,7 @@
     candidates_init(&candidates, partition, request, now);
     for (machine_t *machine = candidates_next(&candidates); machine;
          machine = candidates_next(&candidates)) {
-        if (!resources_fit(request->need, partition_free_resources(machine)))
+        if (!resources_fit(request->need, machine_free_resources(machine)))
             continue;
         int rank = best ? compare_rank(machine, best, request) : -1;
         if (rank < 0) {
@@ -102,7 +102,7 @@
                           const placement_request_t *request, msec_t now)
 {
     record_entry_t entry = entry_of(request);
-    attempt_t *attempt = partition_attempt_add(partition, machine, &entry);
+    attempt_t *attempt = partition_add_attempt(partition, machine, &entry);
     attempt->phase = ATTEMPT_PLACED;
     attempt->job_revision = request->job_revision;
     attempt->worker_epoch = machine->worker_epoch;
@@ -121,6 +121,6 @@
         return NULL;
     attempt_t *attempt = reserve(partition, machine, request, now);
     attempt->waits_for_preempted = needs_preemption;
-    partition_flush_machine(partition, machine);
+    partition_request_flush(partition, machine);
     return machine;
 }
--- a/src/core/partition/preemption.c
+++ b/src/core/partition/preemption.c
@@ -80,7 +80,7 @@
                               const placement_request_t *request, msec_t now, double *lost)
 {
     g_autoptr(GArray) victims = preemptible_attempts(partition, machine, request, now);
-    resources_t resources = partition_free_resources(machine);
+    resources_t resources = machine_free_resources(machine);
     guint taken = 0;
     *lost = 0;
     while (!resources_fit(request->need, resources) && taken < victims->len) {
@@ -126,7 +126,7 @@
 static void preempt(partition_t *partition, attempt_t *attempt, const placement_request_t *request,
                     msec_t now)
 {
-    partition_stop(partition, attempt, now);
+    partition_stop_attempt(partition, attempt, now);
     attempt->is_preempted = true;
     partition->has_preempted = true;
     if (request->priority >= PRIORITY_HIGH)
--- a/src/core/partition/reservation.c
+++ b/src/core/partition/reservation.c
@@ -25,7 +25,7 @@
     return NULL;
 }
 
-void reservation_free(GArray *list, uint64_t reservation_id)
+void reservation_remove(GArray *list, uint64_t reservation_id)
 {
     guint index;
     if (find_reservation(list, reservation_id, &index))
--- a/src/core/partition/reservation.h
+++ b/src/core/partition/reservation.h
@@ -2,8 +2,9 @@
  * Reservations: resources reserved on one machine for starts that its heartbeats do not show yet.
  *
  * Part of projected least-loaded placement: a reservation is made when an attempt is placed, is
- * confirmed by the growth of the listed attempts, and expires after a time to live. Its end frees
- * projected resources; it never frees the task itself, which only proof does (see partition.h).
+ * confirmed by the growth of the listed attempts, and expires (the design's lapse) after a time to
+ * live. Its end frees projected resources; it never frees the task itself, which only proof does
+ * (see partition.h).
  *
  * A list is a GArray of reservation_t, in the order in which they were made, and belongs to the
  * machine. Called with the controller's lock held.
@@ -30,7 +31,7 @@
 void reservation_add(GArray *list, uint64_t reservation_id, resources_t need,
                      uint64_t receipt_count, msec_t now);
 /** Removes the reservation from @p list, if it is there. */
-void reservation_free(GArray *list, uint64_t reservation_id);
+void reservation_remove(GArray *list, uint64_t reservation_id);
 /** Records that heartbeat number @p receipt_count lists the task as fetching its image. A
  * reservation made after that heartbeat stays as it is. */
 void reservation_record_start(GArray *list, uint64_t reservation_id, uint64_t receipt_count);
--- a/tests/core/partition/test_partition_placement.c
+++ b/tests/core/partition/test_partition_placement.c
@@ -26,10 +26,10 @@
     exchange_heartbeat(fixture);
     place_task(fixture, "j-000001", 0, 100);
     machine_t *machine = fixture_machine(fixture);
-    assert_true(partition_free_resources(machine).cpus < 12.5);
+    assert_true(machine_free_resources(machine).cpus < 12.5);
     fixture->now += 30000;
     partition_tick(fixture->partition, fixture->now);
-    assert_true(partition_free_resources(machine).cpus > 15.5);
+    assert_true(machine_free_resources(machine).cpus > 15.5);
     assert_int_equal(partition_attempt_count(fixture->partition), 1);
     assert_int_equal(partition_results(fixture->partition)->len, 0);
 }
