--- a/src/controller/membership/member_loop.c
+++ b/src/controller/membership/member_loop.c
@@ -104,7 +104,7 @@
     uint64_t revision = controller->membership.view.revision;
     uint64_t lease_revision = controller->membership.election.lease_revision;
     g_strlcpy(next.leader, controller->settings->name, sizeof next.leader);
-    election_members(&controller->membership.election, &next, clock_steady());
+    election_fill_members(&controller->membership.election, &next, clock_steady());
     /* Someone else may have taken it while we waited. */
     bool taken = election_is_taken(&controller->membership.election);
     pthread_mutex_unlock(&controller->lock);
@@ -122,7 +122,7 @@
     controller_t *controller = loop->controller;
     pthread_mutex_lock(&controller->lock);
     view_t next = controller->membership.view;
-    election_members(&controller->membership.election, &next, clock_steady());
+    election_fill_members(&controller->membership.election, &next, clock_steady());
     pthread_mutex_unlock(&controller->lock);
     uint64_t revision = next.revision;
     next.number++;
@@ -158,11 +158,11 @@
         bool vacant = controller->membership.is_view_synced && loop.lease &&
                       election_is_vacant(&controller->membership.election);
         view_t next = controller->membership.view;
-        election_members(&controller->membership.election, &next, now);
+        election_fill_members(&controller->membership.election, &next, now);
         bool is_pending = controller->membership.is_leader &&
                           !election_same_members(&next, &controller->membership.view);
-        bool changed =
-            is_pending && now - controller->membership.election.present_since > MEMBERSHIP_BATCH_MS;
+        bool changed = is_pending && now - controller->membership.election.present_changed_at >
+                                         MEMBERSHIP_BATCH_MS;
         if (!vacant && !changed)
             controller_wait(controller, &controller->membership.changed,
                             member_wait(&loop, is_pending, clock_steady()));
--- a/src/controller/membership/view.c
+++ b/src/controller/membership/view.c
@@ -87,8 +87,8 @@
         pthread_mutex_lock(&controller->lock);
         if (lease) {
             /* Known before the follow tells: else the lease would look free, and be taken again. */
-            election_take_lease(&controller->membership.election, next->leader, next->incarnation,
-                                next->revision);
+            election_record_lease(&controller->membership.election, next->leader, next->incarnation,
+                                  next->revision);
         }
         membership_install_view(controller, next);
         pthread_mutex_unlock(&controller->lock);
@@ -120,7 +120,7 @@
         if (entry->value && view_parse(entry->value, entry->revision, &view))
             membership_install_view(controller, &view);
     } else if (strcmp(entry->key, "view/lease") == 0) {
-        election_take_lease(
+        election_record_lease(
             &controller->membership.election,
             json_string_value(json_object_get(entry->value, "Name")),
             (uint64_t)json_integer_value(json_object_get(entry->value, "Incarnation")),
@@ -128,8 +128,8 @@
     } else if (g_str_has_prefix(entry->key, members)) {
         const char *name = entry->key + strlen(members);
         bool listed = entry->value && parse_member(entry->value, &member);
-        election_take_member(&controller->membership.election, name, listed ? &member : NULL,
-                             clock_steady());
+        election_record_member(&controller->membership.election, name, listed ? &member : NULL,
+                               clock_steady());
     }
 }
 
--- a/src/core/membership/election.c
+++ b/src/core/membership/election.c
@@ -16,19 +16,19 @@
     election->lease_revision = 0;
 }
 
-void election_take_member(election_t *election, const char *name, const member_t *member,
-                          msec_t now)
+void election_record_member(election_t *election, const char *name, const member_t *member,
+                            msec_t now)
 {
     g_hash_table_remove(election->present, name);
     if (member) {
         member_t *copy = g_memdup2(member, sizeof *member);
         g_hash_table_insert(election->present, copy->name, copy);
     }
-    election->present_since = now;
+    election->present_changed_at = now;
 }
 
-void election_take_lease(election_t *election, const char *holder, uint64_t incarnation,
-                         uint64_t revision)
+void election_record_lease(election_t *election, const char *holder, uint64_t incarnation,
+                           uint64_t revision)
 {
     if (revision < election->lease_revision)
         return;
@@ -37,7 +37,7 @@
     g_strlcpy(election->lease_holder, holder ? holder : "", sizeof election->lease_holder);
 }
 
-static bool holds_name(const election_t *election)
+static bool is_lease_in_own_name(const election_t *election)
 {
     return strcmp(election->lease_holder, election->self.name) == 0;
 }
@@ -45,12 +45,13 @@
 bool election_is_vacant(const election_t *election)
 {
     return election->lease_revision == 0 ||
-           (holds_name(election) && election->lease_incarnation != election->self.incarnation);
+           (is_lease_in_own_name(election) &&
+            election->lease_incarnation != election->self.incarnation);
 }
 
 bool election_is_taken(const election_t *election)
 {
-    return election->lease_revision && !holds_name(election);
+    return election->lease_revision && !is_lease_in_own_name(election);
 }
 
 static gint compare_members(gconstpointer left, gconstpointer right)
@@ -58,7 +59,7 @@
     return strcmp(((const member_t *)left)->name, ((const member_t *)right)->name);
 }
 
-void election_members(const election_t *election, view_t *view, msec_t now)
+void election_fill_members(const election_t *election, view_t *view, msec_t now)
 {
     view->members[0] = election->self;
     view->count = 1;
@@ -71,20 +72,25 @@
             view->members[view->count++] = *member;
     }
     for (guint i = 0; i < view->count; i++) {
-        const msec_t *until = g_hash_table_lookup(election->excluded, view->members[i].name);
-        view->members[i].is_excluded = until && now < *until;
+        const msec_t *excluded_until =
+            g_hash_table_lookup(election->excluded, view->members[i].name);
+        view->members[i].is_excluded = excluded_until && now < *excluded_until;
     }
     qsort(view->members, view->count, sizeof(member_t), compare_members);
 }
 
+static bool is_same_member(const member_t *left, const member_t *right)
+{
+    return left->incarnation == right->incarnation && left->is_excluded == right->is_excluded &&
+           strcmp(left->name, right->name) == 0;
+}
+
 bool election_same_members(const view_t *left, const view_t *right)
 {
     if (left->count != right->count)
         return false;
     for (guint i = 0; i < left->count; i++)
-        if (left->members[i].incarnation != right->members[i].incarnation ||
-            left->members[i].is_excluded != right->members[i].is_excluded ||
-            strcmp(left->members[i].name, right->members[i].name) != 0)
+        if (!is_same_member(&left->members[i], &right->members[i]))
             return false;
     return true;
 }
--- a/src/core/membership/ownership.c
+++ b/src/core/membership/ownership.c
@@ -20,7 +20,7 @@
 
 bool page_parse(const char *name, char *shard, gsize size, guint *page)
 {
-    /* The shard's number follows the last dot, whatever the zone's name holds. */
+    /* The zone's name may hold dots and plus signs: the shard's number follows the last dot. */
     const char *dot = strrchr(name, '.');
     const char *plus = dot ? strchr(dot, '+') : NULL;
     gsize length = plus ? (gsize)(plus - name) : strlen(name);
@@ -34,22 +34,51 @@
     return true;
 }
 
+/* Whether every member is excluded, in which case the exclusions are ignored. */
+static bool are_all_excluded(const member_t *members, guint count)
+{
+    for (guint i = 0; i < count; i++)
+        if (!members[i].is_excluded)
+            return false;
+    return true;
+}
+
+/* Whether the member may own machines. zone: only if it is there; NULL: in any zone. */
+static bool is_eligible(const member_t *member, bool ignores_exclusion, const char *zone)
+{
+    if (member->is_excluded && !ignores_exclusion)
+        return false;
+    return !zone || strcmp(member->zone, zone) == 0;
+}
+
+static bool has_eligible(const member_t *members, guint count, bool ignores_exclusion,
+                         const char *zone)
+{
+    for (guint i = 0; i < count; i++)
+        if (is_eligible(&members[i], ignores_exclusion, zone))
+            return true;
+    return false;
+}
+
+/* The member's weight for the shard: the member with the highest one owns it. */
+static uint64_t rendezvous_weight(const member_t *member, const char *shard)
+{
+    uint64_t seed = XXH64(member->name, strlen(member->name), 0);
+    return XXH64(shard, strlen(shard), seed);
+}
+
 guint owner_of(const member_t *members, guint count, const char *machine, const char *zone)
 {
     char shard[SHARD_NAME_BYTES];
-    bool local = false, any = false;
+    shard_of(machine, zone, shard, sizeof shard);
+    bool ignores_exclusion = are_all_excluded(members, count);
+    const char *owner_zone = has_eligible(members, count, ignores_exclusion, zone) ? zone : NULL;
     guint owner = 0;
     uint64_t highest = 0;
-    shard_of(machine, zone, shard, sizeof shard);
-    for (guint i = 0; i < count; i++)
-        any = any || !members[i].is_excluded;
-    for (guint i = 0; i < count; i++)
-        local = local || ((!any || !members[i].is_excluded) && strcmp(members[i].zone, zone) == 0);
     for (guint i = 0; i < count; i++) {
-        if ((any && members[i].is_excluded) || (local && strcmp(members[i].zone, zone) != 0))
+        if (!is_eligible(&members[i], ignores_exclusion, owner_zone))
             continue;
-        uint64_t seed = XXH64(members[i].name, strlen(members[i].name), 0);
-        uint64_t weight = XXH64(shard, strlen(shard), seed);
+        uint64_t weight = rendezvous_weight(&members[i], shard);
         if (weight >= highest) {
             highest = weight;
             owner = i;
--- a/tests/core/membership/test_connectivity.c
+++ b/tests/core/membership/test_connectivity.c
@@ -1,5 +1,5 @@
-/* Tests of a controller without the key-value store: outage, refused alone, or cut off from
- * everybody. */
+/* Tests of a controller without answers of the key-value store: in an outage of all, refused alone,
+ * or without any connection. */
 #include "core/membership/connectivity.h"
 #include "unit_test.h"
 
@@ -11,7 +11,7 @@
     assert_int_equal(connectivity_judge(&connectivity, 12000), CONNECTIVITY_GOOD);
     assert_int_equal(connectivity_judge(&connectivity, 20000), CONNECTIVITY_OUTAGE);
     connectivity.peer_message_at = 99000;
-    assert_true(connectivity_may_serve_workers(&connectivity, 100000)); /* other bounds end it */
+    assert_true(connectivity_may_serve_workers(&connectivity, 100000)); /* other limits end it */
 }
 
 static void test_refused_alone_is_recognized_by_a_sibling(void **state)
@@ -22,8 +22,9 @@
     assert_int_equal(connectivity_judge(&connectivity, 20000), CONNECTIVITY_REFUSED);
 }
 
-/* Neither key-value store nor siblings, but workers: it may have been replaced, and its workers are
- * given up by the others soon after. It lets them go before that, and takes no users. */
+/* A controller that reaches its workers, and neither the key-value store nor siblings, may have
+ * been replaced, and the others treat its workers as lost soon after. It stops renewing their
+ * leases before that, and answers no users. */
 static void test_cut_off_node_lets_its_workers_go(void **state)
 {
     (void)state;
@@ -33,11 +34,11 @@
     assert_int_equal(connectivity_judge(&connectivity, 16000), CONNECTIVITY_NONE);
     assert_true(connectivity_may_serve_workers(&connectivity, 16000));
     assert_false(connectivity_may_serve_workers(&connectivity, 10000 + SERVE_ALONE_MS));
-    connectivity.kv_answered_at = 30000; /* back */
+    connectivity.kv_answered_at = 30000; /* answered again */
     assert_true(connectivity_may_serve_workers(&connectivity, 30100));
 }
 
-static void test_node_without_siblings_is_not_cut_off_by_their_silence(void **state)
+static void test_a_controller_without_siblings_is_not_isolated_by_their_silence(void **state)
 {
     (void)state;
     connectivity_t connectivity = {.kv_answered_at = 10000, .has_no_siblings = true};
@@ -51,7 +52,7 @@
         cmocka_unit_test(test_outage_of_all_is_waited_for),
         cmocka_unit_test(test_refused_alone_is_recognized_by_a_sibling),
         cmocka_unit_test(test_cut_off_node_lets_its_workers_go),
-        cmocka_unit_test(test_node_without_siblings_is_not_cut_off_by_their_silence),
+        cmocka_unit_test(test_a_controller_without_siblings_is_not_isolated_by_their_silence),
     };
     return cmocka_run_group_tests_name("connectivity", tests, NULL, NULL);
 }
--- a/tests/core/membership/test_election.c
+++ b/tests/core/membership/test_election.c
@@ -1,30 +1,31 @@
-/* Tests of elections: a process that is back within a moment is a stranger under a known name. */
+/* Tests of elections: a process that restarts within a moment is a new one under a known name. */
 #include "core/membership/election.h"
 #include "unit_test.h"
 
-static election_t election;
-
+/* The election of controller-1, whose process is incarnation 200. */
 static int set_up(void **state)
 {
-    (void)state;
     member_t self = {.name = "controller-1", .zone = "zone-a", .incarnation = 200};
-    election_init(&election, &self);
+    election_t *election = g_new(election_t, 1);
+    election_init(election, &self);
+    *state = election;
     return 0;
 }
 
 static int tear_down(void **state)
 {
-    (void)state;
-    g_hash_table_unref(election.present);
-    g_hash_table_unref(election.excluded);
+    election_t *election = *state;
+    g_hash_table_unref(election->present);
+    g_hash_table_unref(election->excluded);
+    g_free(election);
     return 0;
 }
 
-static void present(const char *name, uint64_t incarnation, msec_t now)
+static void record_member(election_t *election, const char *name, uint64_t incarnation, msec_t now)
 {
     member_t member = {.zone = "zone-a", .incarnation = incarnation};
     g_strlcpy(member.name, name, sizeof member.name);
-    election_take_member(&election, name, &member, now);
+    election_record_member(election, name, &member, now);
 }
 
 static uint64_t incarnation_in(const view_t *view, const char *name)
@@ -35,70 +36,71 @@
     return 0;
 }
 
-/* The leader is back before its lease ended, which bears its name and nobody's process. It need
- * not wait, and it must not believe that it leads. */
+/* The leader restarts before its lease expires. The lease bears its name and an incarnation that is
+ * gone: it need not wait, and it must not conclude that it leads. */
 static void test_leader_back_at_once_takes_its_lease_over(void **state)
 {
-    (void)state;
-    election_take_lease(&election, "controller-1", 100, 50);
-    assert_true(election_is_vacant(&election));
-    assert_false(election_is_taken(&election));
-    election_take_lease(&election, "controller-1", 200, 60); /* ours now */
-    assert_false(election_is_vacant(&election));
+    election_t *election = *state;
+    election_record_lease(election, "controller-1", 100, 50);
+    assert_true(election_is_vacant(election));
+    assert_false(election_is_taken(election));
+    election_record_lease(election, "controller-1", 200, 60); /* ours now */
+    assert_false(election_is_vacant(election));
 }
 
-/* A candidate that was slower by a moment sees the lease taken, and late news of its end, from
- * before that, does not free it. */
+/* A candidate that was slower by a moment sees the lease taken. The end of the earlier lease, which
+ * arrives late, does not free it. */
 static void test_late_news_does_not_free_a_taken_lease(void **state)
 {
-    (void)state;
-    assert_true(election_is_vacant(&election));
-    election_take_lease(&election, "controller-2", 300, 60);
-    assert_true(election_is_taken(&election));
-    election_take_lease(&election, NULL, 0, 55);
-    election_take_lease(&election, "controller-1", 100, 50);
-    assert_true(election_is_taken(&election));
-    assert_false(election_is_vacant(&election));
-    election_take_lease(&election, NULL, 0, 70);
-    assert_true(election_is_vacant(&election));
+    election_t *election = *state;
+    assert_true(election_is_vacant(election));
+    election_record_lease(election, "controller-2", 300, 60);
+    assert_true(election_is_taken(election));
+    election_record_lease(election, NULL, 0, 55);
+    election_record_lease(election, "controller-1", 100, 50);
+    assert_true(election_is_taken(election));
+    assert_false(election_is_vacant(election));
+    election_record_lease(election, NULL, 0, 70);
+    assert_true(election_is_vacant(election));
 }
 
-/* A member that is back within a moment makes a new view: its partitions' placement requests,
- * reservations and messages were another's. */
+/* A member that restarts within a moment makes a new view: its partition's placement requests,
+ * reservations and messages were those of another process. */
 static void test_member_back_at_once_makes_a_new_view(void **state)
 {
-    (void)state;
+    election_t *election = *state;
     view_t view = {0};
     view_t next = {0};
-    present("controller-0", 10, 1000);
-    present("controller-2", 30, 1000);
-    election_members(&election, &view, 2000);
+    record_member(election, "controller-0", 10, 1000);
+    record_member(election, "controller-2", 30, 1000);
+    election_fill_members(election, &view, 2000);
     assert_int_equal(view.count, 3);
     assert_int_equal(incarnation_in(&view, "controller-1"), 200);
-    present("controller-2", 31, 3000);
-    election_members(&election, &next, 4000);
+    record_member(election, "controller-2", 31, 3000);
+    election_fill_members(election, &next, 4000);
     assert_false(election_same_members(&view, &next));
     assert_int_equal(incarnation_in(&next, "controller-2"), 31);
 }
 
-/* The request by which the earlier incarnation entered itself is carried out after ours: we would
- * be listed as a process that is gone, and then not at all. */
+/* The request by which the earlier incarnation wrote its member's key is carried out after ours:
+ * the key would name a process that is gone, and then be gone itself. */
 static void test_late_entry_of_an_earlier_incarnation_is_noticed(void **state)
 {
-    (void)state;
-    assert_true(election_is_displaced(&election));
-    present("controller-1", 200, 1000);
-    assert_false(election_is_displaced(&election));
-    present("controller-1", 100, 2000);
-    assert_true(election_is_displaced(&election));
+    election_t *election = *state;
+    assert_true(election_is_displaced(election));
+    record_member(election, "controller-1", 200, 1000);
+    assert_false(election_is_displaced(election));
+    record_member(election, "controller-1", 100, 2000);
+    assert_true(election_is_displaced(election));
     view_t view = {0};
-    election_members(&election, &view, 3000);
-    assert_int_equal(incarnation_in(&view, "controller-1"), 200); /* leading, we know better */
+    election_fill_members(election, &view, 3000);
+    assert_int_equal(incarnation_in(&view, "controller-1"),
+                     200); /* a leader lists itself by its own incarnation */
 }
 
-/* Refused alone for 30 s, a leader was replaced. Back in touch, its summaries showed all its
- * machines silent, and it gave 48 working ones back in the moment before it heard of the new view.
- */
+/* A leader that was refused alone for 30 s was replaced. When it was answered again, its summaries
+ * showed all its machines silent, and it scaled in 48 working ones in the moment before it received
+ * the new view. */
 static void test_replaced_leader_leaves_the_cloud_alone(void **state)
 {
     (void)state;
