--- a/src/controller/jobs/job_watch.c
+++ b/src/controller/jobs/job_watch.c
@@ -1,14 +1,20 @@
-/* Keeps the live jobs of this controller as jobs/ has them. */
+#include "controller/jobs/job_watch.h"
+
 #include <string.h>
 
 #include "controller/controller.h"
-#include "controller/jobs/job_watch.h"
 #include "controller/kv_watch_loop.h"
-#include "io/clock.h"
 #include "io/codec/codec.h"
 #include "io/log.h"
 
-static void take_set(controller_t *controller, const kv_entry_t *entry)
+static const char jobs_prefix[] = "jobs/";
+
+static const char *job_id_of_key(const char *key)
+{
+    return key + strlen(jobs_prefix);
+}
+
+static void apply_put(controller_t *controller, const kv_entry_t *entry)
 {
     job_spec_t spec;
     reason_t why;
@@ -20,75 +26,52 @@
     job_spec_clear(&spec);
 }
 
-static const char *id_of(const char *key)
+/* The ids of live jobs that are not in the set `listed` (char * keys). The array owns them:
+ * removing a job from the directory frees its own. */
+static GPtrArray *copy_unlisted_ids(const controller_t *controller, GHashTable *listed)
 {
-    return key + strlen("jobs/");
-}
-
-static void take_all(controller_t *controller, const GArray *entries)
-{
-    GHashTable *listed = g_hash_table_new(g_str_hash, g_str_equal);
-    for (guint i = 0; i < entries->len; i++) {
-        const kv_entry_t *entry = &g_array_index(entries, kv_entry_t, i);
-        g_hash_table_add(listed, (gpointer)id_of(entry->key));
-        take_set(controller, entry);
-    }
-    GPtrArray *terminal = g_ptr_array_new_with_free_func(g_free);
+    GPtrArray *unlisted = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter iter;
-    gpointer key;
+    gpointer id;
     g_hash_table_iter_init(&iter, controller->jobs.live);
-    while (g_hash_table_iter_next(&iter, &key, NULL))
-        if (!g_hash_table_contains(listed, key))
-            g_ptr_array_add(terminal, g_strdup(key));
-    for (guint i = 0; i < terminal->len; i++)
-        job_directory_remove(controller, g_ptr_array_index(terminal, i));
-    g_ptr_array_unref(terminal);
-    g_hash_table_unref(listed);
+    while (g_hash_table_iter_next(&iter, &id, NULL))
+        if (!g_hash_table_contains(listed, id))
+            g_ptr_array_add(unlisted, g_strdup(id));
+    return unlisted;
 }
 
-static bool read_all(controller_t *controller, http_client_t *client, uint64_t *revision)
+static void apply_all(controller_t *controller, const GArray *entries, msec_t sent_at)
 {
-    GArray *entries = kv_entries_new();
-    msec_t sent = clock_steady();
-    rate_limiter_charge(&controller->core_request_limiter, 1, sent);
-    bool listed = kv_list(&controller->kv_store, client, "jobs/", entries, revision) == KV_OK;
-    if (listed) {
-        pthread_mutex_lock(&controller->lock);
-        take_all(controller, entries);
-        controller->jobs.is_synced = true;
-        controller->jobs.complete_until = sent;
-        pthread_mutex_unlock(&controller->lock);
+    /* Set of ids (char *), borrowed from the entries. */
+    g_autoptr(GHashTable) listed = g_hash_table_new(g_str_hash, g_str_equal);
+    for (guint i = 0; i < entries->len; i++) {
+        const kv_entry_t *entry = &g_array_index(entries, kv_entry_t, i);
+        g_hash_table_add(listed, (gpointer)job_id_of_key(entry->key));
+        apply_put(controller, entry);
     }
-    g_array_unref(entries);
-    return listed;
+    g_autoptr(GPtrArray) unlisted = copy_unlisted_ids(controller, listed);
+    for (guint i = 0; i < unlisted->len; i++)
+        job_directory_remove(controller, g_ptr_array_index(unlisted, i));
+    controller->jobs.is_synced = true;
+    controller->jobs.complete_until = sent_at;
 }
 
-static kv_result_t watch_changes(controller_t *controller, http_client_t *client,
-                                 uint64_t *revision)
+static void apply_changes(controller_t *controller, const GArray *changes, msec_t sent_at)
 {
-    GArray *changes = kv_entries_new();
-    msec_t sent = clock_steady();
-    rate_limiter_charge(&controller->core_request_limiter, 1, sent);
-    kv_result_t result =
-        kv_watch(&controller->kv_store, client, "jobs/", KV_WATCH_BLOCK_MS, revision, changes);
-    if (result == KV_OK) {
-        pthread_mutex_lock(&controller->lock);
-        for (guint i = 0; i < changes->len; i++) {
-            const kv_entry_t *entry = &g_array_index(changes, kv_entry_t, i);
-            if (entry->value)
-                take_set(controller, entry);
-            else
-                job_directory_remove(controller, id_of(entry->key));
-        }
-        controller->jobs.complete_until = sent;
-        pthread_mutex_unlock(&controller->lock);
+    for (guint i = 0; i < changes->len; i++) {
+        const kv_entry_t *entry = &g_array_index(changes, kv_entry_t, i);
+        if (entry->value)
+            apply_put(controller, entry);
+        else
+            job_directory_remove(controller, job_id_of_key(entry->key));
     }
-    g_array_unref(changes);
-    return result;
+    controller->jobs.complete_until = sent_at;
 }
 
 void *job_watch_run(void *data)
 {
-    kv_watch_loop_run(data, read_all, watch_changes);
+    static const kv_watch_t watch = {
+        .prefix = jobs_prefix, .apply_all = apply_all, .apply_changes = apply_changes};
+    kv_watch_loop_run(data, &watch);
     return NULL;
 }
--- a/src/controller/jobs/job_watch.h
+++ b/src/controller/jobs/job_watch.h
@@ -1,8 +1,11 @@
-/* Keeps the job directory as jobs/ in the key-value store has it. */
+/** @file
+ * Keeps the job directory as jobs/ in the key-value store has it.
+ */
 #ifndef PEPPERPULLEY_JOB_WATCH_H
 #define PEPPERPULLEY_JOB_WATCH_H
 
-/* The loop; data is the controller_t. Never returns. */
+/** The thread's loop: reads jobs/ and watches its changes. @p data is the controller_t; the thread
+ * must not hold its lock. Never returns. */
 void *job_watch_run(void *data);
 
 #endif
--- a/src/controller/kv_watch_loop.c
+++ b/src/controller/kv_watch_loop.c
@@ -1,23 +1,65 @@
-/* Follows a prefix of the key-value store. */
 #include "controller/kv_watch_loop.h"
 
-void kv_watch_loop_run(controller_t *controller,
-                       bool (*read)(controller_t *, http_client_t *, uint64_t *),
-                       kv_result_t (*watch_changes)(controller_t *, http_client_t *, uint64_t *))
+#include "io/clock.h"
+
+typedef struct kv_watch_loop {
+    controller_t *controller;
+    const kv_watch_t *watch;
+    http_client_t *client;
+    uint64_t revision; /* up to which changes were applied */
+} kv_watch_loop_t;
+
+static bool read_all(kv_watch_loop_t *loop)
+{
+    controller_t *controller = loop->controller;
+    g_autoptr(GArray) entries = kv_entries_new();
+    msec_t sent_at = clock_steady();
+    rate_limiter_charge(&controller->core_request_limiter, 1, sent_at);
+    kv_result_t result =
+        kv_list(&controller->kv_store, loop->client, loop->watch->prefix, entries, &loop->revision);
+    if (result != KV_OK)
+        return false;
+    pthread_mutex_lock(&controller->lock);
+    loop->watch->apply_all(controller, entries, sent_at);
+    pthread_mutex_unlock(&controller->lock);
+    return true;
+}
+
+/* Waits for changes, KV_WATCH_BLOCK_MS at most, and applies them. */
+static kv_result_t watch_changes(kv_watch_loop_t *loop)
+{
+    controller_t *controller = loop->controller;
+    g_autoptr(GArray) changes = kv_entries_new();
+    msec_t sent_at = clock_steady();
+    rate_limiter_charge(&controller->core_request_limiter, 1, sent_at);
+    kv_result_t result = kv_watch(&controller->kv_store, loop->client, loop->watch->prefix,
+                                  KV_WATCH_BLOCK_MS, &loop->revision, changes);
+    if (result == KV_OK) {
+        pthread_mutex_lock(&controller->lock);
+        loop->watch->apply_changes(controller, changes, sent_at);
+        pthread_mutex_unlock(&controller->lock);
+    } else if (result == KV_COMPACTED && loop->watch->handle_compaction) {
+        pthread_mutex_lock(&controller->lock);
+        loop->watch->handle_compaction(controller);
+        pthread_mutex_unlock(&controller->lock);
+    }
+    return result;
+}
+
+void kv_watch_loop_run(controller_t *controller, const kv_watch_t *watch)
 {
-    http_client_t *client = http_client_new(2);
-    uint64_t revision = 0;
-    bool synced = false;
+    kv_watch_loop_t loop = {.controller = controller, .watch = watch, .client = http_client_new(2)};
+    bool is_synced = false;
     for (;;) {
-        if (!synced) {
-            synced = read(controller, client, &revision);
-            if (!synced)
+        if (!is_synced) {
+            is_synced = read_all(&loop);
+            if (!is_synced)
                 controller_sleep(ELECT_POLL_MS);
             continue;
         }
-        kv_result_t result = watch_changes(controller, client, &revision);
+        kv_result_t result = watch_changes(&loop);
         if (result == KV_COMPACTED)
-            synced = false;
+            is_synced = false;
         else if (result != KV_OK)
             controller_sleep(ELECT_POLL_MS);
     }
--- a/src/controller/membership/membership.h
+++ b/src/controller/membership/membership.h
@@ -1,5 +1,6 @@
-/* What a controller knows of the view: its number, leader and members, and its own place in it.
- * Guarded by the controller's lock. */
+/** @file
+ * What a controller knows of the view: its number, leader and members, and its own place in it.
+ */
 #ifndef PEPPERPULLEY_MEMBERSHIP_H
 #define PEPPERPULLEY_MEMBERSHIP_H
 
@@ -9,24 +10,32 @@
 #include "core/membership/election.h"
 #include "core/membership/redirection.h"
 
+/** The membership's state. Guarded by the controller's lock. Times are of the steady clock, in ms.
+ */
 typedef struct membership {
-    view_t view; /* the installed view */
-    bool is_view_synced;
-    msec_t views_complete_until; /* every view made before this moment is known here */
-    uint64_t highest_view_seen;  /* the highest view number named by another controller */
-    election_t election;
-    bool is_leader;         /* of the installed view */
-    msec_t leader_since_at; /* without a break, over however many views */
-    guint own_index;        /* among the members; G_MAXUINT: not a member */
-    guint leader_index;
-    pthread_cond_t changed;     /* broadcast when view/ changes; the member loop waits for it */
-    redirection_t *redirection; /* owned; workers of other owners that send heartbeats here */
+    view_t view;                 /**< The installed view. */
+    bool is_view_synced;         /**< view/ was read whole and is watched. */
+    msec_t views_complete_until; /**< Every view made before this moment is known. */
+    uint64_t highest_view_seen;  /**< The highest view number that another controller named. */
+    election_t election;         /**< The candidates and the lease, as view/ has them. */
+    bool is_leader;              /**< This controller leads the installed view. */
+    msec_t leader_since_at; /**< Leader only: since when it has led without interruption, over any
+                               number of views. */
+    guint own_index;        /**< This controller's index in the view's members; G_MAXUINT: it is not
+                               a member. */
+    guint leader_index;     /**< The leader's index in the view's members. */
+    pthread_cond_t changed; /**< Broadcast when a key below view/, the installed view or the
+                               excluded members change; the member loop waits for it. */
+    redirection_t *redirection; /**< Workers of other owners that send heartbeats here; owned. */
 } membership_t;
 
-/* Installs a newer view; all data of the older one become void. Called with the lock held. */
+/** Installs a view if it is newer than the installed one: the channels are replaced, and the data
+ * loaded for the older view count as not loaded. Wakes the placement loop, the member loop and the
+ * peer client. Called with the lock held. */
 void membership_install_view(controller_t *controller, const view_t *view);
-/* Index of the machine's owner among the members of the view, which must have some. Called with the
- * lock held. */
+
+/** Returns the index of the machine's owner among the members of the view, of which there must be
+ * at least one. Called with the lock held. */
 guint membership_owner_index(const controller_t *controller, const char *machine, const char *zone);
 
 #endif
--- a/src/controller/placement/placement_loop.c
+++ b/src/controller/placement/placement_loop.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #include "controller/controller.h"
-#include "controller/membership/view.h"
+#include "controller/membership/view_store.h"
 #include "controller/placement/command_dispatcher.h"
 #include "controller/placement/partition_items.h"
 #include "controller/placement/placement_loop.h"
--- a/src/controller/startup.c
+++ b/src/controller/startup.c
@@ -5,7 +5,7 @@
 #include "controller/autoscaler/autoscaler_loop.h"
 #include "controller/jobs/job_watch.h"
 #include "controller/membership/member_loop.h"
-#include "controller/membership/view.h"
+#include "controller/membership/view_watch.h"
 #include "controller/peer/peer_client.h"
 #include "controller/peer/peer_heartbeat.h"
 #include "controller/peer/peer_relay.h"
@@ -15,7 +15,7 @@
 
 bool controller_start(controller_t *controller)
 {
-    threads_start("view", view_run, controller);
+    threads_start("view", view_watch_run, controller);
     threads_start("member", member_loop_run, controller);
     threads_start("peer_client", peer_client_run, controller);
     threads_start("peer_server", peer_server_run, controller);
--- a/tests/io/test_message_samples.c
+++ b/tests/io/test_message_samples.c
@@ -1,7 +1,7 @@
 /* The exact bytes of messages between controllers, as XDR and as values in the key-value store, and
  * of their view, compared with the files of tests/samples; and those files read back. Controllers
  * of both builds run side by side during an update. */
-#include "controller/membership/view.h"
+#include "controller/membership/view_codec.h"
 #include "io/peer_protocol.h"
 #include "io/relay.h"
 #include "sample_files.h"
