--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -1,18 +1,7 @@
-/* Makes a controller: its struct, limits and condition variables. */
 #include "controller/controller.h"
 
-#include "controller/threads.h"
 #include "io/clock.h"
-#include "io/log.h"
 
-static void known_job_free(gpointer data)
-{
-    live_job_t *job = data;
-    job_spec_clear(&job->spec);
-    g_free(job);
-}
-
-/* The key-value store's limits are for all of us together: shares follow the number of members. */
 void controller_share_rate_limits(controller_t *controller, guint members)
 {
     const settings_t *settings = controller->settings;
@@ -42,7 +31,7 @@
     controller_share_rate_limits(controller, settings->siblings->len + 1);
 }
 
-/* Waits end by the steady clock. */
+/* Time limits of waits are of the steady clock. */
 static void init_conditions(controller_t *controller)
 {
     pthread_condattr_t steady;
@@ -62,6 +51,55 @@
     pthread_condattr_destroy(&steady);
 }
 
+static void init_membership(membership_t *membership, const settings_t *settings,
+                            uint64_t incarnation)
+{
+    member_t self = {.incarnation = incarnation};
+    g_strlcpy(self.name, settings->name, sizeof self.name);
+    g_strlcpy(self.zone, settings->zone, sizeof self.zone);
+    election_init(&membership->election, &self);
+    membership->own_index = G_MAXUINT;
+    membership->redirection = redirection_new();
+}
+
+static void live_job_free(gpointer data)
+{
+    live_job_t *job = data;
+    job_spec_clear(&job->spec);
+    g_free(job);
+}
+
+static void init_jobs(job_directory_t *jobs, uint64_t incarnation, msec_t now)
+{
+    cancellation_log_init(&jobs->cancellations, incarnation, now);
+    jobs->live = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, live_job_free);
+    job_counts_replica_init(&jobs->counts);
+    jobs->terminal_states = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    jobs->terminal = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    jobs->terminal_order = g_queue_new();
+}
+
+static void init_kv_clients(kv_client_pool_t *kv_clients)
+{
+    for (guint i = 0; i < API_KV_CLIENTS_COUNT; i++)
+        kv_clients->clients[i] = http_client_new(1);
+    kv_clients->free_count = API_KV_CLIENTS_COUNT;
+}
+
+static void init_requests(request_pool_t *requests)
+{
+    pthread_mutex_init(&requests->lock, NULL);
+    pthread_cond_init(&requests->available, NULL);
+    request_queue_init(&requests->queue, REQUESTS_WAITING_COUNT);
+}
+
+static uint64_t draw_incarnation(void)
+{
+    uint64_t incarnation;
+    arc4random_buf(&incarnation, sizeof incarnation);
+    return incarnation >> 2; /* fits a signed JSON integer */
+}
+
 controller_t *controller_new(const settings_t *settings, const policy_t *policy)
 {
     controller_t *controller = g_new0(controller_t, 1);
@@ -69,34 +107,19 @@
     controller->settings = settings;
     controller->policy = policy;
     controller->metrics = metrics_new();
-    arc4random_buf(&controller->incarnation, sizeof controller->incarnation);
-    controller->incarnation >>= 2; /* fits a signed JSON integer */
-    member_t self = {.incarnation = controller->incarnation};
-    g_strlcpy(self.name, settings->name, sizeof self.name);
-    g_strlcpy(self.zone, settings->zone, sizeof self.zone);
-    election_init(&controller->membership.election, &self);
-    cancellation_log_init(&controller->jobs.cancellations, controller->incarnation, now);
+    controller->incarnation = draw_incarnation();
     kv_store_init(&controller->kv_store, settings->kv_store_address);
     init_limiters(controller, now);
-    for (guint i = 0; i < API_KV_CLIENTS_COUNT; i++)
-        controller->kv_clients.clients[i] = http_client_new(1);
-    controller->kv_clients.free_count = API_KV_CLIENTS_COUNT;
-    controller->dispatch.idle = (1U << DISPATCHERS_COUNT) - 1;
+    init_requests(&controller->requests);
     pthread_mutex_init(&controller->lock, NULL);
     init_conditions(controller);
-    controller->jobs.live = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, known_job_free);
-    job_counts_replica_init(&controller->jobs.counts);
+    init_membership(&controller->membership, settings, controller->incarnation);
+    init_jobs(&controller->jobs, controller->incarnation, now);
+    init_kv_clients(&controller->kv_clients);
+    controller->dispatch.idle = (1U << DISPATCHERS_COUNT) - 1;
     controller->placement.machine_types = g_array_new(FALSE, FALSE, sizeof(machine_type_t));
-    controller->jobs.terminal_states = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     controller->peers.channels = g_ptr_array_new();
-    controller->membership.own_index = G_MAXUINT;
     controller->stalls.last_observed_at = now;
-    controller->membership.redirection = redirection_new();
-    controller->jobs.terminal = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    controller->jobs.terminal_order = g_queue_new();
-    pthread_mutex_init(&controller->requests.lock, NULL);
-    pthread_cond_init(&controller->requests.available, NULL);
-    request_queue_init(&controller->requests.queue, REQUESTS_WAITING_COUNT);
     return controller;
 }
 
@@ -105,11 +128,11 @@
     pthread_cond_signal(&controller->placement.ready);
 }
 
-void controller_wait(controller_t *controller, pthread_cond_t *cond, msec_t ms)
+void controller_wait(controller_t *controller, pthread_cond_t *condition, msec_t ms)
 {
-    msec_t until = clock_steady() + ms;
-    struct timespec at = {.tv_sec = until / MS_PER_S, .tv_nsec = until % MS_PER_S * NS_PER_MS};
-    pthread_cond_timedwait(cond, &controller->lock, &at);
+    msec_t end_at = clock_steady() + ms;
+    struct timespec end = {.tv_sec = end_at / MS_PER_S, .tv_nsec = end_at % MS_PER_S * NS_PER_MS};
+    pthread_cond_timedwait(condition, &controller->lock, &end);
 }
 
 msec_t controller_paced(const controller_t *controller, msec_t ms)
@@ -119,6 +142,6 @@
 
 void controller_sleep(msec_t ms)
 {
-    struct timespec left = {.tv_sec = ms / MS_PER_S, .tv_nsec = ms % MS_PER_S * NS_PER_MS};
-    nanosleep(&left, NULL);
+    struct timespec pause = {.tv_sec = ms / MS_PER_S, .tv_nsec = ms % MS_PER_S * NS_PER_MS};
+    nanosleep(&pause, NULL);
 }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,7 +1,9 @@
-/* What the threads of one controller share: a struct for each concern, under one lock.
+/** @file
+ * What the threads of one controller share: a struct for each concern, under one lock.
  *
- * Each concern's struct and the functions over it stand in its own header. The loops, one thread
- * each, are started by startup.c. */
+ * Each concern's struct and functions stand in a header of their own. startup.h lists the threads
+ * and what each of them waits for.
+ */
 #ifndef PEPPERPULLEY_CONTROLLER_H
 #define PEPPERPULLEY_CONTROLLER_H
 
@@ -24,47 +26,56 @@
 #include "io/rate_limiter.h"
 #include "io/settings.h"
 
-/* What the threads of a controller share. Fields before the lock never change or guard themselves.
- */
+/** What the threads of a controller share. The fields before `lock` never change, or have a lock of
+ * their own. */
 struct controller {
-    const settings_t *settings; /* borrowed for the life of the process */
-    const policy_t *policy;     /* borrowed for the life of the process */
-    metrics_t *metrics;
-    uint64_t incarnation; /* drawn at each start of the process */
-    kv_store_t kv_store;
-    rate_limiter_t core_request_limiter; /* requests of the loops to the key-value store */
-    rate_limiter_t core_write_limiter;   /* keys that the loops write */
-    rate_limiter_t api_request_limiter;  /* requests for users to the key-value store */
-    rate_limiter_t api_write_limiter;    /* keys written for users */
-    request_pool_t requests;             /* has a lock of its own */
+    const settings_t *settings; /**< Borrowed for the life of the process. */
+    const policy_t *policy;     /**< Borrowed for the life of the process. */
+    metrics_t *metrics;         /**< Owned; has a lock of its own. */
+    uint64_t incarnation;       /**< Random number, drawn at each start of the process. */
+    kv_store_t kv_store;        /**< The key-value store; each thread brings its own client. */
+    rate_limiter_t core_request_limiter; /**< The loops' requests to the key-value store. */
+    rate_limiter_t core_write_limiter;   /**< Keys of the key-value store that the loops write. */
+    rate_limiter_t api_request_limiter;  /**< Requests to the key-value store on behalf of users. */
+    rate_limiter_t api_write_limiter;    /**< Keys written on behalf of users. */
+    request_pool_t requests; /**< Users' requests that wait; has a lock of its own, which is never
+                                taken together with `lock`. */
 
-    pthread_mutex_t lock; /* guards all that follows; never held across input or output */
-    membership_t membership;
-    job_directory_t jobs;
-    placement_state_t placement;
-    dispatch_state_t dispatch;
-    peer_state_t peers;
-    status_batches_t status_batches;
-    kv_client_pool_t kv_clients;
-    stall_detector_t stalls;
-    autoscaler_t *autoscaler;        /* owned; NULL: never loaded */
-    pthread_cond_t autoscaler_ready; /* signalled when the leader's data were loaded */
+    pthread_mutex_t lock;        /**< Guards all fields below. Never held during input or output. */
+    membership_t membership;     /**< The view, the election and this controller's place. */
+    job_directory_t jobs;        /**< The jobs that are known. */
+    placement_state_t placement; /**< The data that the records of a view are loaded into. */
+    dispatch_state_t dispatch;   /**< The command dispatchers. */
+    peer_state_t peers;          /**< The exchange with the other controllers. */
+    status_batches_t status_batches; /**< Status reads that go to the key-value store together. */
+    kv_client_pool_t kv_clients;     /**< Connections to the key-value store for users' requests. */
+    stall_detector_t stalls;         /**< When the process last stalled. */
+    autoscaler_t *autoscaler;        /**< Owned; NULL: the data of no view were loaded yet. */
+    pthread_cond_t autoscaler_ready; /**< Signalled when the data of a view were loaded; the
+                                        autoscaler's loop waits for it. */
 };
 
-/* A new controller that does nothing yet. Both arguments are borrowed for the life of the process.
- */
+/** Returns a controller without threads (transfer full; it lives as long as the process). Both
+ * arguments are borrowed for the life of the process. */
 controller_t *controller_new(const settings_t *settings, const policy_t *policy);
-/* Divides the key-value store's limits among so many members. Called with the lock held, or before
- * the threads start. */
+
+/** Sets this controller's shares of the key-value store's limits, which hold for all @p members
+ * together. The leader has a larger share of the writes. Called with the lock held, or before the
+ * threads start. */
 void controller_share_rate_limits(controller_t *controller, guint members);
-/* Wakes the placement loop. Called with the lock held. */
+
+/** Wakes the placement loop. Called with the lock held. */
 void controller_notify_placement(controller_t *controller);
-/* Waits for the condition, at most so long. Called with the lock held, which is given up meanwhile.
- */
+
+/** Waits for the condition, @p ms at most; may return earlier for no reason. Called with the lock
+ * held, which is released during the wait. */
 void controller_wait(controller_t *controller, pthread_cond_t *condition, msec_t ms);
-/* The pause as it is on the processor share that the settings grant. */
+
+/** Returns the pause to make in place of one of @p ms: longer on a small share of a processor
+ * (settings_t.pace). */
 msec_t controller_paced(const controller_t *controller, msec_t ms);
-/* Sleeps; the lock must not be held. */
+
+/** Sleeps for @p ms. The lock must not be held. */
 void controller_sleep(msec_t ms);
 
 #endif
--- a/src/controller/controller_type.h
+++ b/src/controller/controller_type.h
@@ -1,7 +1,10 @@
-/* The name of controller_t, for headers that controller.h itself includes. */
+/** @file
+ * The name of controller_t, for headers that controller.h itself includes.
+ */
 #ifndef PEPPERPULLEY_CONTROLLER_TYPE_H
 #define PEPPERPULLEY_CONTROLLER_TYPE_H
 
+/** What the threads of one controller share; see controller.h. */
 typedef struct controller controller_t;
 
 #endif
--- a/src/controller/jobs/job_directory.c
+++ b/src/controller/jobs/job_directory.c
@@ -1,9 +1,7 @@
-/* The jobs that a controller knows: the live ones, those that are over, and what users were told of
- * them.
- */
+#include "controller/jobs/job_directory.h"
+
 #include "controller/controller.h"
 #include "controller/placement/command_dispatcher.h"
-
 #include "io/clock.h"
 
 void job_directory_add(controller_t *controller, const job_spec_t *spec, uint64_t revision)
@@ -21,21 +19,20 @@
     controller_notify_placement(controller);
 }
 
-static void cache_terminal_job(controller_t *controller, const char *id)
+static void cache_terminal_job(job_directory_t *jobs, const char *id)
 {
-    if (g_hash_table_contains(controller->jobs.terminal, id))
+    if (g_hash_table_contains(jobs->terminal, id))
         return;
-    if (g_queue_get_length(controller->jobs.terminal_order) >= TERMINAL_JOBS_COUNT)
-        g_hash_table_remove(controller->jobs.terminal,
-                            g_queue_pop_head(controller->jobs.terminal_order));
+    if (g_queue_get_length(jobs->terminal_order) >= TERMINAL_JOBS_COUNT)
+        g_hash_table_remove(jobs->terminal, g_queue_pop_head(jobs->terminal_order));
     char *copy = g_strdup(id);
-    g_hash_table_add(controller->jobs.terminal, copy);
-    g_queue_push_tail(controller->jobs.terminal_order, copy);
+    g_hash_table_add(jobs->terminal, copy);
+    g_queue_push_tail(jobs->terminal_order, copy);
 }
 
 void job_directory_remove(controller_t *controller, const char *id)
 {
-    cache_terminal_job(controller, id);
+    cache_terminal_job(&controller->jobs, id);
     if (controller->placement.partition)
         partition_end_job(controller->placement.partition, id);
     if (controller->placement.leader)
@@ -46,19 +43,20 @@
     controller_notify_placement(controller);
 }
 
-void job_directory_record_terminal(controller_t *controller, const char *id, bool done)
+void job_directory_record_terminal(controller_t *controller, const char *id, bool is_done)
 {
-    /* Noted for the siblings before another thread can find it, or this one can tell it. */
-    if (!done) {
+    /* Appended for the siblings before another thread can find the state, or this one can answer
+     * with it. */
+    if (!is_done) {
         cancellation_log_append(&controller->jobs.cancellations, id, clock_steady());
         pthread_cond_broadcast(&controller->jobs.cancellation_appended);
     }
     if (g_hash_table_size(controller->jobs.terminal_states) >= TERMINAL_STATE_CACHE_COUNT)
         g_hash_table_remove_all(controller->jobs.terminal_states);
     g_hash_table_insert(controller->jobs.terminal_states, g_strdup(id),
-                        GINT_TO_POINTER(done ? TERMINAL_DONE : TERMINAL_CANCELLED));
-    /* The change in jobs/ may never come here: in an outage that began just after the commit this
-     * controller alone went on running what it had cancelled. */
+                        GINT_TO_POINTER(is_done ? TERMINAL_DONE : TERMINAL_CANCELLED));
+    /* The change of jobs/ may never be received: in an outage that began just after the commit, the
+     * controller that had cancelled a job was the only one to keep its tasks running. */
     if (!g_hash_table_contains(controller->jobs.terminal, id))
         job_directory_remove(controller, id);
 }
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -7,31 +7,40 @@
 
 #include "controller/threads.h"
 
-static const char *const count_names[COUNT_LAST] = {"submissions_accepted",
-                                                    "requests_refused",
-                                                    "requests_put_off",
-                                                    "worker_heartbeats",
-                                                    "worker_heartbeats_not_owned",
-                                                    "commits",
-                                                    "commits_failed",
-                                                    "reloads",
-                                                    "views",
-                                                    "pushes",
-                                                    "pushes_unanswered",
-                                                    "placements",
-                                                    "placements_refused",
-                                                    "machines_scaled_out",
-                                                    "machines_scaled_in"};
+static const char *const count_names[COUNT_LAST] = {
+    [COUNT_SUBMITTED] = "submissions_accepted",
+    [COUNT_REFUSED] = "requests_refused",
+    [COUNT_RETRY_LATER] = "requests_put_off",
+    [COUNT_WORKER_HEARTBEATS] = "worker_heartbeats",
+    [COUNT_WORKER_HEARTBEATS_NOT_OWNED] = "worker_heartbeats_not_owned",
+    [COUNT_COMMITS] = "commits",
+    [COUNT_COMMITS_FAILED] = "commits_failed",
+    [COUNT_RELOADS] = "reloads",
+    [COUNT_VIEWS] = "views",
+    [COUNT_PUSHES] = "pushes",
+    [COUNT_PUSHES_UNANSWERED] = "pushes_unanswered",
+    [COUNT_PLACEMENTS] = "placements",
+    [COUNT_PLACEMENTS_REFUSED] = "placements_refused",
+    [COUNT_SCALED_OUT] = "machines_scaled_out",
+    [COUNT_SCALED_IN] = "machines_scaled_in",
+};
 
-static const char *const time_names[TIME_LAST] = {"commit_ms", "submit_ms", "status_ms", "push_ms"};
+static const char *const time_names[TIME_LAST] = {
+    [TIME_COMMIT] = "commit_ms",
+    [TIME_SUBMIT] = "submit_ms",
+    [TIME_STATUS] = "status_ms",
+    [TIME_PUSH] = "push_ms",
+};
 
-/* Edges in ms, doubling: what matters is whether an answer took 5, 50 or 500. */
-static const double edges[] = {0, 1, 2, 4, 8, 16, 32, 64, 128, 256, 512, 1024, 2048, 4096, 1e9};
+/* Edges of the histograms, in ms. They double: what matters is whether an answer took 5, 50 or 500.
+ */
+static const double histogram_edges_ms[] = {0,   1,   2,   4,    8,    16,   32, 64,
+                                            128, 256, 512, 1024, 2048, 4096, 1e9};
 
 struct metrics {
     pthread_mutex_t lock;
-    guint64 count[COUNT_LAST];
-    gsl_histogram *time[TIME_LAST];
+    guint64 counts[COUNT_LAST];           /* guarded by lock */
+    gsl_histogram *histograms[TIME_LAST]; /* owned; guarded by lock */
 };
 
 metrics_t *metrics_new(void)
@@ -39,8 +48,9 @@
     metrics_t *metrics = g_new0(metrics_t, 1);
     pthread_mutex_init(&metrics->lock, NULL);
     for (int i = 0; i < TIME_LAST; i++) {
-        metrics->time[i] = gsl_histogram_alloc(G_N_ELEMENTS(edges) - 1);
-        gsl_histogram_set_ranges(metrics->time[i], edges, G_N_ELEMENTS(edges));
+        metrics->histograms[i] = gsl_histogram_alloc(G_N_ELEMENTS(histogram_edges_ms) - 1);
+        gsl_histogram_set_ranges(metrics->histograms[i], histogram_edges_ms,
+                                 G_N_ELEMENTS(histogram_edges_ms));
     }
     return metrics;
 }
@@ -48,27 +58,28 @@
 void metrics_count(metrics_t *metrics, metric_count_t which, guint64 by)
 {
     pthread_mutex_lock(&metrics->lock);
-    metrics->count[which] += by;
+    metrics->counts[which] += by;
     pthread_mutex_unlock(&metrics->lock);
 }
 
 void metrics_time(metrics_t *metrics, metric_time_t which, msec_t ms)
 {
     pthread_mutex_lock(&metrics->lock);
-    gsl_histogram_increment(metrics->time[which], (double)MAX(ms, 0));
+    gsl_histogram_increment(metrics->histograms[which], (double)MAX(ms, 0));
     pthread_mutex_unlock(&metrics->lock);
 }
 
+/* Writes the sum, and a line for each bin that is not empty. */
 static void write_histogram(GString *text, const char *name, const gsl_histogram *histogram)
 {
     g_string_append_printf(text, "%s_count %.0f\n", name, gsl_histogram_sum(histogram));
     for (size_t i = 0; i < gsl_histogram_bins(histogram); i++)
         if (gsl_histogram_get(histogram, i) > 0)
-            g_string_append_printf(text, "%s_below{ms=\"%g\"} %.0f\n", name, edges[i + 1],
-                                   gsl_histogram_get(histogram, i));
+            g_string_append_printf(text, "%s_below{ms=\"%g\"} %.0f\n", name,
+                                   histogram_edges_ms[i + 1], gsl_histogram_get(histogram, i));
 }
 
-/* What the process as a whole has used. A voluntary context switch is a wait of a thread. */
+/* Writes what the process as a whole has used. A voluntary context switch is a wait of a thread. */
 static void write_usage(GString *text)
 {
     struct rusage usage;
@@ -83,9 +94,9 @@
     pthread_mutex_lock(&metrics->lock);
     for (int i = 0; i < COUNT_LAST; i++)
         g_string_append_printf(text, "%s %" G_GUINT64_FORMAT "\n", count_names[i],
-                               metrics->count[i]);
+                               metrics->counts[i]);
     for (int i = 0; i < TIME_LAST; i++)
-        write_histogram(text, time_names[i], metrics->time[i]);
+        write_histogram(text, time_names[i], metrics->histograms[i]);
     pthread_mutex_unlock(&metrics->lock);
     write_usage(text);
     threads_write(text);
--- a/src/controller/stall_detector.c
+++ b/src/controller/stall_detector.c
@@ -1,17 +1,18 @@
-/* Notices that the process stood still. */
-#include "controller/controller.h"
+#include "controller/stall_detector.h"
 
+#include "controller/controller.h"
 #include "io/clock.h"
 #include "io/log.h"
 
 void stall_detector_observe(controller_t *controller, msec_t now)
 {
-    if (now - controller->stalls.last_observed_at > STALL_MS) {
-        log_info("event=process_stalled stall_ms=%" G_GINT64_FORMAT,
-                 now - controller->stalls.last_observed_at);
-        controller->stalls.last_stall_at = now;
+    stall_detector_t *stalls = &controller->stalls;
+    msec_t gap = now - stalls->last_observed_at;
+    if (gap > STALL_MS) {
+        log_info("event=process_stalled stall_ms=%" G_GINT64_FORMAT, gap);
+        stalls->last_stall_at = now;
     }
-    controller->stalls.last_observed_at = MAX(controller->stalls.last_observed_at, now);
+    stalls->last_observed_at = MAX(stalls->last_observed_at, now);
 }
 
 void *stall_detector_run(void *data)
--- a/src/controller/startup.c
+++ b/src/controller/startup.c
@@ -1,4 +1,3 @@
-/* Starts the threads of a controller. */
 #include "controller/startup.h"
 
 #include "controller/api/http_server.h"
--- a/src/controller/worker_lease.c
+++ b/src/controller/worker_lease.c
@@ -1,9 +1,6 @@
-/* What a controller may do with what it knows: answer reports, and send starts. */
 #include "controller/worker_lease.h"
-#include "controller/controller.h"
 
 #include "io/clock.h"
-#include "io/log.h"
 
 connectivity_t worker_lease_connectivity(const controller_t *controller)
 {
@@ -13,6 +10,8 @@
                             .has_no_siblings = controller->settings->siblings->len == 0};
 }
 
+/* The moment up to which every cancellation that any controller informed a user of is known here:
+ * from the watch of jobs/, or from the logs of all siblings. */
 static msec_t cancellations_complete_until(const controller_t *controller)
 {
     return cancellation_log_complete_until(&controller->jobs.cancellations,
@@ -20,32 +19,39 @@
                                            controller->jobs.complete_until);
 }
 
+/* How old the moment may be, in ms, up to which cancellations are known, for a lease to be renewed.
+ *
+ * A job may be cancelled at any moment through a controller that reaches the key-value store. Its
+ * tasks must be gone within cancel_s, and a worker keeps them for lease_s after our last answer. So
+ * answers end cancel_s - lease_s, less a margin for a heartbeat on its way, after the last moment
+ * up to which every cancellation that users were informed of is known. */
+static msec_t renewal_limit_ms(const settings_t *settings)
+{
+    double spare_s = settings->cancel_s - settings->lease_s;
+    return (msec_t)(spare_s * MS_PER_S) - CANCEL_MARGIN_MS;
+}
+
 bool worker_lease_may_renew(const controller_t *controller, msec_t now)
 {
     connectivity_t connectivity = worker_lease_connectivity(controller);
     if (!connectivity_may_serve_workers(&connectivity, now))
         return false;
-    /* A job may be cancelled at any moment through a controller that reaches the key-value store.
-     * Its tasks must be gone within cancel_s, and a worker keeps them for lease_s after our last
-     * answer: so answers end this long after the last moment up to which all that users were told
-     * is known. */
-    double spare = controller->settings->cancel_s - controller->settings->lease_s;
-    return controller->jobs.is_synced && now - cancellations_complete_until(controller) <
-                                             (msec_t)(spare * MS_PER_S) - CANCEL_MARGIN_MS;
+    return controller->jobs.is_synced &&
+           now - cancellations_complete_until(controller) < renewal_limit_ms(controller->settings);
 }
 
 bool worker_lease_may_start(controller_t *controller, msec_t now)
 {
     stall_detector_observe(controller, now);
-    msec_t known = cancellations_complete_until(controller);
-    return controller->jobs.is_synced && known >= controller->stalls.last_stall_at &&
-           now - known < START_WATERMARK_MS;
+    msec_t complete_until = cancellations_complete_until(controller);
+    return controller->jobs.is_synced && complete_until >= controller->stalls.last_stall_at &&
+           now - complete_until < START_WATERMARK_MS;
 }
 
 bool worker_lease_may_push(controller_t *controller, const char *machine, uint64_t generation,
-                           const GArray *commands, msec_t taken, msec_t now)
+                           const GArray *commands, msec_t taken_at, msec_t now)
 {
-    if (now - taken <= STALL_MS)
+    if (now - taken_at <= STALL_MS)
         return true;
     if (controller->placement.generation == generation && controller->placement.is_loaded)
         partition_finish_push(controller->placement.partition, machine, commands, 0,
