--- a/src/core/membership/redirection.h
+++ b/src/core/membership/redirection.h
@@ -44,7 +44,6 @@
 
 /** Frees a redirection. */
 void redirection_free(redirection_t *redirection);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC(redirection_t, redirection_free)
 
 /** Forgets the workers because a view changed the owners: all are redirected anew, except to owners
  * that were unreachable a moment ago. @p fencing_token: of that view; heartbeats with a lower one
--- a/tests/core/membership/test_redirection.c
+++ b/tests/core/membership/test_redirection.c
@@ -164,7 +164,7 @@
  * there is nothing to compare them with. The worker's own first heartbeat after them looked like
  * the return of one that could not reach its owner: it was retained for 20 s without starts, and
  * all other workers of that owner with it. */
-static void test_a_copy_from_before_the_view_redirects_no_worker(void **state)
+static void test_a_copy_from_before_the_view_redirects_nobody(void **state)
 {
     redirection_t *redirection = *state;
     worker_heartbeat_t heartbeat = heartbeat_of("m-000001", 5);
@@ -291,7 +291,7 @@
 
 /* The leader terminated a machine that it retained itself: it read its own list from the key-value
  * store, which holds it seconds late. */
-static void test_retained_workers_are_known_to_their_controller_at_once(void **state)
+static void test_retained_workers_are_known_to_their_node_at_once(void **state)
 {
     redirection_t *redirection = *state;
     GHashTable *ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -319,15 +319,15 @@
                                         set_up, tear_down),
         cmocka_unit_test_setup_teardown(test_a_view_redirects_no_worker_to_an_unreachable_owner,
                                         set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_a_copy_from_before_the_view_redirects_no_worker,
-                                        set_up, tear_down),
+        cmocka_unit_test_setup_teardown(test_a_copy_from_before_the_view_redirects_nobody, set_up,
+                                        tear_down),
         cmocka_unit_test_setup_teardown(test_workers_of_a_reachable_owner_go_there_at_once, set_up,
                                         tear_down),
         cmocka_unit_test_setup_teardown(test_workers_follow_a_probe_that_reached_its_owner, set_up,
                                         tear_down),
         cmocka_unit_test_setup_teardown(test_one_that_was_turned_away_tries_again_soon, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(test_retained_workers_are_known_to_their_controller_at_once,
+        cmocka_unit_test_setup_teardown(test_retained_workers_are_known_to_their_node_at_once,
                                         set_up, tear_down),
         cmocka_unit_test_setup_teardown(test_an_answer_without_the_partition_stops_what_is_over,
                                         set_up, tear_down),
