--- a/src/controller/api/worker_heartbeats.c
+++ b/src/controller/api/worker_heartbeats.c
@@ -103,12 +103,12 @@
 {
     g_autoptr(GArray) commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     const partition_t *partition = controller->placement.partition;
-    uint64_t changes = partition ? partition->changes : 0;
+    uint64_t changes = partition ? partition_change_count(partition) : 0;
     heartbeat_verdict_t verdict = update_partition_locked(controller, heartbeat, now, commands);
     if (verdict == HEARTBEAT_ACCEPTED)
         controller->peers.worker_heartbeat_at = now;
     reply_t reply = own_worker_reply_locked(controller, heartbeat, verdict, commands);
-    if (partition && partition->changes != changes)
+    if (partition && partition_change_count(partition) != changes)
         controller_notify_placement(controller);
     return reply;
 }
--- a/src/controller/placement/command_dispatcher.c
+++ b/src/controller/placement/command_dispatcher.c
@@ -58,13 +58,13 @@
     partition_t *partition = controller->placement.partition;
     partition_finish_push(partition, push->machine, push->commands, push->fencing_token, result);
     msec_t now = clock_steady();
-    uint64_t changes = partition->changes;
+    uint64_t changes = partition_change_count(partition);
     bool is_accepted =
         heartbeat && strcmp(heartbeat->machine, push->machine) == 0 &&
         partition_handle_heartbeat(partition, heartbeat, true, now, NULL) == HEARTBEAT_ACCEPTED;
     if (is_accepted && result == PUSH_EXECUTED)
         partition_record_probe_answer(partition, push->machine, now);
-    if (partition->changes != changes)
+    if (partition_change_count(partition) != changes)
         controller_notify_placement(controller);
 }
 
@@ -160,10 +160,10 @@
     const machine_t *machine = take_commands_locked(dispatcher, push->taken_at, push->commands);
     if (machine) {
         push->fencing_token = controller->membership.view.number;
-        push->worker_epoch = machine->worker_epoch;
+        push->worker_epoch = machine_worker_epoch(machine);
         push->generation = controller->placement.generation;
-        g_strlcpy(push->machine, machine->id, sizeof push->machine);
-        g_snprintf(push->url, sizeof push->url, "http://%s/do", machine->address);
+        g_strlcpy(push->machine, machine_id(machine), sizeof push->machine);
+        g_snprintf(push->url, sizeof push->url, "http://%s/do", machine_address(machine));
     } else {
         wait_for_commands_locked(dispatcher);
     }
--- a/src/controller/placement/partition_items.c
+++ b/src/controller/placement/partition_items.c
@@ -4,45 +4,29 @@
 #include "io/clock.h"
 #include "io/log.h"
 
-static bool is_open_for_placement(const partition_t *partition, const machine_t *machine,
-                                  msec_t now)
+/* Appends the machine's summary to data, an array of machine_summary_t. */
+static void append_summary(const machine_status_t *status, gpointer data)
 {
-    return partition_is_reachable(partition, machine, now) && machine->is_capacity_known &&
-           !machine->is_draining && !machine->interruption_at;
-}
-
-static machine_summary_t summarize_machine(const partition_t *partition, const machine_t *machine,
-                                           msec_t now)
-{
-    machine_summary_t summary = {.spot = machine->spot,
-                                 .open = is_open_for_placement(partition, machine, now),
-                                 .draining = machine->is_draining,
-                                 .total = machine->capacity,
-                                 .free = partition_free_resources(machine),
-                                 .attempts = machine->attempts->len,
-                                 .silent_ms = now - machine->last_acknowledged_at,
-                                 .idle_ms = now - machine->idle_since,
-                                 .known_ms = now - machine->first_seen_at};
-    g_strlcpy(summary.machine, machine->id, sizeof summary.machine);
-    g_strlcpy(summary.type, machine->type, sizeof summary.type);
-    g_strlcpy(summary.zone, machine->zone, sizeof summary.zone);
-    return summary;
+    GArray *summaries = data;
+    machine_summary_t summary = {.spot = status->is_spot,
+                                 .open = status->accepts_starts,
+                                 .draining = status->is_draining,
+                                 .total = status->total,
+                                 .free = status->free,
+                                 .attempts = status->attempts,
+                                 .silent_ms = status->unacknowledged_ms,
+                                 .idle_ms = status->idle_ms,
+                                 .known_ms = status->known_ms};
+    g_strlcpy(summary.machine, status->id, sizeof summary.machine);
+    g_strlcpy(summary.type, status->type, sizeof summary.type);
+    g_strlcpy(summary.zone, status->zone, sizeof summary.zone);
+    g_array_append_val(summaries, summary);
 }
 
 GArray *partition_items_summaries(const controller_t *controller, msec_t now)
 {
-    const partition_t *partition = controller->placement.partition;
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
-    GHashTableIter iter;
-    gpointer value;
-    g_hash_table_iter_init(&iter, partition->machines);
-    while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const machine_t *machine = value;
-        if (machine->is_terminated)
-            continue;
-        machine_summary_t summary = summarize_machine(partition, machine, now);
-        g_array_append_val(summaries, summary);
-    }
+    partition_visit_machines(controller->placement.partition, now, append_summary, summaries);
     return summaries;
 }
 
@@ -58,16 +42,21 @@
     return cpus_of_teams;
 }
 
-void partition_items_send(controller_t *controller, guint partition, channel_item_t item)
+/* Puts the item into the channel to another member; takes it over. */
+static void push_to_channel(controller_t *controller, guint partition, channel_item_t item)
 {
     GPtrArray *channels = controller->peers.channels;
-    if (partition == controller->membership.own_index) {
-        partition_items_handle(controller, &item, clock_steady());
-        g_strfreev(item.request.types);
-    } else if (partition < channels->len && g_ptr_array_index(channels, partition)) {
-        channel_push(g_ptr_array_index(channels, partition), item);
-        pthread_cond_broadcast(&controller->peers.item_available);
-    }
+    if (partition >= channels->len || !g_ptr_array_index(channels, partition))
+        return;
+    channel_push(g_ptr_array_index(channels, partition), item);
+    pthread_cond_broadcast(&controller->peers.item_available);
+}
+
+/* Withdraws a placement of this controller's partition. */
+static void withdraw_own(controller_t *controller, const task_ref_t *ref, msec_t now)
+{
+    partition_withdraw(controller->placement.partition, ref, now);
+    controller_notify_placement(controller);
 }
 
 /* One task of a gang found no machine: what the partitions hold for the others is freed. */
@@ -77,8 +66,11 @@
     GArray *outstanding = leader_outstanding(controller->placement.leader, job);
     for (guint i = 0; i < outstanding->len; i++) {
         const partition_attempt_t *attempt = &g_array_index(outstanding, partition_attempt_t, i);
-        partition_items_send(controller, attempt->partition,
-                             (channel_item_t){.kind = CHANNEL_WITHDRAW, .ref = attempt->ref});
+        if (attempt->partition == controller->membership.own_index)
+            withdraw_own(controller, &attempt->ref, clock_steady());
+        else
+            push_to_channel(controller, attempt->partition,
+                            (channel_item_t){.kind = CHANNEL_WITHDRAW, .ref = attempt->ref});
     }
     g_array_unref(outstanding);
 }
@@ -129,7 +121,7 @@
         return;
     }
     log_debug("event=task_placed task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s", request->job,
-              request->task, request->attempt, machine->id);
+              request->task, request->attempt, machine_id(machine));
     controller_notify_placement(controller);
 }
 
@@ -145,8 +137,7 @@
         controller_notify_placement(controller);
         break;
     case CHANNEL_WITHDRAW:
-        partition_withdraw(partition, &item->ref, now);
-        controller_notify_placement(controller);
+        withdraw_own(controller, &item->ref, now);
         break;
     case CHANNEL_DRAIN:
         partition_set_draining(partition, item->machine, true);
@@ -162,3 +153,13 @@
         break; /* sent by partitions only */
     }
 }
+
+void partition_items_send(controller_t *controller, guint partition, channel_item_t item)
+{
+    if (partition != controller->membership.own_index) {
+        push_to_channel(controller, partition, item);
+        return;
+    }
+    partition_items_handle(controller, &item, clock_steady());
+    g_strfreev(item.request.types);
+}
--- a/src/controller/placement/placement_loop.c
+++ b/src/controller/placement/placement_loop.c
@@ -3,7 +3,7 @@
 #include "controller/placement/placement_loop.h"
 
 #include "controller/controller.h"
-#include "controller/membership/view.h"
+#include "controller/membership/view_store.h"
 #include "controller/placement/partition_items.h"
 #include "controller/placement/record_commit.h"
 #include "controller/placement/record_loader.h"
@@ -28,7 +28,8 @@
 /* Hands the partition's attempt results to the leader. */
 static void forward_results_locked(controller_t *controller, msec_t now)
 {
-    GArray *results = controller->placement.partition->results;
+    partition_t *partition = controller->placement.partition;
+    const GArray *results = partition_results(partition); /* of attempt_result_t */
     for (guint i = 0; i < results->len; i++) {
         const attempt_result_t *result = &g_array_index(results, attempt_result_t, i);
         if (controller->membership.is_leader)
@@ -38,7 +39,7 @@
             channel_push(controller->peers.leader_channel,
                          (channel_item_t){.kind = CHANNEL_ATTEMPT_RESULT, .result = *result});
     }
-    g_array_set_size(results, 0);
+    partition_clear_results(partition);
 }
 
 static void send_placement_request_locked(controller_t *controller, const leader_request_t *made)
--- a/src/controller/placement/record_loader.c
+++ b/src/controller/placement/record_loader.c
@@ -224,8 +224,8 @@
     log_info("event=records_loaded view=%" G_GUINT64_FORMAT
              " is_leader=%d jobs=%u machines=%u attempts=%u",
              controller->membership.view.number, controller->membership.is_leader,
-             listing->jobs->len, g_hash_table_size(partition->machines),
-             g_hash_table_size(partition->attempts));
+             listing->jobs->len, partition_machine_count(partition),
+             partition_attempt_count(partition));
 }
 
 void record_loader_load(controller_t *controller, http_client_t *client)
