--- a/src/core/request_queue.c
+++ b/src/core/request_queue.c
@@ -1,52 +1,56 @@
 #include "core/request_queue.h"
 
-typedef struct waiting {
-    void *request;
-    msec_t until;
-} waiting_t;
+typedef struct waiting_request {
+    void *request; /* borrowed */
+    msec_t wait_deadline_at;
+} waiting_request_t;
 
-void request_queue_init(request_queue_t *queue, guint most)
+void request_queue_init(request_queue_t *queue, guint max_length)
 {
     g_queue_init(&queue->waiting);
-    queue->most = most;
+    queue->max_length = max_length;
 }
 
-bool request_queue_push(request_queue_t *queue, void *request, msec_t until)
+bool request_queue_push(request_queue_t *queue, void *request, msec_t wait_deadline_at)
 {
-    if (g_queue_get_length(&queue->waiting) >= queue->most)
+    if (g_queue_get_length(&queue->waiting) >= queue->max_length)
         return false;
-    waiting_t *entry = g_new(waiting_t, 1);
-    *entry = (waiting_t){request, until};
+    waiting_request_t *entry = g_new(waiting_request_t, 1);
+    *entry = (waiting_request_t){request, wait_deadline_at};
     g_queue_push_tail(&queue->waiting, entry);
     return true;
 }
 
-static void *take(request_queue_t *queue, GList *channel)
+static void *remove_entry(request_queue_t *queue, GList *node)
 {
-    waiting_t *entry = channel->data;
+    waiting_request_t *entry = node->data;
     void *request = entry->request;
-    g_queue_delete_link(&queue->waiting, channel);
+    g_queue_delete_link(&queue->waiting, node);
     g_free(entry);
     return request;
 }
 
 void *request_queue_pop(request_queue_t *queue)
 {
-    return queue->waiting.head ? take(queue, queue->waiting.head) : NULL;
+    return queue->waiting.head ? remove_entry(queue, queue->waiting.head) : NULL;
 }
 
 void *request_queue_pop_expired(request_queue_t *queue, msec_t now)
 {
-    for (GList *channel = queue->waiting.head; channel; channel = channel->next)
-        if (((const waiting_t *)channel->data)->until <= now)
-            return take(queue, channel);
+    for (GList *node = queue->waiting.head; node; node = node->next) {
+        const waiting_request_t *entry = node->data;
+        if (entry->wait_deadline_at <= now)
+            return remove_entry(queue, node);
+    }
     return NULL;
 }
 
 msec_t request_queue_next(const request_queue_t *queue)
 {
-    msec_t next = G_MAXINT64;
-    for (const GList *channel = queue->waiting.head; channel; channel = channel->next)
-        next = MIN(next, ((const waiting_t *)channel->data)->until);
-    return next;
+    msec_t next_at = G_MAXINT64;
+    for (const GList *node = queue->waiting.head; node; node = node->next) {
+        const waiting_request_t *entry = node->data;
+        next_at = MIN(next_at, entry->wait_deadline_at);
+    }
+    return next_at;
 }
--- a/src/core/tunables.h
+++ b/src/core/tunables.h
@@ -1,12 +1,24 @@
-/* The operators' settings as the core asks for them. */
+/** @file
+ * The operators' settings (policy file) as the core evaluates them: each tunable for the job or
+ * the machine in question.
+ *
+ * Pure functions; the policy is only read.
+ */
 #ifndef PEPPERPULLEY_TUNABLES_H
 #define PEPPERPULLEY_TUNABLES_H
 
 #include "core/types.h"
 #include "policy/policy.h"
 
+/** Returns the value of a tunable that depends on neither job nor machine, in the tunable's unit.
+ */
 double tunable_value(const policy_t *policy, policy_tunable_t tunable);
+
+/** Returns the value of a tunable for a job, in the tunable's unit; booleans are 0 and 1. */
 double tunable_for_job(const policy_t *policy, policy_tunable_t tunable, const job_spec_t *spec);
+
+/** Returns the value of a tunable for a machine of this type and zone, spot or on-demand, in the
+ * tunable's unit; booleans are 0 and 1. */
 double tunable_for_machine(const policy_t *policy, policy_tunable_t tunable, const char *type,
                            const char *zone, bool spot, resources_t capacity);
 
