--- a/src/controller/api/status.c
+++ b/src/controller/api/status.c
@@ -11,9 +11,7 @@
 {
     if (!controller->membership.is_leader || !controller->placement.is_loaded)
         return job_counts_replica_get(&controller->jobs.counts, id);
-    const job_t *job = g_hash_table_lookup(controller->placement.leader->jobs, id);
-    return job ? (job_counts_t){.done = job->done_count, .outstanding = job->outstanding_count}
-               : (job_counts_t){0};
+    return leader_job_counts(controller->placement.leader, id);
 }
 
 reply_t api_status_reply(controller_t *controller, const char *id, job_state_t state,
--- /dev/null
+++ b/src/core/leader/admission.c
@@ -0,0 +1,48 @@
+/* Admission: what a team's quota and a job's own state admit now. */
+#include "core/leader/leader_internal.h"
+
+#include <string.h>
+
+team_state_t *leader_team_find(const leader_t *leader, const char *name, guint *index)
+{
+    for (guint i = 0; i < leader->teams->len; i++) {
+        team_state_t *state = &g_array_index(leader->teams, team_state_t, i);
+        if (strcmp(state->team.name, name) != 0)
+            continue;
+        if (index)
+            *index = i;
+        return state;
+    }
+    return NULL;
+}
+
+static bool is_within_limit(double outstanding, double need, double limit)
+{
+    return limit <= 0 || outstanding + need <= limit + EPSILON;
+}
+
+bool leader_team_admits(const team_state_t *state, resources_t need)
+{
+    return is_within_limit(state->outstanding_cpus, need.cpus, state->team.max_cpus) &&
+           is_within_limit(state->outstanding_gpus, need.gpus, state->team.max_gpus);
+}
+
+uint32_t leader_job_pending(const job_t *job)
+{
+    uint32_t taken = job->done_count + job->outstanding_count;
+    return taken < job->spec.tasks ? job->spec.tasks - taken : 0;
+}
+
+/* A job that fails wherever it runs must not fill the partitions with reservations, a known
+ * weakness of projected least-loaded placement. After repeated failures it gets one attempt at a
+ * time, with a growing back-off between them. */
+bool leader_job_admits(const job_t *job)
+{
+    bool is_failing = job->consecutive_errors >= JOB_ERRORS_ALARM_COUNT;
+    return !job->is_ending && !(is_failing && job->outstanding_count > 0);
+}
+
+bool leader_is_job_blocked(const job_t *job, msec_t now)
+{
+    return now < job->retry_at || !leader_job_admits(job);
+}
--- /dev/null
+++ b/src/core/leader/demand.c
@@ -0,0 +1,38 @@
+/* The demand for machines. */
+#include "core/leader/demand.h"
+
+#include "core/leader/leader_internal.h"
+
+/* Tasks of the job for which machines are in demand: within the team's limit, and a single one for
+ * a job that keeps failing. */
+static uint32_t count_demanded_tasks(const job_t *job, const team_state_t *state)
+{
+    uint32_t tasks = leader_job_pending(job);
+    if (state->team.max_cpus > 0 && job->spec.need.cpus > 0) {
+        double cpus_left = MAX(state->team.max_cpus - state->outstanding_cpus, 0);
+        double tasks_left = cpus_left / job->spec.need.cpus;
+        tasks = MIN(tasks, (uint32_t)MIN(tasks_left, (double)TASKS_MAX_COUNT));
+    }
+    if (job->consecutive_errors >= JOB_ERRORS_ALARM_COUNT)
+        tasks = MIN(tasks, 1);
+    return tasks;
+}
+
+GArray *leader_demand(const leader_t *leader, msec_t now)
+{
+    GArray *demand = g_array_new(FALSE, FALSE, sizeof(demand_t));
+    GHashTableIter iter;
+    gpointer value;
+    g_hash_table_iter_init(&iter, leader->jobs);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
+        job_t *job = value;
+        guint team = 0;
+        const team_state_t *state = leader_team_find(leader, job->spec.team, &team);
+        if (!state || leader_is_job_blocked(job, now))
+            continue;
+        demand_t entry = {.job = job, .team = team, .tasks = count_demanded_tasks(job, state)};
+        if (entry.tasks)
+            g_array_append_val(demand, entry);
+    }
+    return demand;
+}
--- a/src/core/leader/failure_records.c
+++ b/src/core/leader/failure_records.c
@@ -3,24 +3,60 @@
 
 #include <string.h>
 
+/* The wait has reached JOB_BACKOFF_MAX_MS by then. */
+enum { BACKOFF_DOUBLINGS_MAX = 5 };
+
+static void back_off_until(job_t *job, msec_t retry_at)
+{
+    job->retry_at = MAX(job->retry_at, retry_at);
+}
+
+/* The first failures cost the job nothing: they may be the machines' fault. */
+static void back_off_after_error(job_t *job, msec_t now)
+{
+    job->consecutive_errors++;
+    if (job->consecutive_errors < JOB_ERRORS_ALARM_COUNT)
+        return;
+    guint doublings = MIN(job->consecutive_errors - JOB_ERRORS_ALARM_COUNT, BACKOFF_DOUBLINGS_MAX);
+    msec_t wait_ms = MIN((msec_t)JOB_BACKOFF_MS << doublings, JOB_BACKOFF_MAX_MS);
+    back_off_until(job, now + wait_ms);
+}
+
 void leader_back_off_job(job_t *job, cause_t cause, msec_t now)
 {
-    if (cause == CAUSE_FULL || cause == CAUSE_BUSY) {
-        job->retry_at = MAX(job->retry_at, now + TASK_BACKOFF_MS);
-    } else if (cause == CAUSE_ERROR || cause == CAUSE_UNKNOWN) {
-        job->errors++;
-        if (job->errors >= JOB_ERRORS_ALARM_COUNT) {
-            guint doublings = MIN(job->errors - JOB_ERRORS_ALARM_COUNT, 5);
-            msec_t wait = MIN((msec_t)JOB_BACKOFF_MS << doublings, JOB_BACKOFF_MAX_MS);
-            job->retry_at = MAX(job->retry_at, now + wait);
-        }
+    switch (cause) {
+    case CAUSE_FULL:
+    case CAUSE_BUSY:
+        back_off_until(job, now + TASK_BACKOFF_MS);
+        break;
+    case CAUSE_ERROR:
+    case CAUSE_UNKNOWN:
+        back_off_after_error(job, now);
+        break;
+    case CAUSE_NONE:
+    case CAUSE_DONE:
+    case CAUSE_STOPPED:
+    case CAUSE_PEERS:
+    case CAUSE_ALONE:
+        break; /* nothing against the job */
+    }
+}
+
+static failure_record_t *failure_record_of(leader_t *leader, const attempt_result_t *result)
+{
+    failure_record_t *record = g_hash_table_lookup(leader->failure_records, result->machine);
+    if (!record) {
+        record = g_new0(failure_record_t, 1);
+        g_strlcpy(record->job, result->ref.job, sizeof record->job);
+        g_hash_table_insert(leader->failure_records, g_strdup(result->machine), record);
     }
+    return record;
 }
 
-/* An error is mostly the machine's. One that fails at once is always the emptiest, so least-loaded
- * placement would feed it everything; but a job submitted with a mistake fails on every machine,
- * and must not quarantine them all. So it takes several failures without a success between, of more
- * than one job or of a job that has finished tasks. */
+/* An error is mostly the machine's. A machine on which everything fails at once always has the
+ * lowest load, so least-loaded placement would send it all work. But a job submitted with a mistake
+ * fails on every machine, and must not quarantine them all. So a quarantine takes several failures
+ * without a success between them, of more than one job or of a job that has finished tasks. */
 void leader_record_failure(leader_t *leader, const attempt_result_t *result, const job_t *job)
 {
     if (result->cause == CAUSE_DONE) {
@@ -29,21 +65,16 @@
     }
     if (result->cause != CAUSE_ERROR || !result->machine[0])
         return;
-    failure_record_t *failure_record =
-        g_hash_table_lookup(leader->failure_records, result->machine);
-    if (!failure_record) {
-        failure_record = g_new0(failure_record_t, 1);
-        g_strlcpy(failure_record->job, result->ref.job, sizeof failure_record->job);
-        g_hash_table_insert(leader->failure_records, g_strdup(result->machine), failure_record);
-    }
-    failure_record->errors++;
-    if ((job && job->done_count > 0) || strcmp(failure_record->job, result->ref.job) != 0)
-        failure_record->is_machine_at_fault = true;
+    failure_record_t *record = failure_record_of(leader, result);
+    record->error_count++;
+    bool has_job_succeeded = job && job->done_count > 0;
+    if (has_job_succeeded || strcmp(record->job, result->ref.job) != 0)
+        record->is_machine_at_fault = true;
 }
 
 bool leader_is_quarantined(const leader_t *leader, const char *machine)
 {
-    const failure_record_t *failure_record = g_hash_table_lookup(leader->failure_records, machine);
-    return failure_record && failure_record->is_machine_at_fault &&
-           failure_record->errors >= MACHINE_ERRORS_ALARM_COUNT;
+    const failure_record_t *record = g_hash_table_lookup(leader->failure_records, machine);
+    return record && record->is_machine_at_fault &&
+           record->error_count >= MACHINE_ERRORS_ALARM_COUNT;
 }
--- a/src/core/leader/job_progress.c
+++ b/src/core/leader/job_progress.c
@@ -1,27 +1,17 @@
-/* Job progress: the finished bits of jobs, and the batches that make them durable. */
-#include "core/leader/leader_internal.h"
-
-bool leader_bit_get(const uint8_t *bits, uint32_t at)
-{
-    return bits[at / BITS_PER_BYTE] >> (at % BITS_PER_BYTE) & 1;
-}
+/* Job progress: the done bits of jobs, and the batches that make them durable. */
+#include "core/leader/job_progress.h"
 
-void leader_bit_set(uint8_t *bits, uint32_t at, bool value)
-{
-    if (value)
-        bits[at / BITS_PER_BYTE] |= (uint8_t)(1U << (at % BITS_PER_BYTE));
-    else
-        bits[at / BITS_PER_BYTE] &= (uint8_t) ~(1U << (at % BITS_PER_BYTE));
-}
+#include "core/leader/leader_internal.h"
 
-gsize leader_bits_bytes(uint32_t tasks)
-{
-    return (tasks + BITS_PER_BYTE - 1) / BITS_PER_BYTE;
-}
+/* The end of a job deletes jobs/<id> and writes ended/<id>; and it deletes each chunk. */
+enum { JOB_END_OPS = 2 };
 
-guint leader_chunk_count(uint32_t tasks)
+void leader_mark_task_done(job_t *job, uint32_t task)
 {
-    return (tasks + CHUNK_BITS - 1) / CHUNK_BITS;
+    if (task_bitmap_get(job->done_bits, task))
+        return;
+    task_bitmap_set(job->done_bits, task, true);
+    job->done_count++;
 }
 
 void leader_load_chunk(leader_t *leader, const char *id, guint chunk, const uint8_t *bits,
@@ -32,16 +22,13 @@
         return;
     g_array_index(job->chunk_revisions, uint64_t, chunk) = revision;
     uint32_t first = chunk * CHUNK_BITS;
-    for (uint32_t i = 0; i < CHUNK_BITS && first + i < job->spec.tasks && i / BITS_PER_BYTE < bytes;
-         i++) {
-        if (!leader_bit_get(bits, i) || leader_bit_get(job->done, first + i))
-            continue;
-        leader_bit_set(job->done, first + i, true);
-        job->done_count++;
-    }
+    uint32_t count = MIN((uint32_t)CHUNK_BITS, job->spec.tasks - first);
+    for (uint32_t i = 0; i < count && i / BITS_PER_BYTE < bytes; i++)
+        if (task_bitmap_get(bits, i))
+            leader_mark_task_done(job, first + i);
 }
 
-static void progress_clear(gpointer data)
+static void clear_progress(gpointer data)
 {
     progress_t *progress = data;
     g_free(progress->bits);
@@ -49,43 +36,55 @@
         g_array_unref(progress->old_revisions);
 }
 
-static void progress_end(job_t *job, GArray *batch, kv_txn_usage_t *usage)
+GArray *leader_progress_new(void)
 {
-    progress_t progress = {
-        .is_job_end = true, .done = job->done_count, .job_revision = job->revision};
+    GArray *batch = g_array_new(FALSE, FALSE, sizeof(progress_t));
+    g_array_set_clear_func(batch, clear_progress);
+    return batch;
+}
+
+static bool has_capacity(const kv_txn_usage_t *usage, guint ops, gsize bytes)
+{
+    return usage->ops + ops <= usage->max_ops && usage->bytes + bytes <= usage->max_bytes;
+}
+
+/* What every entry of the job's progress has. */
+static progress_t progress_of(const job_t *job)
+{
+    progress_t progress = {.done = job->done_count, .job_revision = job->revision};
     g_strlcpy(progress.job, job->spec.id, sizeof progress.job);
+    return progress;
+}
+
+static void append_end(job_t *job, GArray *batch, kv_txn_usage_t *usage)
+{
+    progress_t progress = progress_of(job);
+    progress.is_job_end = true;
     progress.old_revisions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     g_array_append_vals(progress.old_revisions, job->chunk_revisions->data,
                         job->chunk_revisions->len);
-    usage->ops += 2;
+    usage->ops += JOB_END_OPS;
     usage->bytes += PROGRESS_BYTES;
     for (guint i = 0; i < job->chunk_revisions->len; i++)
         usage->ops += g_array_index(job->chunk_revisions, uint64_t, i) != 0;
-    job->ending = true;
+    job->is_ending = true;
     g_array_append_val(batch, progress);
 }
 
-static void progress_chunk(job_t *job, guint chunk, GArray *batch)
+static void append_chunk(const job_t *job, guint chunk, GArray *batch)
 {
     uint32_t first = chunk * CHUNK_BITS;
-    uint32_t bits = MIN((uint32_t)CHUNK_BITS, job->spec.tasks - first);
-    progress_t progress = {
-        .done = job->done_count, .chunk = chunk, .bytes = leader_bits_bytes(bits)};
-    g_strlcpy(progress.job, job->spec.id, sizeof progress.job);
-    progress.job_revision = job->revision;
+    uint32_t count = MIN((uint32_t)CHUNK_BITS, job->spec.tasks - first);
+    progress_t progress = progress_of(job);
+    progress.chunk = chunk;
     progress.revision = g_array_index(job->chunk_revisions, uint64_t, chunk);
-    progress.bits = g_memdup2(job->done + first / BITS_PER_BYTE, progress.bytes);
+    progress.bytes = task_bitmap_bytes(count);
+    progress.bits = g_memdup2(job->done_bits + first / BITS_PER_BYTE, progress.bytes);
     g_array_append_val(batch, progress);
 }
 
-GArray *leader_progress_new(void)
-{
-    GArray *batch = g_array_new(FALSE, FALSE, sizeof(progress_t));
-    g_array_set_clear_func(batch, progress_clear);
-    return batch;
-}
-
-static void progress_taken(job_t *job)
+/* All progress of the job is in the batch. */
+static void mark_taken(job_t *job)
 {
     job->dirty_chunks = 0;
     job->acknowledging = job->unacknowledged;
@@ -94,7 +93,7 @@
 
 static void take_ends(leader_t *leader, GArray *batch, kv_txn_usage_t *usage)
 {
-    bool left_out = false;
+    bool is_end_left_out = false;
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, leader->jobs);
@@ -102,25 +101,27 @@
         job_t *job = value;
         if (job->done_count < job->spec.tasks || job->acknowledging)
             continue;
-        guint ops = 2 + job->chunk_revisions->len;
-        left_out = left_out || (usage->ops + ops > usage->max_ops && ops <= usage->full_ops);
-        if (usage->ops + ops > usage->max_ops || usage->bytes + PROGRESS_BYTES > usage->max_bytes)
+        guint ops = JOB_END_OPS + job->chunk_revisions->len;
+        if (usage->ops + ops > usage->max_ops && ops <= usage->full_ops)
+            is_end_left_out = true;
+        if (!has_capacity(usage, ops, PROGRESS_BYTES))
             continue;
-        progress_end(job, batch, usage);
-        progress_taken(job);
+        append_end(job, batch, usage);
+        mark_taken(job);
     }
-    usage->has_waiting_end = left_out && usage->ops == 0;
+    usage->has_waiting_end = is_end_left_out && usage->ops == 0;
 }
 
-static gint compare_dirty(gconstpointer left, gconstpointer right)
+static gint compare_dirty_since(gconstpointer left, gconstpointer right)
 {
-    const job_t *first = *(job_t *const *)left;
-    const job_t *second = *(job_t *const *)right;
-    return first->dirty_since < second->dirty_since ? -1 : first->dirty_since > second->dirty_since;
+    msec_t first = (*(job_t *const *)left)->dirty_since_at;
+    msec_t second = (*(job_t *const *)right)->dirty_since_at;
+    return (first > second) - (first < second);
 }
 
-/* Oldest first: with a low rate limit, those at the end of the table would never be. */
-static void take_chunks(leader_t *leader, msec_t before, GArray *batch, kv_txn_usage_t *usage)
+/* Array of job_t, borrowed: unfinished jobs whose progress has waited since `before` or longer,
+ * oldest first. By the order of the hash table, a low rate limit would never reach its end. */
+static GPtrArray *jobs_with_due_chunks(const leader_t *leader, msec_t before)
 {
     GPtrArray *due = g_ptr_array_new();
     GHashTableIter iter;
@@ -128,32 +129,41 @@
     g_hash_table_iter_init(&iter, leader->jobs);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         job_t *job = value;
-        if (job->dirty_chunks && !job->acknowledging && job->dirty_since <= before &&
+        if (job->dirty_chunks && !job->acknowledging && job->dirty_since_at <= before &&
             job->done_count < job->spec.tasks)
             g_ptr_array_add(due, job);
     }
-    g_ptr_array_sort(due, compare_dirty);
+    g_ptr_array_sort(due, compare_dirty_since);
+    return due;
+}
+
+/* Bytes of one chunk of the job, in base64. Without a bound on them, the chunks of the largest jobs
+ * and full pages of records are more than a transaction may hold. */
+static gsize chunk_value_bytes(const job_t *job)
+{
+    return PROGRESS_BYTES + task_bitmap_bytes(MIN(job->spec.tasks, CHUNK_BITS)) * 4 / 3;
+}
+
+static void take_chunks(leader_t *leader, msec_t before, GArray *batch, kv_txn_usage_t *usage)
+{
+    g_autoptr(GPtrArray) due = jobs_with_due_chunks(leader, before);
     for (guint i = 0; i < due->len; i++) {
         job_t *job = g_ptr_array_index(due, i);
-        guint cost = (guint)__builtin_popcount(job->dirty_chunks);
-        /* The largest jobs' chunks, with full pages of records, were more than a transaction may
-         * hold: it was refused as invalid, again and again. */
-        gsize bytes =
-            cost * (PROGRESS_BYTES + leader_bits_bytes(MIN(job->spec.tasks, CHUNK_BITS)) * 4 / 3);
-        if (usage->ops + cost > usage->max_ops || usage->bytes + bytes > usage->max_bytes)
+        guint ops = (guint)__builtin_popcount(job->dirty_chunks);
+        gsize bytes = ops * chunk_value_bytes(job);
+        if (!has_capacity(usage, ops, bytes))
             break;
         for (guint chunk = 0; chunk < job->chunk_revisions->len; chunk++)
             if (job->dirty_chunks >> chunk & 1)
-                progress_chunk(job, chunk, batch);
-        usage->ops += cost;
+                append_chunk(job, chunk, batch);
+        usage->ops += ops;
         usage->bytes += bytes;
-        progress_taken(job);
+        mark_taken(job);
     }
-    g_ptr_array_unref(due);
 }
 
-/* Progress on the way is kept by the workers and their records until it is durable: it can wait and
- * go in one write. An end can't, since users wait for it. */
+/* Progress of unfinished jobs can wait, to go in fewer writes: until it is durable the workers and
+ * the machines' records keep it. An end can't wait, since users wait for it. */
 void leader_progress_take(leader_t *leader, msec_t now, msec_t min_age, GArray *batch,
                           kv_txn_usage_t *usage)
 {
@@ -162,6 +172,15 @@
         take_chunks(leader, now - min_age, batch, usage);
 }
 
+/* No commit of the job is in flight any more: moves its attempts to the array. */
+static void finish_acknowledging(job_t *job, GArray *attempts)
+{
+    if (!job->acknowledging)
+        return;
+    g_array_append_vals(attempts, job->acknowledging->data, job->acknowledging->len);
+    g_clear_pointer(&job->acknowledging, g_array_unref);
+}
+
 void leader_progress_commit(leader_t *leader, const GArray *batch, uint64_t revision,
                             GArray *acknowledged)
 {
@@ -170,11 +189,7 @@
         job_t *job = g_hash_table_lookup(leader->jobs, progress->job);
         if (!job)
             continue;
-        if (job->acknowledging) {
-            g_array_append_vals(acknowledged, job->acknowledging->data, job->acknowledging->len);
-            g_array_unref(job->acknowledging);
-            job->acknowledging = NULL;
-        }
+        finish_acknowledging(job, acknowledged);
         if (progress->is_job_end)
             g_hash_table_remove(leader->jobs, progress->job);
         else
@@ -189,13 +204,8 @@
         job_t *job = g_hash_table_lookup(leader->jobs, progress->job);
         if (!job)
             continue;
-        job->ending = false;
+        job->is_ending = false;
         job->dirty_chunks |= progress->is_job_end ? 1U : 1U << progress->chunk;
-        if (job->acknowledging) {
-            g_array_append_vals(job->unacknowledged, job->acknowledging->data,
-                                job->acknowledging->len);
-            g_array_unref(job->acknowledging);
-            job->acknowledging = NULL;
-        }
+        finish_acknowledging(job, job->unacknowledged);
     }
 }
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -1,14 +1,14 @@
-/* The leader's data: jobs, outstanding attempts, what the partitions hand in, and results. */
-#include "core/leader/leader_internal.h"
+/* The leader's data: jobs, what the partitions hand in, and results. */
+#include "core/leader/leader.h"
 
-#include <string.h>
+#include "core/leader/leader_internal.h"
 
-static void job_free(gpointer data)
+static void free_job(gpointer data)
 {
     job_t *job = data;
     job_spec_clear(&job->spec);
-    g_free(job->done);
-    g_free(job->outstanding);
+    g_free(job->done_bits);
+    g_free(job->outstanding_bits);
     g_array_unref(job->chunk_revisions);
     g_array_unref(job->unacknowledged);
     if (job->acknowledging)
@@ -17,17 +17,24 @@
     g_free(job);
 }
 
-void leader_array_free(gpointer data)
+static void free_array(gpointer data)
 {
     if (data)
         g_array_unref(data);
 }
 
+GPtrArray *leader_partition_arrays_new(guint partitions)
+{
+    GPtrArray *arrays = g_ptr_array_new_with_free_func(free_array);
+    g_ptr_array_set_size(arrays, (gint)partitions);
+    return arrays;
+}
+
 leader_t *leader_new(const GArray *teams, GHashTable *slos, const policy_t *policy,
                      guint partitions)
 {
     leader_t *leader = g_new0(leader_t, 1);
-    leader->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
+    leader->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_job);
     leader->outstanding = g_hash_table_new_full(task_ref_hash, task_ref_equal, NULL, g_free);
     leader->teams = g_array_new(FALSE, TRUE, sizeof(team_state_t));
     for (guint i = 0; i < teams->len; i++) {
@@ -41,10 +48,8 @@
     const double once = 1;
     leader->deadline_slo = g_array_new(FALSE, FALSE, sizeof(double));
     g_array_append_val(leader->deadline_slo, once);
-    leader->summaries = g_ptr_array_new_with_free_func(leader_array_free);
-    g_ptr_array_set_size(leader->summaries, (gint)partitions);
-    leader->cpus_being_preempted = g_ptr_array_new_with_free_func(leader_array_free);
-    g_ptr_array_set_size(leader->cpus_being_preempted, (gint)partitions);
+    leader->summaries = leader_partition_arrays_new(partitions);
+    leader->cpus_being_preempted = leader_partition_arrays_new(partitions);
     return leader;
 }
 
@@ -64,7 +69,7 @@
 void leader_set_view(leader_t *leader, uint64_t view)
 {
     leader->view = view;
-    leader->count = 0;
+    leader->attempt_count = 0;
 }
 
 void leader_add_job(leader_t *leader, const job_spec_t *spec, uint64_t revision)
@@ -76,10 +81,10 @@
     job->spec.types = g_strdupv(spec->types);
     job->spec.spot = spec->spot && tunable_for_job(leader->policy, TUNABLE_USE_SPOT, spec) != 0;
     job->revision = revision;
-    job->done = g_malloc0(leader_bits_bytes(spec->tasks));
-    job->outstanding = g_malloc0(leader_bits_bytes(spec->tasks));
+    job->done_bits = g_malloc0(task_bitmap_bytes(spec->tasks));
+    job->outstanding_bits = g_malloc0(task_bitmap_bytes(spec->tasks));
     job->chunk_revisions = g_array_new(FALSE, TRUE, sizeof(uint64_t));
-    g_array_set_size(job->chunk_revisions, leader_chunk_count(spec->tasks));
+    g_array_set_size(job->chunk_revisions, task_bitmap_chunk_count(spec->tasks));
     job->unacknowledged = g_array_new(FALSE, FALSE, sizeof(partition_attempt_t));
     job->zone_outstanding = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     g_hash_table_insert(leader->jobs, job->spec.id, job);
@@ -90,101 +95,34 @@
     g_hash_table_remove(leader->jobs, id);
 }
 
-static void zone_count(job_t *job, const char *zone, int change)
-{
-    if (!zone[0])
-        return;
-    int count = GPOINTER_TO_INT(g_hash_table_lookup(job->zone_outstanding, zone)) + change;
-    g_hash_table_insert(job->zone_outstanding, g_strdup(zone), GINT_TO_POINTER(count));
-}
-
-void leader_outstanding_add(leader_t *leader, task_ref_t ref, const char *team, resources_t need,
-                            const char *zone, guint partition)
-{
-    outstanding_t *outstanding = g_new0(outstanding_t, 1);
-    outstanding->ref = ref;
-    g_strlcpy(outstanding->zone, zone, sizeof outstanding->zone);
-    outstanding->need = need;
-    outstanding->partition = partition;
-    team_state_t *state = leader_team_find(leader, team, &outstanding->team);
-    if (state) {
-        state->outstanding_cpus += need.cpus;
-        state->outstanding_gpus += need.gpus;
-    } else {
-        outstanding->team =
-            G_MAXUINT; /* the team left the settings; its work still ends normally */
-    }
-    g_hash_table_insert(leader->outstanding, &outstanding->ref, outstanding);
-    job_t *job = g_hash_table_lookup(leader->jobs, ref.job);
-    if (job && ref.task < job->spec.tasks && !leader_bit_get(job->outstanding, ref.task)) {
-        leader_bit_set(job->outstanding, ref.task, true);
-        job->outstanding_count++;
-    }
-    if (job)
-        zone_count(job, zone, 1);
-}
-
-job_t *leader_outstanding_drop(leader_t *leader, const task_ref_t *ref)
-{
-    outstanding_t *outstanding = g_hash_table_lookup(leader->outstanding, ref);
-    if (!outstanding || outstanding->ref.attempt != ref->attempt)
-        return NULL;
-    if (outstanding->team < leader->teams->len) {
-        team_state_t *state = &g_array_index(leader->teams, team_state_t, outstanding->team);
-        state->outstanding_cpus -= outstanding->need.cpus;
-        state->outstanding_gpus -= outstanding->need.gpus;
-    }
-    job_t *job = g_hash_table_lookup(leader->jobs, outstanding->ref.job);
-    if (job)
-        zone_count(job, outstanding->zone, -1);
-    g_hash_table_remove(leader->outstanding, ref);
-    if (!job || ref->task >= job->spec.tasks)
-        return NULL;
-    if (leader_bit_get(job->outstanding, ref->task)) {
-        leader_bit_set(job->outstanding, ref->task, false);
-        job->outstanding_count--;
-    }
-    return job;
-}
-
-void leader_load_attempt(leader_t *leader, const record_entry_t *entry, const char *zone,
-                         guint partition)
+const job_t *leader_find_job(const leader_t *leader, const char *id)
 {
-    leader_outstanding_add(leader, task_ref(entry->job, entry->task, entry->attempt), entry->team,
-                           entry->need, zone, partition);
+    return g_hash_table_lookup(leader->jobs, id);
 }
 
-bool leader_is_outstanding(const leader_t *leader, const task_ref_t *ref)
+job_counts_t leader_job_counts(const leader_t *leader, const char *id)
 {
-    const outstanding_t *outstanding = g_hash_table_lookup(leader->outstanding, ref);
-    return outstanding && outstanding->ref.attempt == ref->attempt;
+    const job_t *job = leader_find_job(leader, id);
+    if (!job)
+        return (job_counts_t){0};
+    return (job_counts_t){.done = job->done_count, .outstanding = job->outstanding_count};
 }
 
-GArray *leader_outstanding(const leader_t *leader, const char *job)
+/* Replaces one element of an array of arrays. */
+static void replace_array(GPtrArray *arrays, guint index, GArray *array)
 {
-    GArray *attempts = g_array_new(FALSE, FALSE, sizeof(partition_attempt_t));
-    GHashTableIter iter;
-    gpointer value;
-    g_hash_table_iter_init(&iter, leader->outstanding);
-    while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const outstanding_t *outstanding = value;
-        partition_attempt_t entry = {.ref = outstanding->ref, .partition = outstanding->partition};
-        if (strcmp(outstanding->ref.job, job) == 0)
-            g_array_append_val(attempts, entry);
-    }
-    return attempts;
+    free_array(g_ptr_array_index(arrays, index));
+    g_ptr_array_index(arrays, index) = array;
 }
 
 void leader_set_summaries(leader_t *leader, guint partition, GArray *summaries)
 {
-    leader_array_free(g_ptr_array_index(leader->summaries, partition));
-    g_ptr_array_index(leader->summaries, partition) = summaries;
+    replace_array(leader->summaries, partition, summaries);
 }
 
 void leader_set_cpus_being_preempted(leader_t *leader, guint partition, GArray *cpus)
 {
-    leader_array_free(g_ptr_array_index(leader->cpus_being_preempted, partition));
-    g_ptr_array_index(leader->cpus_being_preempted, partition) = cpus;
+    replace_array(leader->cpus_being_preempted, partition, cpus);
     for (guint team = 0; team < leader->teams->len; team++) {
         double sum = 0;
         for (guint i = 0; i < leader->cpus_being_preempted->len; i++) {
@@ -195,70 +133,28 @@
     }
 }
 
+static void record_completion(job_t *job, guint partition, const task_ref_t *ref, msec_t now)
+{
+    job->consecutive_errors = 0;
+    leader_mark_task_done(job, ref->task);
+    if (!job->dirty_chunks)
+        job->dirty_since_at = now;
+    job->dirty_chunks |= 1U << (ref->task / CHUNK_BITS);
+    partition_attempt_t completion = {.ref = *ref, .partition = partition};
+    g_array_append_val(job->unacknowledged, completion);
+}
+
 void leader_handle_result(leader_t *leader, guint partition, const attempt_result_t *result,
                           msec_t now)
 {
-    uint32_t task = result->ref.task;
     job_t *job = leader_outstanding_drop(leader, &result->ref);
     leader_record_failure(leader, result, job);
     if (!job)
         return;
     if (result->cause == CAUSE_DONE) {
-        job->errors = 0;
-        if (!leader_bit_get(job->done, task)) {
-            leader_bit_set(job->done, task, true);
-            job->done_count++;
-        }
-        if (!job->dirty_chunks)
-            job->dirty_since = now;
-        job->dirty_chunks |= 1U << (task / CHUNK_BITS);
-        partition_attempt_t completion = {.ref = result->ref, .partition = partition};
-        g_array_append_val(job->unacknowledged, completion);
+        record_completion(job, partition, &result->ref, now);
         return;
     }
-    job->cursor = MIN(job->cursor, task);
+    job->first_pending = MIN(job->first_pending, result->ref.task);
     leader_back_off_job(job, result->cause, now);
 }
-
-static gint compare_counts_versions(gconstpointer left, gconstpointer right)
-{
-    uint64_t first = (*(job_t *const *)left)->counts_version;
-    uint64_t second = (*(job_t *const *)right)->counts_version;
-    return (first > second) - (first < second);
-}
-
-static void update_counts(leader_t *leader, job_t *job)
-{
-    if (job->counts.done == job->done_count && job->counts.outstanding == job->outstanding_count)
-        return;
-    g_strlcpy(job->counts.job, job->spec.id, sizeof job->counts.job);
-    job->counts.done = job->done_count;
-    job->counts.outstanding = job->outstanding_count;
-    job->counts_version = ++leader->counts_version;
-}
-
-job_counts_update_t leader_counts(leader_t *leader, uint64_t epoch, uint64_t version, guint most)
-{
-    if (epoch != leader->counts_epoch)
-        version = 0;
-    job_counts_update_t update = {.epoch = leader->counts_epoch, .version = version};
-    GPtrArray *changed = g_ptr_array_new();
-    GHashTableIter iter;
-    gpointer value;
-    g_hash_table_iter_init(&iter, leader->jobs);
-    while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        job_t *job = value;
-        update_counts(leader, job);
-        if (job->counts_version > version)
-            g_ptr_array_add(changed, job);
-    }
-    g_ptr_array_sort(changed, compare_counts_versions);
-    update.jobs = g_array_new(FALSE, FALSE, sizeof(job_counts_t));
-    for (guint i = 0; i < MIN(changed->len, most); i++) {
-        const job_t *job = g_ptr_array_index(changed, i);
-        g_array_append_val(update.jobs, job->counts);
-        update.version = job->counts_version;
-    }
-    g_ptr_array_unref(changed);
-    return update;
-}
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -1,198 +1,97 @@
-/* The leader's order of work: one queue for each team, served in turn by shares.
+/** @file
+ * The leader's order of work: a queue for each team, served by fair share.
  *
- * Owns: the live jobs with their progress, what each team has outstanding, and the placement
- * requests made. It knows the machines only by the machine summaries that their partitions hand in.
- * The caller holds the controller's lock.
+ * Owns the live jobs with their progress, the outstanding attempts and the placement requests made.
+ * It knows machines only by the summaries that their partitions hand in. Placement is projected
+ * least-loaded in two steps: the leader chooses the partition by the summaries and lowers what they
+ * have free by each request; the partition then chooses the machine by its score and reserves.
  *
- * What counts against a team's limit and a job's zones is every attempt requested or recorded and
- * not proved over, machines that hang or can't be reached included. */
+ * Against a team's quota and a job's zones counts every attempt that is requested or recorded and
+ * not proved over, those on machines that hang or can't be reached included.
+ *
+ * All functions are called with the controller's lock held; none waits, reads a clock or does input
+ * or output.
+ */
 #ifndef PEPPERPULLEY_LEADER_H
 #define PEPPERPULLEY_LEADER_H
 
+#include "core/leader/demand.h"
+#include "core/leader/job_progress.h"
+#include "core/leader/leader_type.h"
+#include "core/leader/machine_summary.h"
 #include "core/partition/partition.h"
 #include "core/replication/job_counts.h"
-#include "core/tunables.h"
-#include "core/types.h"
-
-/* One machine as its partition describes it to the leader. */
-typedef struct machine_summary {
-    char machine[ID_BYTES];
-    char type[LABEL_BYTES];
-    char zone[LABEL_BYTES];
-    bool spot;
-    bool open; /* takes starts */
-    bool draining;
-    int claim_priority; /* set by the leader: work below this priority waits until something larger
-                           has fitted */
-    resources_t total;
-    resources_t free;
-    guint attempts;
-    msec_t silent_ms; /* since it was last reached */
-    msec_t idle_ms;   /* since it last had work */
-    msec_t known_ms;  /* since the partition first knew it */
-} machine_summary_t;
-
-/* An attempt and the partition that has it. */
-typedef struct partition_attempt {
-    task_ref_t ref;
-    guint partition;
-} partition_attempt_t;
-
-typedef struct job {
-    job_spec_t spec;
-    uint64_t revision; /* of jobs/<id> */
-    uint8_t *done;     /* a bit a task */
-    uint8_t *outstanding;
-    uint32_t done_count;
-    uint32_t outstanding_count;
-    uint32_t cursor;         /* no pending task below it */
-    GArray *chunk_revisions; /* uint64_t; 0: no key */
-    uint32_t dirty_chunks;
-    GArray *unacknowledged; /* partition_attempt_t: attempts whose finish is not durable yet */
-    GArray *acknowledging;  /* those in the commit under way */
-    msec_t dirty_since;     /* the oldest progress that is not durable */
-    bool ending;            /* its end is in the commit under way */
-    guint errors;           /* since the last success */
-    msec_t retry_at;
-    GHashTable *zone_outstanding; /* zone -> count */
-    job_counts_t counts;          /* as the replicas are told */
-    uint64_t counts_version;      /* of their last change; 0: none so far */
-} job_t;
-
-typedef struct team_state {
-    team_t team;
-    double outstanding_cpus; /* out */
-    double outstanding_gpus;
-    double cpus_being_preempted; /* cpus of its work that is being stopped for others */
-} team_state_t;
-
-typedef struct outstanding {
-    task_ref_t ref;
-    guint team;
-    resources_t need;
-    char zone[LABEL_BYTES];
-    guint partition;
-} outstanding_t;
-
-/* A placement request for a partition. types is owned by the job: deliver before the lock is given
- * up. */
+
+/** A placement request and the partition that is to serve it. */
 typedef struct leader_request {
-    guint partition;
-    placement_request_t request;
+    guint partition;             /**< Index of the partition in the view. */
+    placement_request_t request; /**< Its types are borrowed from the job: copy or deliver them
+                                    before the lock is released. */
 } leader_request_t;
 
-/* A machine on which attempts failed since the last success there. */
-typedef struct failure_record {
-    guint errors;
-    char job[ID_BYTES];       /* of the first */
-    bool is_machine_at_fault; /* some failed job runs elsewhere, or more than one job failed */
-} failure_record_t;
-
-/* A machine claimed for large work, round after round. */
-typedef struct machine_claim {
-    msec_t since;
-    msec_t last;
-} machine_claim_t;
-
-/* What a placement round knows of all machines, so that it looks at each of them only for work that
- * may fit. */
-typedef struct leader_round {
-    guint machines;
-    guint claimed;
-    resources_t most_free; /* of open machines, each resource by itself: no machine has more */
-    uint64_t examined;     /* summaries looked at since the leader began */
-} leader_round_t;
-
-typedef struct leader {
-    uint64_t view;
-    uint64_t count;              /* attempts numbered in this view */
-    GHashTable *jobs;            /* id -> job_t, owned */
-    GHashTable *outstanding;     /* task_ref_t -> outstanding_t, owned */
-    GArray *teams;               /* team_state_t */
-    GHashTable *slos;            /* class -> slo_t, from the aims; borrowed */
-    const policy_t *policy;      /* borrowed */
-    GHashTable *failure_records; /* machine -> failure_record_t, owned: where work failed lately */
-    GHashTable *machine_claims;  /* machine -> machine_claim_t, owned: claimed of late for work too
-                                    large to fit */
-    GArray *deadline_slo;        /* the SLO of a deadline that no aim names */
-    GPtrArray *summaries;        /* partition -> GArray of machine_summary_t, owned */
-    GPtrArray *cpus_being_preempted; /* partition -> GArray of double, a team each, owned */
-    uint64_t counts_epoch;           /* set by the creator; 0: no replica is served */
-    uint64_t counts_version;
-    guint preempting; /* requests of this round that may stop others */
-    leader_round_t round;
-} leader_t;
-
+/** Returns a leader without jobs; transfer full. @p teams: array of team_t, copied. @p slos: class
+ * name to slo_t *, and @p policy: both transfer none, and must outlive the leader. @p partitions:
+ * their number in the view. */
 leader_t *leader_new(const GArray *teams, GHashTable *slos, const policy_t *policy,
                      guint partitions);
+
+/** Frees the leader and all that it owns. */
 void leader_free(leader_t *leader);
+
+/** Begins a view: attempt numbers are counted from its number on. */
 void leader_set_view(leader_t *leader, uint64_t view);
 
+/** Adds a live job; @p spec is copied, @p revision is that of jobs/{id}. Ignored if the job is
+ * known. */
 void leader_add_job(leader_t *leader, const job_spec_t *spec, uint64_t revision);
-void leader_load_chunk(leader_t *leader, const char *id, guint chunk, const uint8_t *bits,
-                       gsize bytes, uint64_t revision);
+
+/** Removes a job that is cancelled or over. Its outstanding attempts go on counting against its
+ * team's quota. */
+void leader_end_job(leader_t *leader, const char *id);
+
+/** Returns the live job; NULL: there is none of this id. Transfer none, valid until the leader is
+ * changed. */
+const job_t *leader_find_job(const leader_t *leader, const char *id);
+
+/** Returns how many tasks of the job are done and outstanding, without the job's id; zeros for a
+ * job that is not live. */
+job_counts_t leader_job_counts(const leader_t *leader, const char *id);
+
+/** Counts an attempt that a machine's record has as outstanding. @p zone: its machine's. */
 void leader_load_attempt(leader_t *leader, const record_entry_t *entry, const char *zone,
                          guint partition);
-void leader_end_job(leader_t *leader, const char *id);
 
-/* Hands over a partition's machine summaries; takes ownership. */
+/** Replaces a partition's machine summaries: array of machine_summary_t, transfer full. */
 void leader_set_summaries(leader_t *leader, guint partition, GArray *summaries);
-/* Cpus of each team's work that the partition is stopping for others; takes ownership. */
+
+/** Replaces the cpus of each team's work that the partition is preempting: array of double in the
+ * order of the teams, transfer full. */
 void leader_set_cpus_being_preempted(leader_t *leader, guint partition, GArray *cpus);
-/* Placement requests for what can be placed now; now in steady milliseconds, day_ms the time of
- * day. Returns an array of leader_request_t, at most `most`. */
-GArray *leader_schedule(leader_t *leader, msec_t now, int64_t day_ms, guint most);
-/* Whether the attempt is requested or recorded and not over. */
+
+/** Makes placement requests for the tasks that can be placed now, and counts them as outstanding.
+ * @p now: steady clock; @p day_ms: time of day in ms. Returns an array of at most @p max_requests
+ * leader_request_t (a gang, which is never divided, may exceed that). Transfer full. */
+GArray *leader_schedule(leader_t *leader, msec_t now, int64_t day_ms, guint max_requests);
+
+/** Returns whether the attempt is outstanding. */
 bool leader_is_outstanding(const leader_t *leader, const task_ref_t *ref);
-/* An attempt is over, or a placement request was refused (CAUSE_FULL). */
+
+/** Returns the job's outstanding attempts: array of partition_attempt_t, transfer full. */
+GArray *leader_outstanding(const leader_t *leader, const char *job);
+
+/** Records that an attempt is over, or that the partition refused its placement request
+ * (CAUSE_FULL). A result that came before changes nothing. */
 void leader_handle_result(leader_t *leader, guint partition, const attempt_result_t *result,
                           msec_t now);
-/* Whether the machine is taken for faulty: it is to be drained. */
+
+/** Returns whether the machine is quarantined, since jobs that run elsewhere fail on it: it is to
+ * be drained. */
 bool leader_is_quarantined(const leader_t *leader, const char *machine);
-/* The jobs whose counts changed after the replica's version, oldest change first, at most `most`.
- * The update is the caller's. */
-job_counts_update_t leader_counts(leader_t *leader, uint64_t epoch, uint64_t version, guint most);
-/* The job's outstanding attempts. Array of partition_attempt_t. */
-GArray *leader_outstanding(const leader_t *leader, const char *job);
 
-/* Resources asked for by tasks that have no machine yet, with the jobs' limits applied. */
-typedef struct demand {
-    job_t *job;
-    guint team;
-    uint32_t tasks;
-} demand_t;
-GArray *leader_demand(const leader_t *leader, msec_t now);
-
-/* Progress to make durable. */
-typedef struct progress {
-    char job[ID_BYTES];
-    bool is_job_end; /* every task is done: jobs/<id> and the chunks go, ended/<id> comes */
-    uint32_t done;
-    uint64_t job_revision;
-    guint chunk;
-    uint64_t revision;
-    uint8_t *bits; /* owned; NULL when end */
-    gsize bytes;
-    GArray *old_revisions; /* owned; chunk revisions to delete, when end */
-} progress_t;
-GArray *leader_progress_new(void);
-/* What a transaction has taken so far, and may take. */
-typedef struct kv_txn_usage {
-    guint ops;
-    guint max_ops;
-    guint full_ops; /* the most that max_ops grows to while nothing is written */
-    gsize bytes;    /* of values */
-    gsize max_bytes;
-    bool has_waiting_end; /* an end needs more ops than there are yet: leave them to it */
-} kv_txn_usage_t;
-/* Appends the ends of jobs, then, unless an end waits, progress that has waited for min_age, within
- * the room. */
-void leader_progress_take(leader_t *leader, msec_t now, msec_t min_age, GArray *batch,
-                          kv_txn_usage_t *usage);
-/* acknowledged: array of partition_attempt_t to append the attempts to that may now be forgotten.
- */
-void leader_progress_commit(leader_t *leader, const GArray *batch, uint64_t revision,
-                            GArray *acknowledged);
-void leader_progress_undo(leader_t *leader, const GArray *batch);
+/** Returns the jobs whose counts changed after the replica's @p version of @p epoch, oldest change
+ * first, at most @p max_jobs. Of another epoch, all are returned. Transfer full: cleared by
+ * job_counts_update_clear. */
+job_counts_update_t leader_counts(leader_t *leader, uint64_t epoch, uint64_t version,
+                                  guint max_jobs);
 
 #endif
--- /dev/null
+++ b/src/core/leader/partition_choice.c
@@ -0,0 +1,117 @@
+/* Choice of a partition: the leader's step of projected least-loaded placement. */
+#include "core/leader/leader_internal.h"
+
+#include <math.h>
+#include <string.h>
+
+/* Whether the machine takes one task of the job now, the job's other tasks aside. */
+static bool is_eligible(const machine_summary_t *summary, const job_spec_t *spec)
+{
+    return summary->open && (int)spec->priority >= summary->claim_priority &&
+           job_spec_allows(spec, summary->type, summary->zone, summary->spot) &&
+           resources_fit(spec->need, summary->free);
+}
+
+static bool has_outstanding_outside(const job_t *job, const char *zone)
+{
+    GHashTableIter iter;
+    gpointer key;
+    gpointer value;
+    g_hash_table_iter_init(&iter, job->zone_outstanding);
+    while (g_hash_table_iter_next(&iter, &key, &value))
+        if (GPOINTER_TO_INT(value) > 0 && strcmp(key, zone) != 0)
+            return true;
+    return false;
+}
+
+/* Whether the job's other outstanding tasks admit one more in the zone. */
+static bool zone_admits(const job_t *job, const char *zone)
+{
+    if (job->spec.same_zone && has_outstanding_outside(job, zone))
+        return false;
+    if (!job->spec.spread)
+        return true;
+    int count = GPOINTER_TO_INT(g_hash_table_lookup(job->zone_outstanding, zone));
+    return count + 1 <= (int)((job->spec.tasks + 1) / 2);
+}
+
+/* The projected load of the machine: its fuller resource, with one more task of the job. */
+static double projected_load(const machine_summary_t *summary, const job_t *job)
+{
+    double cpus = summary->free.cpus - job->spec.need.cpus;
+    double memory = summary->free.memory - job->spec.need.memory;
+    return MAX(1 - cpus / MAX(summary->total.cpus, EPSILON),
+               1 - memory / MAX(summary->total.memory, EPSILON));
+}
+
+/* The machine of a partition that admits a task and would have the least projected load with it;
+ * NULL: none. summaries: NULL: not received yet. free_cpus: receives what is free on all machines
+ * that admit it. */
+static machine_summary_t *choose_in_partition(const job_t *job, GArray *summaries,
+                                              double *free_cpus)
+{
+    bool is_zone_bound = job->spec.same_zone || job->spec.spread;
+    double lowest = INFINITY;
+    machine_summary_t *best = NULL;
+    *free_cpus = 0;
+    for (guint i = 0; summaries && i < summaries->len; i++) {
+        machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, i);
+        if (!is_eligible(summary, &job->spec))
+            continue;
+        if (is_zone_bound && !zone_admits(job, summary->zone))
+            continue;
+        *free_cpus += summary->free.cpus;
+        double load = projected_load(summary, job);
+        if (load >= lowest)
+            continue;
+        lowest = load;
+        best = summary;
+    }
+    return best;
+}
+
+machine_summary_t *leader_choose_summary(leader_t *leader, const job_t *job, guint *partition)
+{
+    machine_summary_t *chosen = NULL;
+    double most_free = -1;
+    if (!resources_fit(job->spec.need, leader->round.most_free))
+        return NULL;
+    for (guint i = 0; i < leader->summaries->len; i++) {
+        double free_cpus = 0;
+        GArray *summaries = g_ptr_array_index(leader->summaries, i);
+        machine_summary_t *best = choose_in_partition(job, summaries, &free_cpus);
+        leader->round.summaries_examined += summaries ? summaries->len : 0;
+        if (!best || free_cpus <= most_free)
+            continue;
+        most_free = free_cpus;
+        chosen = best;
+        *partition = i;
+    }
+    return chosen;
+}
+
+/* Cpus of a partition's open machines that the job allows, free or not. */
+static double allowed_cpus(const GArray *summaries, const job_spec_t *spec)
+{
+    double cpus = 0;
+    for (guint i = 0; summaries && i < summaries->len; i++) {
+        const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, i);
+        if (summary->open && job_spec_allows(spec, summary->type, summary->zone, summary->spot))
+            cpus += summary->total.cpus;
+    }
+    return cpus;
+}
+
+guint leader_largest_partition(const leader_t *leader, const job_spec_t *spec)
+{
+    guint largest = G_MAXUINT;
+    double most_cpus = 0;
+    for (guint i = 0; i < leader->summaries->len; i++) {
+        double cpus = allowed_cpus(g_ptr_array_index(leader->summaries, i), spec);
+        if (cpus <= most_cpus)
+            continue;
+        most_cpus = cpus;
+        largest = i;
+    }
+    return largest;
+}
--- a/src/core/leader/team_queues.c
+++ b/src/core/leader/team_queues.c
@@ -1,113 +1,117 @@
-/* Team queues and quota: whose work goes first, and how much of it a team may have. */
+/* Team queues: the order of a team's jobs, and the next team by fair share. */
 #include "core/leader/leader_internal.h"
 
 #include <math.h>
 #include <string.h>
 
-team_state_t *leader_team_find(const leader_t *leader, const char *name, guint *at)
-{
-    for (guint i = 0; i < leader->teams->len; i++) {
-        team_state_t *state = &g_array_index(leader->teams, team_state_t, i);
-        if (strcmp(state->team.name, name) == 0) {
-            if (at)
-                *at = i;
-            return state;
-        }
-    }
-    return NULL;
-}
-
-bool leader_team_admits(const team_state_t *state, resources_t need)
-{
-    const team_t *team = &state->team;
-    if (team->max_cpus > 0 && state->outstanding_cpus + need.cpus > team->max_cpus + EPSILON)
-        return false;
-    return team->max_gpus <= 0 || state->outstanding_gpus + need.gpus <= team->max_gpus + EPSILON;
-}
-
-uint32_t leader_job_pending(const job_t *job)
-{
-    uint32_t taken = job->done_count + job->outstanding_count;
-    return taken < job->spec.tasks ? job->spec.tasks - taken : 0;
-}
-
-static void apply_next_slo(const GArray *list, double unit_ms, double ready_ms,
+/* Finds the first objective that a task started now still meets, and the latest start for it.
+ * objectives: array of double, in units of unit_ms after submission, ascending. */
+static void apply_next_slo(const GArray *objectives, double unit_ms, double ready_ms,
                            queued_job_t *queued)
 {
-    for (guint i = 0; list && i < list->len; i++) {
-        double due =
-            (double)queued->job->spec.submitted_ms + g_array_index(list, double, i) * unit_ms;
-        if (due >= ready_ms) {
-            queued->latest_start_ms =
-                MIN(queued->latest_start_ms, due - queued->job->spec.estimate_s * MS_PER_S);
-            return;
-        }
+    const job_spec_t *spec = &queued->job->spec;
+    for (guint i = 0; i < objectives->len; i++) {
+        double due_ms = (double)spec->submitted_ms + g_array_index(objectives, double, i) * unit_ms;
+        if (due_ms < ready_ms)
+            continue;
+        queued->latest_start_ms =
+            MIN(queued->latest_start_ms, due_ms - spec->estimate_s * MS_PER_S);
+        return;
     }
 }
 
-/* Whatever the order, it must not starve anyone: under a lasting overload large jobs, low ones and
- * those past their SLOs would wait for ever. One that has waited long gets its first task begun,
- * and later a small part of its tasks at a time. */
+/* Whatever the order of the queue, it must not starve a job: under a lasting overload large jobs,
+ * low ones and those past their SLOs would wait for ever. A job that has waited long gets its first
+ * task started, and later a small part of its tasks at a time. */
 static uint32_t starvation_minimum_tasks(const job_t *job, int64_t day_ms)
 {
-    int64_t age = day_ms - job->spec.submitted_ms;
-    if (age < STARVING_MS || (age < STARVING_LONG_MS && job->done_count > 0))
+    int64_t age_ms = day_ms - job->spec.submitted_ms;
+    if (age_ms < STARVING_MS)
         return 0;
-    return age < STARVING_LONG_MS ? 1 : 1 + job->spec.tasks / STARVING_TASKS_DIVISOR;
+    if (age_ms < STARVING_LONG_MS)
+        return job->done_count > 0 ? 0 : 1;
+    return 1 + job->spec.tasks / STARVING_TASKS_DIVISOR;
+}
+
+/* The SLOs of a class that names no multiples of the deadline have the deadline itself. */
+static const GArray *deadline_multiples(const leader_t *leader, const slo_t *slos)
+{
+    return slos && slos->deadline_multiples->len ? slos->deadline_multiples : leader->deadline_slo;
 }
 
 static queued_job_t queue_entry(const leader_t *leader, job_t *job, int64_t day_ms)
 {
     const job_spec_t *spec = &job->spec;
     queued_job_t queued = {.job = job, .latest_start_ms = INFINITY};
-    queued.work = leader_job_pending(job) * spec->need.cpus * MAX(spec->estimate_s, 1);
+    queued.pending_cpu_s = leader_job_pending(job) * spec->need.cpus * MAX(spec->estimate_s, 1);
     const slo_t *slos = g_hash_table_lookup(leader->slos, spec->class_name);
-    double ready = (double)day_ms + spec->estimate_s * MS_PER_S;
-    if (spec->deadline_s > 0 && slos && slos->deadline_multiples->len)
-        apply_next_slo(slos->deadline_multiples, spec->deadline_s * MS_PER_S, ready, &queued);
-    else if (spec->deadline_s > 0)
-        apply_next_slo(leader->deadline_slo, spec->deadline_s * MS_PER_S, ready, &queued);
+    double ready_ms = (double)day_ms + spec->estimate_s * MS_PER_S;
+    if (spec->deadline_s > 0)
+        apply_next_slo(deadline_multiples(leader, slos), spec->deadline_s * MS_PER_S, ready_ms,
+                       &queued);
     if (slos)
-        apply_next_slo(slos->within_s, MS_PER_S, ready, &queued);
+        apply_next_slo(slos->within_s, MS_PER_S, ready_ms, &queued);
     return queued;
 }
 
-/* Urgent work, then what has waited too long; by priority; then what can still keep a SLO; then
- * the least work left, which keeps most SLOs where not all can be kept; then by the latest start
- * that keeps the next one; then by age. */
+/* Those for which it holds come first. */
+static gint compare_flags(bool first, bool second)
+{
+    return (gint)second - (gint)first;
+}
+
+static gint compare_ascending(double first, double second)
+{
+    return (first > second) - (first < second);
+}
+
+static gint compare_times(int64_t first, int64_t second)
+{
+    return (first > second) - (first < second);
+}
+
+static bool is_urgent(const queued_job_t *queued)
+{
+    return queued->job->spec.priority >= PRIORITY_HIGH;
+}
+
+/* Urgent work, then jobs below their starvation minimum; by priority; then what can still meet an
+ * SLO; then the least work left, which meets most SLOs where not all can be met; then by the latest
+ * start that meets the next one; then by age. */
 static gint compare_queued(gconstpointer left, gconstpointer right)
 {
     const queued_job_t *first = left;
     const queued_job_t *second = right;
-    bool first_urgent = first->job->spec.priority >= PRIORITY_HIGH;
-    bool second_urgent = second->job->spec.priority >= PRIORITY_HIGH;
-    if (first_urgent != second_urgent)
-        return first_urgent ? -1 : 1;
-    if (!first->starvation_minimum != !second->starvation_minimum)
-        return first->starvation_minimum ? -1 : 1;
-    if (first->job->spec.priority != second->job->spec.priority)
-        return first->job->spec.priority > second->job->spec.priority ? -1 : 1;
-    if (isinf(first->latest_start_ms) != isinf(second->latest_start_ms))
-        return isinf(second->latest_start_ms) ? -1 : 1;
-    if (first->work != second->work)
-        return first->work < second->work ? -1 : 1;
-    if (first->latest_start_ms != second->latest_start_ms)
-        return first->latest_start_ms < second->latest_start_ms ? -1 : 1;
-    if (first->job->spec.submitted_ms != second->job->spec.submitted_ms)
-        return first->job->spec.submitted_ms < second->job->spec.submitted_ms ? -1 : 1;
-    return strcmp(first->job->spec.id, second->job->spec.id);
-}
-
-/* A job that fails wherever it runs must not fill the partitions with its attempts (a soft place of
- * the design): after repeated failures it gets one attempt at a time, ever more rarely. */
-bool leader_is_job_blocked(const job_t *job, msec_t now)
-{
-    if (job->ending || now < job->retry_at)
-        return true;
-    return job->errors >= JOB_ERRORS_ALARM_COUNT && job->outstanding_count > 0;
-}
-
-GArray *leader_team_queue(leader_t *leader, guint team, msec_t now, int64_t day_ms)
+    const job_spec_t *first_spec = &first->job->spec;
+    const job_spec_t *second_spec = &second->job->spec;
+    gint order = compare_flags(is_urgent(first), is_urgent(second));
+    if (order == 0)
+        order = compare_flags(first->starvation_minimum > 0, second->starvation_minimum > 0);
+    if (order == 0)
+        order = (gint)second_spec->priority - (gint)first_spec->priority;
+    if (order == 0)
+        order = compare_flags(!isinf(first->latest_start_ms), !isinf(second->latest_start_ms));
+    if (order == 0)
+        order = compare_ascending(first->pending_cpu_s, second->pending_cpu_s);
+    if (order == 0)
+        order = compare_ascending(first->latest_start_ms, second->latest_start_ms);
+    if (order == 0)
+        order = compare_times(first_spec->submitted_ms, second_spec->submitted_ms);
+    return order != 0 ? order : strcmp(first_spec->id, second_spec->id);
+}
+
+/* A job below its starvation minimum has two entries: one for that minimum, which goes early, and
+ * its ordinary one. */
+static void append_job(const leader_t *leader, job_t *job, int64_t day_ms, GArray *queue)
+{
+    queued_job_t queued = queue_entry(leader, job, day_ms);
+    g_array_append_val(queue, queued);
+    queued.starvation_minimum = starvation_minimum_tasks(job, day_ms);
+    if (job->outstanding_count < queued.starvation_minimum)
+        g_array_append_val(queue, queued);
+}
+
+GArray *leader_team_queue(const leader_t *leader, guint team, msec_t now, int64_t day_ms)
 {
     const char *name = g_array_index(leader->teams, team_state_t, team).team.name;
     GArray *queue = g_array_new(FALSE, FALSE, sizeof(queued_job_t));
@@ -119,11 +123,7 @@
         if (!leader_job_pending(job) || leader_is_job_blocked(job, now) ||
             strcmp(job->spec.team, name) != 0)
             continue;
-        queued_job_t queued = queue_entry(leader, job, day_ms);
-        g_array_append_val(queue, queued);
-        queued.starvation_minimum = starvation_minimum_tasks(job, day_ms);
-        if (job->outstanding_count < queued.starvation_minimum)
-            g_array_append_val(queue, queued);
+        append_job(leader, job, day_ms, queue);
     }
     g_array_sort(queue, compare_queued);
     return queue;
@@ -139,73 +139,47 @@
     return job->spec.deadline_s > 0 || g_hash_table_contains(leader->slos, job->spec.class_name);
 }
 
-/* A team without a guarantee counts for less with work that nobody has set an aim for: it has time,
- * and what it takes is missed by work that has none. */
+static double total_guaranteed_cpus(const leader_t *leader)
+{
+    double total = 0;
+    for (guint i = 0; i < leader->teams->len; i++)
+        total += g_array_index(leader->teams, team_state_t, i).team.guaranteed_cpus;
+    return total;
+}
+
+/* The guarantee is the weight; a team without one gets a fraction of all guarantees. Such a team
+ * counts for less with work that has no objective: that work has time, and what it takes is missing
+ * for work that has none. next: the team's next job. */
 static double team_weight(const leader_t *leader, const team_state_t *state, const job_t *next,
-                          double promised)
+                          double total_guaranteed)
 {
-    double weight = MAX(MAX(state->team.guaranteed_cpus, promised * UNGUARANTEED_TEAM_FRACTION), 1);
-    bool is_idle_work = state->team.guaranteed_cpus <= 0 && !has_objective(leader, next);
+    double guaranteed = state->team.guaranteed_cpus;
+    double weight = MAX(MAX(guaranteed, total_guaranteed * UNGUARANTEED_TEAM_FRACTION), 1);
+    bool is_idle_work = guaranteed <= 0 && !has_objective(leader, next);
     return is_idle_work ? weight * IDLE_WORK_FRACTION : weight;
 }
 
-/* Whose turn it is, of those with work left from `at` on: a share is one of the resources in use,
- * not of starts: tasks of five minutes beside others of twenty seconds took nearly all of it by
- * equal starts.
- */
+/* A share is one of the cpus in use, not of starts: by equal starts, tasks of five minutes beside
+ * others of twenty seconds would take nearly all cpus. */
 guint leader_next_team_by_fair_share(const leader_t *leader, const GPtrArray *queues,
-                                     const guint *at)
+                                     const guint *positions)
 {
     guint teams = leader->teams->len;
-    guint poorest = teams;
-    double least = INFINITY;
-    double promised = 0;
-    for (guint i = 0; i < teams; i++)
-        promised += g_array_index(leader->teams, team_state_t, i).team.guaranteed_cpus;
+    guint chosen = teams;
+    double least_share = INFINITY;
+    double total_guaranteed = total_guaranteed_cpus(leader);
     for (guint i = 0; i < teams; i++) {
         const team_state_t *state = &g_array_index(leader->teams, team_state_t, i);
         const GArray *queue = g_ptr_array_index(queues, i);
-        if (at[i] >= queue->len)
-            continue;
-        const job_t *next = g_array_index(queue, queued_job_t, at[i]).job;
-        double in_use = state->outstanding_cpus / team_weight(leader, state, next, promised);
-        if (in_use >= least)
+        if (positions[i] >= queue->len)
             continue;
-        least = in_use;
-        poorest = i;
-    }
-    return poorest;
-}
-
-/* Tasks of the job for which machines are wanted: within the team's limit, one of a job that keeps
- * failing. */
-static uint32_t demanded_tasks(const job_t *job, const team_state_t *state)
-{
-    uint32_t tasks = leader_job_pending(job);
-    if (state->team.max_cpus > 0 && job->spec.need.cpus > 0) {
-        double left = MAX(state->team.max_cpus - state->outstanding_cpus, 0) / job->spec.need.cpus;
-        tasks = MIN(tasks, (uint32_t)MIN(left, (double)TASKS_MAX_COUNT));
-    }
-    if (job->errors >= JOB_ERRORS_ALARM_COUNT)
-        tasks = MIN(tasks, 1);
-    return tasks;
-}
-
-GArray *leader_demand(const leader_t *leader, msec_t now)
-{
-    GArray *demand = g_array_new(FALSE, FALSE, sizeof(demand_t));
-    GHashTableIter iter;
-    gpointer value;
-    g_hash_table_iter_init(&iter, leader->jobs);
-    while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        job_t *job = value;
-        guint team = 0;
-        const team_state_t *state = leader_team_find(leader, job->spec.team, &team);
-        if (!state || leader_is_job_blocked(job, now))
+        const job_t *next = g_array_index(queue, queued_job_t, positions[i]).job;
+        double weight = team_weight(leader, state, next, total_guaranteed);
+        double share = state->outstanding_cpus / weight;
+        if (share >= least_share)
             continue;
-        demand_t entry = {.job = job, .team = team, .tasks = demanded_tasks(job, state)};
-        if (entry.tasks)
-            g_array_append_val(demand, entry);
+        least_share = share;
+        chosen = i;
     }
-    return demand;
+    return chosen;
 }
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -77,8 +77,8 @@
     CAUSE_STOPPED, /**< It was stopped by a command. */
     CAUSE_ERROR,   /**< The task failed. */
     CAUSE_FULL,    /**< The start was refused: the resources were not free. */
-    CAUSE_BUSY,    /**< The start was refused: the machine was occupied otherwise. */
-    CAUSE_UNKNOWN, /**< The worker does not know; counted like an error of the job. */
+    CAUSE_BUSY,    /**< The worker refused the start as "in_use"; handled like CAUSE_FULL. */
+    CAUSE_UNKNOWN, /**< The worker answered "no_such"; counted as an error of the job. */
     CAUSE_PEERS,   /**< Another task of the gang ended. */
     CAUSE_ALONE    /**< The gang did not gather in time. */
 } cause_t;
--- a/tests/core/leader/test_leader.c
+++ b/tests/core/leader/test_leader.c
@@ -262,13 +262,13 @@
     GArray *requests = schedule();
     assert_int_equal(requests->len, 0);
     g_array_unref(requests);
-    assert_int_equal(leader->round.examined, 0);
+    assert_int_equal(leader->round.summaries_examined, 0);
     job_spec_t spec = job("j-900000", "team-a", 50);
     add(&spec);
     requests = schedule();
     g_array_unref(requests);
     /* claimed for the one of higher priority: an eighth of the machines, each by one look at all */
-    assert_in_range(leader->round.examined, 1, MACHINES * (MACHINES / CLAIMED_MACHINES_DIVISOR));
+    assert_in_range(leader->round.summaries_examined, 1, MACHINES * (MACHINES / CLAIMED_MACHINES_DIVISOR));
 }
 
 static void test_large_job_is_begun_under_lasting_overload(void **state)
