--- /dev/null
+++ b/tests/core/leader/test_job_progress.c
@@ -0,0 +1,196 @@
+/* Tests of job progress: what is done is made durable once, ends of jobs first, within the limits
+ * of a transaction. */
+#include "leader_fixture.h"
+#include "unit_test.h"
+
+/* Takes progress at 1000 ms into the batch; returns the bytes of its values. */
+static gsize take_progress(leader_fixture_t *fixture, msec_t min_age, guint ops, gsize bytes,
+                           GArray *batch)
+{
+    kv_txn_usage_t usage = {.max_ops = ops, .max_bytes = bytes};
+    leader_progress_take(fixture->leader, 1000, min_age, batch, &usage);
+    return usage.bytes;
+}
+
+/* The batch was not executed; it is empty afterwards. */
+static void undo_progress(leader_fixture_t *fixture, GArray *batch)
+{
+    leader_progress_undo(fixture->leader, batch);
+    g_array_set_size(batch, 0);
+}
+
+static const progress_t *progress_at(const GArray *batch, guint index)
+{
+    return &g_array_index(batch, progress_t, index);
+}
+
+static void test_finished_task_is_never_requested_again(void **state)
+{
+    leader_fixture_t *fixture = *state;
+    job_spec_t spec = make_job("j-000001", "team-b", 2);
+    const uint8_t bits = 1;
+    set_idle_machine(fixture, 0, "zone-a", 20);
+    add_job(fixture, &spec);
+    leader_load_chunk(fixture->leader, "j-000001", 0, &bits, 1, 8);
+    g_autoptr(GArray) requests = schedule(fixture);
+    assert_int_equal(requests->len, 1);
+    assert_int_equal(request_at(requests, 0)->request.task, 1);
+    finish(fixture, request_at(requests, 0));
+    g_autoptr(GArray) batch = leader_progress_new();
+    take_progress(fixture, 0, 20, KV_TXN_VALUES_BYTES, batch);
+    assert_int_equal(batch->len, 1);
+    assert_true(progress_at(batch, 0)->is_job_end);
+    g_autoptr(GArray) acknowledged = g_array_new(FALSE, FALSE, sizeof(partition_attempt_t));
+    leader_progress_commit(fixture->leader, batch, 9, acknowledged);
+    assert_int_equal(acknowledged->len, 1);
+}
+
+/* With a low rate limit, the progress of dozens of jobs kept finished ones waiting for minutes
+ * until their users got the answer. */
+static void test_end_of_a_job_goes_before_progress_of_others(void **state)
+{
+    leader_fixture_t *fixture = *state;
+    job_spec_t half = make_job("j-000001", "team-b", 2);
+    job_spec_t whole = make_job("j-000002", "team-b", 1);
+    job_spec_t other = make_job("j-000003", "team-b", 2);
+    set_idle_machine(fixture, 0, "zone-a", 20);
+    add_job(fixture, &half);
+    add_job(fixture, &whole);
+    add_job(fixture, &other);
+    g_autoptr(GArray) requests = schedule(fixture);
+    assert_int_equal(requests->len, 5);
+    /* The first task of each job is done: that is all of the second job. */
+    bool has_finished[4] = {0};
+    for (guint i = 0; i < requests->len; i++) {
+        const leader_request_t *made = request_at(requests, i);
+        char number = made->request.job[7];
+        if (number == '2' || !has_finished[number - '0'])
+            finish(fixture, made);
+        has_finished[number - '0'] = true;
+    }
+    g_autoptr(GArray) batch = leader_progress_new();
+    take_progress(fixture, 0, 3, KV_TXN_VALUES_BYTES, batch);
+    assert_int_equal(batch->len, 2); /* the end, and what the limit leaves */
+    assert_true(progress_at(batch, 0)->is_job_end);
+    assert_string_equal(progress_at(batch, 0)->job, "j-000002");
+    undo_progress(fixture, batch);
+    take_progress(fixture, 500, 20, KV_TXN_VALUES_BYTES, batch);
+    assert_int_equal(batch->len, 1); /* what is young waits for more */
+}
+
+/* Under a rate limit that gives a write at a time, progress of others took each of them, and no end
+ * was ever written. One that needs more than the limit can give at once holds nothing up. */
+static void test_writes_are_left_to_an_end_until_it_fits(void **state)
+{
+    leader_fixture_t *fixture = *state;
+    job_spec_t whole = make_job("j-000001", "team-b", 1);
+    job_spec_t half = make_job("j-000002", "team-b", 2);
+    set_idle_machine(fixture, 0, "zone-a", 20);
+    add_job(fixture, &whole);
+    add_job(fixture, &half);
+    g_autoptr(GArray) requests = schedule(fixture);
+    assert_int_equal(requests->len, 3);
+    for (guint i = 0; i < 2; i++)
+        finish(fixture, request_at(requests, i));
+    g_autoptr(GArray) batch = leader_progress_new();
+    kv_txn_usage_t usage = {.max_ops = 2, .full_ops = 3, .max_bytes = KV_TXN_VALUES_BYTES};
+    leader_progress_take(fixture->leader, 1000, 0, batch, &usage);
+    assert_true(usage.has_waiting_end);
+    assert_int_equal(batch->len, 0);
+    usage.full_ops = 2;
+    leader_progress_take(fixture->leader, 1000, 0, batch, &usage);
+    assert_false(usage.has_waiting_end);
+    assert_int_equal(batch->len, 1);
+    undo_progress(fixture, batch);
+    usage = (kv_txn_usage_t){.max_ops = 3, .full_ops = 3, .max_bytes = KV_TXN_VALUES_BYTES};
+    leader_progress_take(fixture->leader, 1000, 0, batch, &usage);
+    assert_false(usage.has_waiting_end);
+    assert_true(progress_at(batch, 0)->is_job_end);
+}
+
+/* Two tasks end far apart, three leaders long: the durable bit of the first is neither lost nor
+ * made twice, the second is done only when it ended, and the job with it. */
+static void test_ends_far_apart_add_up_over_several_leaders(void **state)
+{
+    leader_fixture_t *fixture = *state;
+    job_spec_t spec = make_job("j-000001", "team-b", 2);
+    set_idle_machine(fixture, 0, "zone-a", 20);
+    add_job(fixture, &spec);
+    g_autoptr(GArray) requests = schedule(fixture);
+    finish(fixture, request_at(requests, 0));
+    uint64_t attempt = request_at(requests, 1)->request.attempt;
+    uint32_t task = request_at(requests, 1)->request.task;
+    g_autoptr(GArray) batch = leader_progress_new();
+    take_progress(fixture, 0, 20, KV_TXN_VALUES_BYTES, batch);
+    assert_int_equal(batch->len, 1);
+    const progress_t *first = progress_at(batch, 0);
+    assert_false(first->is_job_end);
+    for (uint64_t view = 4; view < 6; view++) {
+        replace_leader(fixture, 2, view);
+        set_idle_machine(fixture, 0, "zone-a", 20);
+        add_job(fixture, &spec);
+        leader_load_chunk(fixture->leader, "j-000001", 0, first->bits, first->bytes, 7);
+        record_entry_t entry = make_record_entry("j-000001", "team-b", task, attempt);
+        load_attempt(fixture, &entry, "zone-a", 0);
+        assert_int_equal(schedule_count(fixture), 0); /* one is done, one is outstanding */
+    }
+    handle_result(fixture, 0, task_ref("j-000001", task, attempt), CAUSE_DONE);
+    handle_result(fixture, 0, task_ref("j-000001", task, attempt), CAUSE_DONE); /* twice */
+    g_autoptr(GArray) ends = leader_progress_new();
+    take_progress(fixture, 0, 20, KV_TXN_VALUES_BYTES, ends);
+    assert_int_equal(ends->len, 1);
+    assert_true(progress_at(ends, 0)->is_job_end);
+    assert_int_equal(progress_at(ends, 0)->done, 2);
+}
+
+/* A job of the largest size; one task of each chunk of it is done since 900 ms. */
+static void add_largest_job(leader_fixture_t *fixture, const char *id)
+{
+    job_spec_t spec = make_job(id, "team-b", TASKS_MAX_COUNT);
+    spec.need.cpus = 0.01;
+    add_job(fixture, &spec);
+    for (guint chunk = 0; chunk * CHUNK_BITS < TASKS_MAX_COUNT; chunk++) {
+        task_ref_t ref = task_ref(id, chunk * CHUNK_BITS, 1 + chunk);
+        record_entry_t entry = make_record_entry(id, "team-b", ref.task, ref.attempt);
+        entry.need = (resources_t){0};
+        load_attempt(fixture, &entry, "zone-a", 0);
+        attempt_result_t done = {.ref = ref, .cause = CAUSE_DONE};
+        leader_handle_result(fixture->leader, 0, &done, 900);
+    }
+}
+
+/* Progress of jobs of 100,000 tasks and full pages of records were together more than a transaction
+ * may hold: it was refused as invalid, and everything read again, for ever. */
+static void test_progress_of_large_jobs_keeps_within_the_bytes(void **state)
+{
+    leader_fixture_t *fixture = *state;
+    set_idle_machine(fixture, 0, "zone-a", 400);
+    for (guint i = 0; i < 8; i++) {
+        char id[ID_BYTES];
+        g_snprintf(id, sizeof id, "j-%06u", i);
+        add_largest_job(fixture, id);
+    }
+    g_autoptr(GArray) batch = leader_progress_new();
+    assert_in_range(take_progress(fixture, 0, 1000, KV_TXN_VALUES_BYTES / 2, batch), 1,
+                    KV_TXN_VALUES_BYTES / 2);
+    assert_int_equal(batch->len, 7); /* one job's chunks; the next job's go in a later batch */
+    undo_progress(fixture, batch);
+    assert_int_equal(take_progress(fixture, 0, 1000, 1000, batch), 0);
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test_setup_teardown(test_finished_task_is_never_requested_again, set_up_leader,
+                                        tear_down_leader),
+        cmocka_unit_test_setup_teardown(test_end_of_a_job_goes_before_progress_of_others,
+                                        set_up_leader, tear_down_leader),
+        cmocka_unit_test_setup_teardown(test_writes_are_left_to_an_end_until_it_fits, set_up_leader,
+                                        tear_down_leader),
+        cmocka_unit_test_setup_teardown(test_progress_of_large_jobs_keeps_within_the_bytes,
+                                        set_up_leader, tear_down_leader),
+        cmocka_unit_test_setup_teardown(test_ends_far_apart_add_up_over_several_leaders,
+                                        set_up_leader, tear_down_leader),
+    };
+    return cmocka_run_group_tests_name("job_progress", tests, NULL, NULL);
+}
