--- a/src/core/leader/leader_internal.h
+++ b/src/core/leader/leader_internal.h
@@ -2,7 +2,7 @@
  * What the sources of the leader share among themselves. Only included in this folder.
  *
  * As for leader.h: called with the controller's lock held. A file calls only those whose section
- * stands above its own.
+ * is above its own.
  */
 #ifndef PEPPERPULLEY_LEADER_INTERNAL_H
 #define PEPPERPULLEY_LEADER_INTERNAL_H
@@ -43,9 +43,7 @@
  * is in the commit in flight, nor, after repeated failures, while it has an outstanding attempt. */
 bool leader_job_admits(const job_t *job);
 
-/** Returns whether none of the job's tasks may be placed at @p now: it backs off, or admits no
- * more.
- */
+/** Returns whether no task of the job may be placed at @p now: it backs off, or admits none. */
 bool leader_is_job_blocked(const job_t *job, msec_t now);
 
 /** @} */
@@ -113,7 +111,7 @@
 void leader_claim_machines(leader_t *leader, const team_state_t *state, const queued_job_t *queued,
                            msec_t now);
 
-/** Begins a round: sums up the machines, and lifts the claims of the round before. */
+/** Begins a round: totals the machines, and lifts the claims of the last round. */
 void leader_begin_round(leader_t *leader);
 
 /** @} */
--- a/src/core/leader/leader_type.h
+++ b/src/core/leader/leader_type.h
@@ -96,7 +96,7 @@
                                 is published. */
     uint64_t counts_version; /**< Version of the last change of a job's counts. */
     guint preempting_request_count; /**< Requests of this round that may preempt. */
-    leader_round_t round;           /**< What the current round knows of the machines. */
+    leader_round_t round;           /**< Totals of the current round. */
 } leader_t;
 
 #endif
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -66,7 +66,7 @@
 typedef enum {
     TASK_FETCHING, /**< The worker fetches the image. */
     TASK_RUNNING,  /**< The task runs. */
-    TASK_SAVING,   /**< It was asked to stop and saves. */
+    TASK_SAVING,   /**< A command stopped it, and it saves. */
     TASK_EXITED    /**< It is over, for the cause given. */
 } task_state_t;
 
@@ -133,7 +133,7 @@
 } machine_type_t;
 
 /** The SLOs of a class of jobs: when its jobs should be finished. */
-typedef struct slos {
+typedef struct slo {
     GArray
         *deadline_multiples; /**< Array of double, owned: multiples of the deadline, ascending. */
     GArray *within_s;        /**< Array of double, owned: seconds after submission, ascending. */
@@ -149,7 +149,7 @@
 } team_t;
 
 /** One attempt at one task. A task has one attempt at a time, so maps use job and task alone as the
- * key. The attempts of a gang's tasks share one number, by which workers know that they belong
+ * key. The attempts of a gang's tasks share one number, by which workers recognise that they belong
  * together. */
 typedef struct task_ref {
     char job[ID_BYTES]; /**< The job's id. */
--- a/tests/core/autoscaler/test_autoscaler.c
+++ b/tests/core/autoscaler/test_autoscaler.c
@@ -34,7 +34,7 @@
     leader_set_summaries(fixture->leader, 0, summaries);
 }
 
-/* A new leader of one partition that also knows a team without a guarantee. */
+/* A new leader of one partition that also has a team without a guarantee. */
 static void lead_with_unguaranteed_team(leader_fixture_t *fixture)
 {
     add_team(fixture, "team-c", 0, 0);
--- a/tests/core/leader/leader_fixture.h
+++ b/tests/core/leader/leader_fixture.h
@@ -32,7 +32,7 @@
 void set_machine(leader_fixture_t *fixture, guint partition, const char *zone, double cpus,
                  double free_cpus);
 
-/* An attempt of 2 cpus stands in a machine's record. */
+/* An attempt of 2 cpus as a machine's record has it. */
 record_entry_t make_record_entry(const char *job, const char *team, uint32_t task,
                                  uint64_t attempt);
 void load_attempt(leader_fixture_t *fixture, const record_entry_t *entry, const char *zone,
--- a/tests/core/leader/test_failure_records.c
+++ b/tests/core/leader/test_failure_records.c
@@ -3,7 +3,7 @@
 #include "leader_fixture.h"
 #include "unit_test.h"
 
-/* A job failing everywhere piles up reservations until its partition looks full: a known weakness
+/* A job failing everywhere piles up reservations until its partition appears full: a known weakness
  * of projected least-loaded placement. */
 static void test_job_that_fails_everywhere_is_backed_off(void **state)
 {
--- a/tests/core/test_request_queue.c
+++ b/tests/core/test_request_queue.c
@@ -1,40 +1,75 @@
-/* Tests of the request queue: no request waits beyond its deadline, however busy the threads are.
- */
+/* Tests of the request queue: no request waits beyond its deadline, however busy the request
+ * workers are. */
 #include "core/request_queue.h"
 #include "unit_test.h"
 
-/* A full queue refuses at once. What has waited its time is given up at that moment, and by itself:
- * nothing has to be served before it. */
-static void test_requests_wait_within_their_time_and_in_order(void **state)
-{
-    (void)state;
-    int status;
-    int submission;
-    int another;
-    int late;
+/* A queue for three requests, filled with them in this order. */
+typedef struct full_queue {
     request_queue_t queue;
-    request_queue_init(&queue, 3);
-    assert_true(request_queue_next(&queue) == G_MAXINT64);
-    assert_true(request_queue_push(&queue, &submission, 4500));
-    assert_true(request_queue_push(&queue, &status, 1000));
-    assert_true(request_queue_push(&queue, &another, 1200));
-    assert_false(request_queue_push(&queue, &late, 1300));
-    assert_true(request_queue_next(&queue) == 1000);
-    assert_null(request_queue_pop_expired(&queue, 999));
-    assert_ptr_equal(request_queue_pop_expired(&queue, 1000), &status);
-    assert_null(request_queue_pop_expired(&queue, 1000));
-    assert_true(request_queue_next(&queue) == 1200);
-    assert_true(request_queue_push(&queue, &late, 1300));
-    assert_ptr_equal(request_queue_pop(&queue), &submission);
-    assert_ptr_equal(request_queue_pop(&queue), &another);
-    assert_ptr_equal(request_queue_pop(&queue), &late);
-    assert_null(request_queue_pop(&queue));
+    int submission; /* until 4500 */
+    int status;     /* until 1000 */
+    int another;    /* until 1200 */
+    int late;       /* not in the queue */
+} full_queue_t;
+
+static int set_up(void **state)
+{
+    full_queue_t *full = g_new0(full_queue_t, 1);
+    request_queue_init(&full->queue, 3);
+    assert_true(request_queue_next(&full->queue) == G_MAXINT64);
+    assert_true(request_queue_push(&full->queue, &full->submission, 4500));
+    assert_true(request_queue_push(&full->queue, &full->status, 1000));
+    assert_true(request_queue_push(&full->queue, &full->another, 1200));
+    *state = full;
+    return 0;
+}
+
+static int tear_down(void **state)
+{
+    full_queue_t *full = *state;
+    while (request_queue_pop(&full->queue))
+        continue;
+    g_free(full);
+    return 0;
+}
+
+static void test_full_queue_refuses_at_once(void **state)
+{
+    full_queue_t *full = *state;
+    assert_false(request_queue_push(&full->queue, &full->late, 1300));
+}
+
+/* Nothing has to be served before it. */
+static void test_expired_request_is_shed_at_its_deadline(void **state)
+{
+    full_queue_t *full = *state;
+    assert_true(request_queue_next(&full->queue) == 1000);
+    assert_null(request_queue_pop_expired(&full->queue, 999));
+    assert_ptr_equal(request_queue_pop_expired(&full->queue, 1000), &full->status);
+    assert_null(request_queue_pop_expired(&full->queue, 1000));
+    assert_true(request_queue_next(&full->queue) == 1200);
+}
+
+static void test_requests_are_served_in_order_of_arrival(void **state)
+{
+    full_queue_t *full = *state;
+    assert_false(request_queue_push(&full->queue, &full->late, 1300));
+    assert_ptr_equal(request_queue_pop_expired(&full->queue, 1000), &full->status);
+    assert_true(request_queue_push(&full->queue, &full->late, 1300));
+    assert_ptr_equal(request_queue_pop(&full->queue), &full->submission);
+    assert_ptr_equal(request_queue_pop(&full->queue), &full->another);
+    assert_ptr_equal(request_queue_pop(&full->queue), &full->late);
+    assert_null(request_queue_pop(&full->queue));
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_requests_wait_within_their_time_and_in_order),
+        cmocka_unit_test_setup_teardown(test_full_queue_refuses_at_once, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(test_expired_request_is_shed_at_its_deadline, set_up,
+                                        tear_down),
+        cmocka_unit_test_setup_teardown(test_requests_are_served_in_order_of_arrival, set_up,
+                                        tear_down),
     };
     return cmocka_run_group_tests_name("request_queue", tests, NULL, NULL);
 }
