--- a/src/controller/placement/partition_items.c
+++ b/src/controller/placement/partition_items.c
@@ -81,7 +81,7 @@
     if (result->cause == CAUSE_ERROR || result->cause == CAUSE_UNKNOWN)
         log_info("event=attempt_failed task=%s/%u machine=%s cause=%d", result->ref.job,
                  result->ref.task, result->machine, (int)result->cause);
-    const job_t *job = leader_find_job(controller->placement.leader, result->ref.job);
+    const job_t *job = g_hash_table_lookup(controller->placement.leader->jobs, result->ref.job);
     bool refused = job && job->spec.kind == KIND_GANG && result->cause == CAUSE_FULL;
     leader_handle_result(controller->placement.leader, partition, result, now);
     if (refused)
