--- a/src/controller/api/status.c
+++ b/src/controller/api/status.c
@@ -13,10 +13,7 @@
 {
     if (!controller->membership.is_leader || !controller->placement.is_loaded)
         return job_counts_replica_get(&controller->jobs.counts, id);
-    const job_t *job = g_hash_table_lookup(controller->placement.leader->jobs, id);
-    if (!job)
-        return (job_counts_t){0};
-    return (job_counts_t){.done = job->done_count, .outstanding = job->outstanding_count};
+    return leader_job_counts(controller->placement.leader, id);
 }
 
 static reply_t live_reply(controller_t *controller, const char *id)
--- a/src/controller/placement/partition_items.c
+++ b/src/controller/placement/partition_items.c
@@ -91,7 +91,7 @@
 {
     leader_t *leader = controller->placement.leader;
     log_result(result);
-    const job_t *job = g_hash_table_lookup(leader->jobs, result->ref.job);
+    const job_t *job = leader_find_job(leader, result->ref.job);
     bool is_refused_gang = job && job->spec.kind == KIND_GANG && result->cause == CAUSE_FULL;
     leader_handle_result(leader, partition, result, now);
     if (is_refused_gang)
