--- a/src/controller/peer/peer_client.c
+++ b/src/controller/peer/peer_client.c
@@ -12,11 +12,13 @@
 void peer_client_receive(controller_t *controller, const peer_message_t *message)
 {
     peer_exchange_receive_any(controller, message);
-    if (!controller->placement.is_loaded || message->view != controller->membership.view.number ||
+    if (!controller->placement.is_loaded ||
+        message->view_number != controller->membership.view.number ||
         message->incarnation != controller->membership.view.incarnation)
         return;
-    channel_ack(controller->peers.leader_channel, message->ack);
-    if (!message->items->len || !channel_accept(controller->peers.leader_channel, message->number))
+    channel_ack(controller->peers.leader_channel, message->acknowledged_batch);
+    if (!message->items->len ||
+        !channel_accept(controller->peers.leader_channel, message->batch_number))
         return;
     for (guint i = 0; i < message->items->len; i++)
         partition_items_handle(controller, &g_array_index(message->items, channel_item_t, i),
--- a/src/controller/peer/peer_exchange.c
+++ b/src/controller/peer/peer_exchange.c
@@ -14,7 +14,7 @@
 peer_message_t peer_exchange_message(const controller_t *controller)
 {
     peer_message_t message = {.incarnation = controller->incarnation,
-                              .view = controller->membership.view.number};
+                              .view_number = controller->membership.view.number};
     message.kv_answer_age_ms = clock_steady() - atomic_load(&controller->kv_store.answered_at);
     message.worker_heartbeat_age_ms = clock_steady() - controller->peers.worker_heartbeat_at;
     g_strlcpy(message.sender, controller->settings->name, sizeof message.sender);
@@ -27,8 +27,8 @@
     peer_message_t message = peer_exchange_message(controller);
     if (channel) {
         message.items = g_array_ref((GArray *)(void *)channel_batch(channel, PEER_BATCH_COUNT));
-        message.number = channel->sent;
-        message.ack = channel->received;
+        message.batch_number = channel->sent;
+        message.acknowledged_batch = channel->received;
     }
     if (summaries) {
         message.summaries = *summaries;
@@ -43,7 +43,7 @@
 void peer_exchange_receive_any(controller_t *controller, const peer_message_t *message)
 {
     controller->membership.highest_view_seen =
-        MAX(controller->membership.highest_view_seen, message->view);
+        MAX(controller->membership.highest_view_seen, message->view_number);
     controller->peers.sibling_message_at = clock_steady();
     controller->peers.siblings_kv_answered_at =
         MAX(controller->peers.siblings_kv_answered_at, clock_steady() - message->kv_answer_age_ms);
--- a/src/controller/peer/peer_heartbeat.c
+++ b/src/controller/peer/peer_heartbeat.c
@@ -22,10 +22,10 @@
         &controller->jobs.cancellations.siblings[peer_heartbeat->index];
     peer_message_t message = peer_exchange_message(controller);
     message.is_heartbeat = true;
-    message.acknowledged_incarnation = replica->incarnation;
-    message.acknowledged_index = replica->last_index;
-    message.counts.epoch = controller->jobs.counts.epoch;
-    message.counts.version = controller->jobs.counts.version;
+    message.known_log_incarnation = replica->incarnation;
+    message.known_log_index = replica->last_index;
+    message.job_counts.epoch = controller->jobs.counts.epoch;
+    message.job_counts.version = controller->jobs.counts.version;
     pthread_mutex_unlock(&controller->lock);
     return peer_encode(&message);
 }
@@ -37,8 +37,8 @@
     const cancellation_log_t *log = &controller->jobs.cancellations;
     msec_t begun = clock_steady();
     msec_t hold = 0;
-    while (message->acknowledged_incarnation == log->incarnation &&
-           message->acknowledged_index >= log->newest && hold < PEER_HEARTBEAT_HOLD_MS) {
+    while (message->known_log_incarnation == log->incarnation &&
+           message->known_log_index >= log->newest && hold < PEER_HEARTBEAT_HOLD_MS) {
         controller_wait(controller, &controller->jobs.cancellation_appended,
                         PEER_HEARTBEAT_HOLD_MS - hold);
         hold = clock_steady() - begun;
@@ -53,13 +53,13 @@
     msec_t hold = hold_answer(controller, message);
     peer_message_t answer = peer_exchange_message(controller);
     answer.is_heartbeat = true;
-    answer.hold_ms = hold;
-    answer.update =
-        cancellation_log_update(&controller->jobs.cancellations, message->acknowledged_incarnation,
-                                message->acknowledged_index, clock_steady());
+    answer.answer_delay_ms = hold;
+    answer.cancellations =
+        cancellation_log_update(&controller->jobs.cancellations, message->known_log_incarnation,
+                                message->known_log_index, clock_steady());
     if (controller->membership.is_leader && controller->placement.is_loaded)
-        answer.counts = leader_counts(controller->placement.leader, message->counts.epoch,
-                                      message->counts.version, JOB_COUNTS_BATCH_COUNT);
+        answer.job_counts = leader_counts(controller->placement.leader, message->job_counts.epoch,
+                                          message->job_counts.version, JOB_COUNTS_BATCH_COUNT);
     pthread_mutex_unlock(&controller->lock);
     GByteArray *frame = peer_encode(&answer);
     peer_message_clear(&answer);
@@ -85,24 +85,25 @@
     peer_exchange_receive_any(controller, message);
     controller->peers.sibling_health[index] = (owner_health_t){
         .answered_at = asked, .worker_heartbeat_at = asked - message->worker_heartbeat_age_ms};
-    for (guint i = 0; i < message->update.jobs->len; i++) {
-        const char *id = g_ptr_array_index(message->update.jobs, i);
+    for (guint i = 0; i < message->cancellations.jobs->len; i++) {
+        const char *id = g_ptr_array_index(message->cancellations.jobs, i);
         if (!g_hash_table_contains(controller->jobs.terminal, id))
             log_info("event=cancellation_update job=%s from=%s", id, message->sender);
         job_directory_record_terminal(controller, id, false);
     }
-    cancellation_log_apply(&controller->jobs.cancellations, index, &message->update, asked,
+    cancellation_log_apply(&controller->jobs.cancellations, index, &message->cancellations, asked,
                            clock_steady());
-    if (message->view == controller->membership.view.number &&
+    if (message->view_number == controller->membership.view.number &&
         message->incarnation == controller->membership.view.incarnation)
-        receive_job_counts(controller, &message->counts);
+        receive_job_counts(controller, &message->job_counts);
 }
 
 /* The answer was made when it had been delayed for so long after the heartbeat had left, or later.
  * Clocks drift apart: what the sibling measured is shortened. */
 static msec_t answer_made_at(const peer_message_t *answer, msec_t asked)
 {
-    return asked + MAX(answer->hold_ms - answer->hold_ms / CLOCK_DRIFT_DIVISOR - 1, 0);
+    return asked +
+           MAX(answer->answer_delay_ms - answer->answer_delay_ms / CLOCK_DRIFT_DIVISOR - 1, 0);
 }
 
 static bool send_heartbeat(const peer_heartbeat_t *peer_heartbeat, int fd)
--- a/src/controller/peer/peer_server.c
+++ b/src/controller/peer/peer_server.c
@@ -41,7 +41,7 @@
         return false;
     controller->peers.are_summaries_pending[index] |=
         message->summaries.summaries->len > 0 || message->summaries.terminated->len > 0;
-    if (message->ack != channel->sent)
+    if (message->acknowledged_batch != channel->sent)
         return false;
     leader_set_summaries(controller->placement.leader, index, g_array_copy(replica->summaries));
     leader_set_cpus_being_preempted(controller->placement.leader, index,
@@ -57,13 +57,13 @@
     msec_t now = clock_steady();
     peer_exchange_receive_any(controller, message);
     if (!controller->membership.is_leader || !controller->placement.is_loaded ||
-        message->view != controller->membership.view.number ||
+        message->view_number != controller->membership.view.number ||
         !is_member(controller, message, &index) || index == controller->membership.own_index)
         return NULL;
     channel_t *channel = g_ptr_array_index(controller->peers.channels, index);
-    channel_ack(channel, message->ack);
+    channel_ack(channel, message->acknowledged_batch);
     bool has_news = false;
-    if (message->items->len && channel_accept(channel, message->number)) {
+    if (message->items->len && channel_accept(channel, message->batch_number)) {
         has_news = true;
         for (guint i = 0; i < message->items->len; i++) {
             const channel_item_t *item = &g_array_index(message->items, channel_item_t, i);
--- a/src/core/replication/cancellation_log.c
+++ b/src/core/replication/cancellation_log.c
@@ -36,7 +36,7 @@
     bool known = incarnation == cancellations->incarnation && last_index <= cancellations->newest;
     cancellation_update_t update = {.incarnation = cancellations->incarnation,
                                     .after_index = known ? MAX(last_index, dropped) : dropped,
-                                    .base_age = now - cancellations->complete_since,
+                                    .complete_since_age_ms = now - cancellations->complete_since,
                                     .jobs = g_ptr_array_new_with_free_func(g_free)};
     update.last_index = MIN(cancellations->newest, update.after_index + CANCELLATION_UPDATE_COUNT);
     update.is_complete = update.last_index == cancellations->newest;
@@ -60,8 +60,8 @@
         /* What an earlier incarnation told, or what was dropped, was told before this moment, and
          * may be missing here. Clocks drift apart: the age is stretched towards now. */
         *replica = (cancellation_replica_t){.incarnation = update->incarnation};
-        replica->complete_since =
-            now - update->base_age + update->base_age / CLOCK_DRIFT_DIVISOR + 1;
+        replica->complete_since = now - update->complete_since_age_ms +
+                                  update->complete_since_age_ms / CLOCK_DRIFT_DIVISOR + 1;
     }
     replica->last_index = MAX(replica->last_index, update->last_index);
     if (update->is_complete)
--- a/src/core/replication/cancellation_log.h
+++ b/src/core/replication/cancellation_log.h
@@ -27,9 +27,10 @@
     uint64_t incarnation; /* of the controller that keeps the log */
     uint64_t after_index;
     uint64_t last_index;
-    bool is_complete; /* nothing else was told before this was put together */
-    msec_t base_age;  /* of the moment since when nothing was dropped; at most since its start */
-    GPtrArray *jobs;  /* ids, owned */
+    bool is_complete;             /* nothing else was told before this was put together */
+    msec_t complete_since_age_ms; /* of the moment since when nothing was dropped; at most since its
+                                     start */
+    GPtrArray *jobs;              /* ids, owned */
 } cancellation_update_t;
 
 typedef struct cancellation_replica {
--- a/src/io/peer_protocol.h
+++ b/src/io/peer_protocol.h
@@ -1,4 +1,8 @@
-/* Messages between controllers, as XDR in memory. */
+/** @file
+ * Messages between controllers, encoded as XDR (peer_protocol.x).
+ *
+ * Both directions use the same message. Pure functions: no state, no lock.
+ */
 #ifndef PEPPERPULLEY_PEER_PROTOCOL_H
 #define PEPPERPULLEY_PEER_PROTOCOL_H
 
@@ -7,31 +11,48 @@
 #include "core/replication/channel.h"
 #include "core/replication/summary_update.h"
 
-/* One message, decoded. Owns its arrays. */
-typedef struct decoded_message {
-    char sender[ID_BYTES];
-    uint64_t incarnation;
-    uint64_t view;
-    uint64_t number; /* of the batch; 0: none sent so far */
-    uint64_t ack;
-    msec_t kv_answer_age_ms;
-    msec_t hold_ms; /* an answer to a heartbeat: how long it was delayed for news */
-    msec_t
-        worker_heartbeat_age_ms; /* since a worker that the dispatcher owns last reported to it */
-    bool is_heartbeat;
-    uint64_t acknowledged_incarnation;
-    uint64_t acknowledged_index;
-    cancellation_update_t update; /* jobs NULL: none */
-    job_counts_update_t counts;   /* of a call: what the caller has, without jobs */
-    GArray *items;                /* channel_item_t */
-    summary_update_t summaries;   /* of a call: its summaries NULL: none are told; of an answer:
-                                     only the version, which the leader has */
-    GArray *cpus_being_preempted; /* double, a team each; NULL without summaries */
+/** One message, decoded. Owns its arrays; see peer_message_clear(). */
+typedef struct peer_message {
+    char sender[ID_BYTES];          /**< Name of the controller that sends it. */
+    uint64_t incarnation;           /**< Incarnation of the sender. */
+    uint64_t view_number;           /**< Number of the view that the sender has installed. */
+    uint64_t batch_number;          /**< Number of the batch in @ref items; 0: none sent so far. */
+    uint64_t acknowledged_batch;    /**< Number of the last batch that the sender received. */
+    msec_t kv_answer_age_ms;        /**< Time since the key-value store last answered the sender. */
+    msec_t answer_delay_ms;         /**< Of an answer to a heartbeat: for how long it was held back
+                                         while there was no new cancellation. */
+    msec_t worker_heartbeat_age_ms; /**< Time since a worker of the sender's partition last sent it
+                                         a heartbeat. */
+    bool is_heartbeat;              /**< A peer heartbeat or the answer to one; otherwise a call of
+                                         a partition or the leader's answer. */
+    uint64_t known_log_incarnation; /**< Of a heartbeat: incarnation of the receiver's cancellation
+                                         log that the sender has a replica of; 0: none. */
+    uint64_t known_log_index;       /**< Of a heartbeat: the replica has every entry of that log up
+                                         to this one. */
+    cancellation_update_t cancellations; /**< Of an answer to a heartbeat: new entries of the
+                                              sender's cancellation log. Its jobs are NULL where the
+                                              message has none. */
+    job_counts_update_t job_counts; /**< Of a heartbeat: the epoch and version that the sender has,
+                                         without jobs. Of an answer: what changed since. */
+    GArray *items;                  /**< The batch: array of channel_item_t, owned; NULL: empty. */
+    summary_update_t summaries;   /**< Of a partition's call: changes of its machine summaries; its
+                                       array is NULL if there are none. Of an answer: only the
+                                       version that the leader has. */
+    GArray *cpus_being_preempted; /**< Cpus of each team's work that the sender's partition is
+                                       preempting: array of double in the order of the teams in
+                                       the settings, owned; NULL without summaries. */
 } peer_message_t;
 
+/** Frees what @p message owns and sets its arrays to NULL. A second call does nothing. */
 void peer_message_clear(peer_message_t *message);
-/* NULL if it can't be encoded. items and summaries are only read. */
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(peer_message_t, peer_message_clear)
+
+/** Encodes @p message, which is only read. Returns the bytes (transfer full), or NULL if a string
+ * or a list is longer than the protocol allows. */
 GByteArray *peer_encode(const peer_message_t *message);
+
+/** Decodes @p size bytes at @p data. Returns true and fills @p message, to be cleared by the
+ * caller; or returns false for bytes that are no message and leaves @p message all zeros. */
 bool peer_decode(const uint8_t *data, gsize size, peer_message_t *message);
 
 #endif
--- a/src/io/peer_protocol.x
+++ b/src/io/peer_protocol.x
@@ -1,123 +1,125 @@
-/* What controllers say to each other. One message serves both directions: a batch of items under a
- * number, the number of the last batch received, and the dispatcher's machine summaries when they changed. */
+/* Messages between controllers. One message serves both directions: a batch of items under its
+ * number, the number of the last batch received, and the sender's machine summaries where they have
+ * changed. Names in this file are not part of the encoding; order and types are. */
 
-const PEER_NAME_MAX = 63;
-const PEER_ITEMS_MAX = 512;
-const PEER_SUMMARIES_MAX = 4096;
+const WIRE_NAME_MAX = 63;
+const WIRE_ITEMS_MAX = 512;
+const WIRE_SUMMARIES_MAX = 4096;
 
-struct peer_task_ref {
-    string job<PEER_NAME_MAX>;
+struct wire_task_ref {
+    string job<WIRE_NAME_MAX>;
     unsigned int task;
     unsigned hyper attempt;
 };
 
-struct peer_resources {
+struct wire_resources {
     double cpus;
     double gpus;
     double memory;
 };
 
-typedef string peer_name<PEER_NAME_MAX>;
+typedef string wire_name<WIRE_NAME_MAX>;
 
-struct peer_placement_request {
-    peer_task_ref ref;
-    peer_name team;
-    peer_name image;
-    peer_name zone;
-    peer_name types<64>;
-    bool any_type;
-    peer_resources need;
+struct wire_placement_request {
+    wire_task_ref ref;
+    wire_name team;
+    wire_name image;
+    wire_name zone;
+    wire_name types<64>;
+    bool any_type;                  /* types is empty and means every machine type */
+    wire_resources need;
     bool spot;
     bool gang;
     unsigned int priority;
     double save_s;
     double checkpoint_s;
     unsigned hyper job_revision;
-    bool preempt;
+    bool may_preempt;
     bool claims_guarantee;
-    unsigned hyper preemptible_teams;
+    unsigned hyper preemptible_teams; /* a bit a team */
 };
 
-struct peer_attempt_result {
-    peer_task_ref ref;
+struct wire_attempt_result {
+    wire_task_ref ref;
     unsigned int cause;
-    peer_name machine;
+    wire_name machine;
 };
 
-enum peer_kind {
-    PEER_PLACEMENT_REQUEST = 0,
-    PEER_ACKNOWLEDGE = 1,
-    PEER_WITHDRAW = 2,
-    PEER_DRAIN = 3,
-    PEER_MACHINE_TERMINATED = 4,
-    PEER_CANCEL_DRAIN = 5,
-    PEER_ATTEMPT_RESULT = 6
+/* The values are those of channel_item_kind_t. */
+enum wire_item_kind {
+    WIRE_PLACEMENT_REQUEST = 0,
+    WIRE_ACKNOWLEDGE = 1,
+    WIRE_WITHDRAW = 2,
+    WIRE_DRAIN = 3,
+    WIRE_MACHINE_TERMINATED = 4,
+    WIRE_CANCEL_DRAIN = 5,
+    WIRE_ATTEMPT_RESULT = 6
 };
 
-union peer_item switch (peer_kind kind) {
-case PEER_PLACEMENT_REQUEST:
-    peer_placement_request request;
-case PEER_ACKNOWLEDGE:
-case PEER_WITHDRAW:
-    peer_task_ref ref;
-case PEER_DRAIN:
-case PEER_MACHINE_TERMINATED:
-case PEER_CANCEL_DRAIN:
-    peer_name machine;
-case PEER_ATTEMPT_RESULT:
-    peer_attempt_result result;
+union wire_item switch (wire_item_kind kind) {
+case WIRE_PLACEMENT_REQUEST:
+    wire_placement_request request;
+case WIRE_ACKNOWLEDGE:
+case WIRE_WITHDRAW:
+    wire_task_ref ref;
+case WIRE_DRAIN:
+case WIRE_MACHINE_TERMINATED:
+case WIRE_CANCEL_DRAIN:
+    wire_name machine;
+case WIRE_ATTEMPT_RESULT:
+    wire_attempt_result result;
 };
 
-struct peer_machine_summary {
-    peer_name machine;
-    peer_name type;
-    peer_name zone;
+struct wire_machine_summary {
+    wire_name machine;
+    wire_name type;
+    wire_name zone;
     bool spot;
     bool open;
     bool draining;
-    peer_resources total;
-    peer_resources free;
+    wire_resources total;
+    wire_resources free;
     unsigned int attempts;
     hyper silent_ms;
     hyper idle_ms;
     hyper known_ms;
 };
 
-struct peer_cancellation_update {
+struct wire_cancellation_update {
     unsigned hyper after_index;
     unsigned hyper last_index;
-    bool whole;
-    hyper base_age; /* ms */
-    peer_name jobs<PEER_ITEMS_MAX>;
+    bool is_complete;
+    hyper complete_since_age_ms;
+    wire_name jobs<WIRE_ITEMS_MAX>;
 };
 
-struct peer_job_counts {
-    peer_name job;
+struct wire_job_counts {
+    wire_name job;
     unsigned int done;
     unsigned int outstanding;
 };
 
-struct peer_message {
-    peer_name sender;
-    unsigned hyper incarnation;
-    unsigned hyper view;
-    unsigned hyper number;
-    unsigned hyper ack;
-    hyper kv_answer_age_ms; /* ms since the key-value store last answered the dispatcher */
-    hyper hold_ms;            /* an answer to a heartbeat: how long it was delayed for news */
-    hyper worker_heartbeat_age_ms;  /* ms since a worker that the dispatcher owns last reported to it */
-    bool is_heartbeat;     /* a call, or the answer to one, from any controller to any other */
-    unsigned hyper acknowledged_incarnation; /* a call: of whose cancellation log the caller has ... */
-    unsigned hyper acknowledged_index;     /* ... all up to this number */
-    peer_cancellation_update update;               /* an answer: what the dispatcher told users */
-    unsigned hyper counts_epoch;   /* a call: of whose counts of jobs the caller has ... */
-    unsigned hyper counts_version; /* ... all up to this; an answer: has with this answer */
-    peer_job_counts counts<PEER_ITEMS_MAX>;
-    peer_item items<PEER_ITEMS_MAX>;
+struct wire_message {
+    wire_name sender;
+    unsigned hyper incarnation;     /* of the sender */
+    unsigned hyper view_number;
+    unsigned hyper batch_number;
+    unsigned hyper acknowledged_batch;
+    hyper kv_answer_age_ms;         /* ms since the key-value store last answered the sender */
+    hyper answer_delay_ms;          /* an answer to a heartbeat: for how long it was held back */
+    hyper worker_heartbeat_age_ms;  /* ms since a worker that the sender owns last sent it a heartbeat */
+    bool is_heartbeat;              /* a call, or the answer to one, from any controller to any other */
+    unsigned hyper known_log_incarnation; /* a call: the caller has the cancellation log of this ... */
+    unsigned hyper known_log_index;       /* ... incarnation up to this entry */
+    wire_cancellation_update cancellations; /* an answer: those that the sender confirmed to users */
+    unsigned hyper job_counts_epoch;   /* a call: the caller has the job counts of this epoch ... */
+    unsigned hyper job_counts_version; /* ... up to this version; an answer: has them with it */
+    wire_job_counts job_counts<WIRE_ITEMS_MAX>;
+    wire_item items<WIRE_ITEMS_MAX>;
     bool has_summaries;
-    unsigned hyper summaries_base;    /* what follows are changes to this version; 0: all there is */
-    unsigned hyper summaries_version; /* a call: of what follows; an answer: of what was taken */
-    peer_machine_summary summaries<PEER_SUMMARIES_MAX>;
-    peer_name terminated<PEER_SUMMARIES_MAX>; /* machines of the base that are not there any more */
+    unsigned hyper summaries_base;    /* the version that the summaries change; 0: they are all */
+    unsigned hyper summaries_version; /* a call: of what follows; an answer: of what was applied */
+    wire_machine_summary summaries<WIRE_SUMMARIES_MAX>;
+    wire_name terminated<WIRE_SUMMARIES_MAX>; /* machines of the base that no longer exist */
     double cpus_being_preempted<64>;
 };
--- /dev/null
+++ b/src/io/peer_wire_internal.h
@@ -0,0 +1,24 @@
+/** @file
+ * Conversions between the values that a peer message carries and their generated XDR types, for
+ * peer_protocol.c alone. Pure functions: no state, no lock.
+ */
+#ifndef PEPPERPULLEY_PEER_WIRE_INTERNAL_H
+#define PEPPERPULLEY_PEER_WIRE_INTERNAL_H
+
+#include "core/leader/leader.h"
+#include "core/replication/channel.h"
+#include "peer_protocol_xdr.h"
+
+/** Fills @p to, all zeros before, from @p item. The result borrows the strings of @p item. */
+void peer_wire_encode_item(const channel_item_t *item, wire_item *to);
+
+/** Fills @p item from @p from, whose strings are copied. The caller owns @p item. */
+void peer_wire_decode_item(const wire_item *from, channel_item_t *item);
+
+/** Fills @p to from @p summary. The result borrows the strings of @p summary. */
+void peer_wire_encode_summary(const machine_summary_t *summary, wire_machine_summary *to);
+
+/** Fills @p summary from @p from, whose strings are copied. */
+void peer_wire_decode_summary(const wire_machine_summary *from, machine_summary_t *summary);
+
+#endif
--- a/tests/controller/test_controller.c
+++ b/tests/controller/test_controller.c
@@ -1157,8 +1157,8 @@
 {
     peer_message_t call = {.sender = "controller-1",
                            .is_heartbeat = true,
-                           .acknowledged_incarnation = incarnation,
-                           .acknowledged_index = index};
+                           .known_log_incarnation = incarnation,
+                           .known_log_index = index};
     peer_message_t answer;
     GByteArray *frame = peer_heartbeat_answer(controller, &call);
     assert_true(peer_decode(frame->data, frame->len, &answer));
@@ -1175,17 +1175,17 @@
     prepare();
     controller_t *controller = controller_new(settings_of(0, peers, 2), policy_default());
     peer_message_t first = ask_heartbeat(controller, 0, 0);
-    assert_int_equal(first.hold_ms, 0);
+    assert_int_equal(first.answer_delay_ms, 0);
     peer_message_t second =
-        ask_heartbeat(controller, first.update.incarnation, first.update.last_index);
-    assert_true(second.hold_ms >= PEER_HEARTBEAT_HOLD_MS);
+        ask_heartbeat(controller, first.cancellations.incarnation, first.cancellations.last_index);
+    assert_true(second.answer_delay_ms >= PEER_HEARTBEAT_HOLD_MS);
     pthread_mutex_lock(&controller->lock);
     job_directory_record_terminal(controller, "j-000001", false);
     pthread_mutex_unlock(&controller->lock);
-    peer_message_t third =
-        ask_heartbeat(controller, second.update.incarnation, second.update.last_index);
-    assert_int_equal(third.hold_ms, 0);
-    assert_int_equal(third.update.jobs->len, 1);
+    peer_message_t third = ask_heartbeat(controller, second.cancellations.incarnation,
+                                         second.cancellations.last_index);
+    assert_int_equal(third.answer_delay_ms, 0);
+    assert_int_equal(third.cancellations.jobs->len, 1);
     peer_message_clear(&first);
     peer_message_clear(&second);
     peer_message_clear(&third);
--- a/tests/core/replication/test_channel.c
+++ b/tests/core/replication/test_channel.c
@@ -53,8 +53,11 @@
 {
     (void)state;
     char *types[] = {"t16", "t32", NULL};
-    peer_message_t message = {
-        .sender = "controller-1", .incarnation = 77, .view = 5, .number = 3, .ack = 2};
+    peer_message_t message = {.sender = "controller-1",
+                              .incarnation = 77,
+                              .view_number = 5,
+                              .batch_number = 3,
+                              .acknowledged_batch = 2};
     message.items = channel_items_new();
     channel_item_t request = {.kind = CHANNEL_PLACEMENT_REQUEST};
     request.request = (placement_request_t){.job = "j-000001",
@@ -76,14 +79,14 @@
         .machine = "m-1", .type = "t16", .zone = "zone-a", .free = {3, 0, 7}};
     g_array_append_val(message.summaries.summaries, summary);
     job_counts_t counts = {.job = "j-000003", .done = 4, .outstanding = 100000};
-    message.counts = (job_counts_update_t){.epoch = 6, .version = 1ULL << 33};
-    message.counts.jobs = g_array_new(FALSE, FALSE, sizeof(job_counts_t));
-    g_array_append_val(message.counts.jobs, counts);
+    message.job_counts = (job_counts_update_t){.epoch = 6, .version = 1ULL << 33};
+    message.job_counts.jobs = g_array_new(FALSE, FALSE, sizeof(job_counts_t));
+    g_array_append_val(message.job_counts.jobs, counts);
     GByteArray *frame = peer_encode(&message);
     assert_non_null(frame);
     peer_message_t decoded;
     assert_true(peer_decode(frame->data, frame->len, &decoded));
-    assert_int_equal(decoded.view, 5);
+    assert_int_equal(decoded.view_number, 5);
     assert_int_equal(decoded.items->len, 2);
     const placement_request_t *got = &g_array_index(decoded.items, channel_item_t, 0).request;
     assert_string_equal(got->types[1], "t32");
@@ -91,9 +94,9 @@
     assert_true(got->may_preempt);
     assert_int_equal(g_array_index(decoded.items, channel_item_t, 1).result.cause, CAUSE_DONE);
     assert_true(g_array_index(decoded.summaries.summaries, machine_summary_t, 0).free.memory > 6.9);
-    assert_true(decoded.counts.epoch == 6 && decoded.counts.version == 1ULL << 33);
-    assert_int_equal(decoded.counts.jobs->len, 1);
-    counts = g_array_index(decoded.counts.jobs, job_counts_t, 0);
+    assert_true(decoded.job_counts.epoch == 6 && decoded.job_counts.version == 1ULL << 33);
+    assert_int_equal(decoded.job_counts.jobs->len, 1);
+    counts = g_array_index(decoded.job_counts.jobs, job_counts_t, 0);
     assert_string_equal(counts.job, "j-000003");
     assert_true(counts.done == 4 && counts.outstanding == 100000);
     peer_message_t cut_off;
--- a/tests/io/test_message_samples.c
+++ b/tests/io/test_message_samples.c
@@ -21,21 +21,23 @@
 /* Without lists. */
 static peer_message_t sample_message(void)
 {
-    return (peer_message_t){
-        .sender = "node-2",
-        .incarnation = 1700000000456,
-        .view = 41,
-        .number = 42,
-        .ack = 43,
-        .kv_answer_age_ms = 44,
-        .hold_ms = 45,
-        .worker_heartbeat_age_ms = 46,
-        .is_heartbeat = true,
-        .acknowledged_incarnation = 47,
-        .acknowledged_index = 48,
-        .update = {.after_index = 49, .last_index = 50, .is_complete = true, .base_age = -51},
-        .counts = {.epoch = 52, .version = 53},
-        .summaries = {.base = 54, .version = 55}};
+    return (peer_message_t){.sender = "node-2",
+                            .incarnation = 1700000000456,
+                            .view_number = 41,
+                            .batch_number = 42,
+                            .acknowledged_batch = 43,
+                            .kv_answer_age_ms = 44,
+                            .answer_delay_ms = 45,
+                            .worker_heartbeat_age_ms = 46,
+                            .is_heartbeat = true,
+                            .known_log_incarnation = 47,
+                            .known_log_index = 48,
+                            .cancellations = {.after_index = 49,
+                                              .last_index = 50,
+                                              .is_complete = true,
+                                              .complete_since_age_ms = -51},
+                            .job_counts = {.epoch = 52, .version = 53},
+                            .summaries = {.base = 54, .version = 55}};
 }
 
 static channel_item_t sample_request(bool any_type)
@@ -168,11 +170,11 @@
     (void)state;
     const job_counts_t counts[] = {{"j-000412", 7, 5}, {"j-000398", 8, 6}};
     peer_message_t message = sample_message();
-    message.update.jobs = g_ptr_array_new_with_free_func(g_free);
-    g_ptr_array_add(message.update.jobs, g_strdup("j-000395"));
-    g_ptr_array_add(message.update.jobs, g_strdup("j-000396"));
-    message.counts.jobs = g_array_new(FALSE, FALSE, sizeof(job_counts_t));
-    g_array_append_vals(message.counts.jobs, counts, G_N_ELEMENTS(counts));
+    message.cancellations.jobs = g_ptr_array_new_with_free_func(g_free);
+    g_ptr_array_add(message.cancellations.jobs, g_strdup("j-000395"));
+    g_ptr_array_add(message.cancellations.jobs, g_strdup("j-000396"));
+    message.job_counts.jobs = g_array_new(FALSE, FALSE, sizeof(job_counts_t));
+    g_array_append_vals(message.job_counts.jobs, counts, G_N_ELEMENTS(counts));
     assert_message_is_sample("peer_heartbeat.hex", message);
 }
 
@@ -182,24 +184,25 @@
     peer_message_t message = read_message_sample("peer_heartbeat.hex");
     assert_string_equal(message.sender, "node-2");
     assert_true(message.incarnation == 1700000000456 && message.is_heartbeat);
-    assert_int_equal(message.view, 41);
-    assert_int_equal(message.number, 42);
-    assert_int_equal(message.ack, 43);
+    assert_int_equal(message.view_number, 41);
+    assert_int_equal(message.batch_number, 42);
+    assert_int_equal(message.acknowledged_batch, 43);
     assert_int_equal(message.kv_answer_age_ms, 44);
-    assert_int_equal(message.hold_ms, 45);
+    assert_int_equal(message.answer_delay_ms, 45);
     assert_int_equal(message.worker_heartbeat_age_ms, 46);
-    assert_int_equal(message.acknowledged_incarnation, 47);
-    assert_int_equal(message.acknowledged_index, 48);
-    assert_true(message.update.incarnation == message.incarnation);
-    assert_int_equal(message.update.after_index, 49);
-    assert_int_equal(message.update.last_index, 50);
-    assert_true(message.update.is_complete && message.update.base_age == -51);
-    assert_int_equal(message.update.jobs->len, 2);
-    assert_string_equal(g_ptr_array_index(message.update.jobs, 1), "j-000396");
-    assert_int_equal(message.counts.epoch, 52);
-    assert_int_equal(message.counts.version, 53);
-    assert_int_equal(message.counts.jobs->len, 2);
-    const job_counts_t *counts = &g_array_index(message.counts.jobs, job_counts_t, 0);
+    assert_int_equal(message.known_log_incarnation, 47);
+    assert_int_equal(message.known_log_index, 48);
+    assert_true(message.cancellations.incarnation == message.incarnation);
+    assert_int_equal(message.cancellations.after_index, 49);
+    assert_int_equal(message.cancellations.last_index, 50);
+    assert_true(message.cancellations.is_complete &&
+                message.cancellations.complete_since_age_ms == -51);
+    assert_int_equal(message.cancellations.jobs->len, 2);
+    assert_string_equal(g_ptr_array_index(message.cancellations.jobs, 1), "j-000396");
+    assert_int_equal(message.job_counts.epoch, 52);
+    assert_int_equal(message.job_counts.version, 53);
+    assert_int_equal(message.job_counts.jobs->len, 2);
+    const job_counts_t *counts = &g_array_index(message.job_counts.jobs, job_counts_t, 0);
     assert_string_equal(counts[0].job, "j-000412");
     assert_int_equal(counts[0].done, 7);
     assert_int_equal(counts[0].outstanding, 5);
