--- a/src/controller/peer/peer_client.c
+++ b/src/controller/peer/peer_client.c
@@ -1,5 +1,5 @@
-/* The side that calls: a partition, over and over, its leader. */
 #include "controller/peer/peer_client.h"
+#include "controller/peer/partition_end.h"
 #include "controller/peer/peer_exchange.h"
 #include "controller/peer/peer_relay.h"
 #include "controller/placement/partition_items.h"
@@ -9,102 +9,81 @@
 
 #include "io/clock.h"
 
-void peer_client_receive(controller_t *controller, const peer_message_t *message)
-{
-    peer_exchange_receive_any(controller, message);
-    if (!controller->placement.is_loaded ||
-        message->view_number != controller->membership.view.number ||
-        message->incarnation != controller->membership.view.incarnation)
-        return;
-    channel_ack(controller->peers.leader_channel, message->acknowledged_batch);
-    if (!message->items->len ||
-        !channel_accept(controller->peers.leader_channel, message->batch_number))
-        return;
-    for (guint i = 0; i < message->items->len; i++)
-        partition_items_handle(controller, &g_array_index(message->items, channel_item_t, i),
-                               clock_steady());
-}
-
-static const char *leader_endpoint(const controller_t *controller)
-{
-    for (guint i = 0; i < controller->settings->siblings->len; i++) {
-        const sibling_t *sibling = &g_array_index(controller->settings->siblings, sibling_t, i);
-        if (strcmp(sibling->name, controller->membership.view.leader) == 0)
-            return sibling->endpoint;
-    }
-    return NULL;
-}
-
-/* The partition's side of the exchange. */
+/* The loop's state. Used by its thread alone. */
 typedef struct peer_client {
     controller_t *controller;
-    http_client_t *client;
-    int fd;                        /* to the leader; -1: none */
-    char endpoint[ADDRESS_BYTES];  /* of the leader */
-    char connected[ADDRESS_BYTES]; /* where fd leads */
-    msec_t reached;                /* last exchange by socket */
-    msec_t tried;                  /* last try of a connection */
+    http_client_t *http;                    /* for the relay; owned */
+    int fd;                                 /* connection to the leader; -1: none */
+    char leader_endpoint[ADDRESS_BYTES];    /* where the leader of the current view listens */
+    char connected_endpoint[ADDRESS_BYTES]; /* where fd leads */
+    msec_t last_socket_exchange_at;
+    msec_t last_connect_at; /* when a connection was last tried */
     msec_t summaries_sent_at;
-    uint64_t reported_batch; /* the batch that the machine summaries sent last answered */
-    uint64_t generation;     /* of the data from which they came */
+    uint64_t summarized_batch;      /* the newest batch received when summaries were last sent */
+    uint64_t summarized_generation; /* generation of the data that those summaries were made of */
     summary_sender_t summaries;
 } peer_client_t;
 
-/* Machine summaries are most of a message: they go with news of batches, else at a slower pace.
- * With the lock held. */
-static bool wants_summaries(peer_client_t *peer)
+/* Whether machine summaries go with the next message. They are most of a message, so they follow
+ * new batches and new data at once, and go at a slower pace otherwise. Called with the lock held.
+ */
+static bool are_summaries_due(const peer_client_t *client)
 {
-    const controller_t *controller = peer->controller;
-    if (controller->peers.leader_channel->received == peer->reported_batch &&
-        controller->placement.generation == peer->generation &&
-        clock_steady() - peer->summaries_sent_at <= PEER_SUMMARIES_GAP_MS)
-        return false;
-    peer->reported_batch = controller->peers.leader_channel->received;
-    peer->summaries_sent_at = clock_steady();
-    peer->generation = controller->placement.generation;
-    return true;
+    const controller_t *controller = client->controller;
+    return controller->peers.leader_channel->last_received_batch != client->summarized_batch ||
+           controller->placement.generation != client->summarized_generation ||
+           clock_steady() - client->summaries_sent_at > PEER_SUMMARIES_GAP_MS;
 }
 
-/* With the lock held: the summaries that go with the next message; the caller's. */
-static summary_update_t next_summaries(peer_client_t *peer)
+/* The summaries that go with the next message (transfer full); all zeros: none. Called with the
+ * lock held. */
+static summary_update_t next_summaries(peer_client_t *client)
 {
-    const controller_t *controller = peer->controller;
-    uint64_t generation = peer->generation;
-    if (!wants_summaries(peer))
+    const controller_t *controller = client->controller;
+    if (!are_summaries_due(client))
         return (summary_update_t){0};
-    if (peer->generation != generation)
-        summary_sender_reset(&peer->summaries);
+    if (controller->placement.generation != client->summarized_generation)
+        summary_sender_reset(&client->summaries);
+    client->summarized_batch = controller->peers.leader_channel->last_received_batch;
+    client->summarized_generation = controller->placement.generation;
+    client->summaries_sent_at = clock_steady();
     msec_t now = clock_steady();
-    return summary_sender_next(&peer->summaries, partition_items_summaries(controller, now), now);
+    return summary_sender_next(&client->summaries, partition_items_summaries(controller, now), now);
 }
 
-/* Whether the leader answered by socket. */
-static bool exchange(peer_client_t *peer, const GByteArray *frame)
+/* Where the leader listens, transfer none; NULL: it is not among the siblings. */
+static const char *find_leader_endpoint(const controller_t *controller)
 {
-    controller_t *controller = peer->controller;
-    peer_message_t message;
-    if (!peer_exchange_converse(peer->fd, frame, &message))
-        return false;
-    pthread_mutex_lock(&controller->lock);
-    peer_client_receive(controller, &message);
-    summary_sender_acknowledge(&peer->summaries, message.summaries.version);
-    pthread_mutex_unlock(&controller->lock);
-    peer_message_clear(&message);
-    return true;
+    for (guint i = 0; i < controller->settings->siblings->len; i++) {
+        const sibling_t *sibling = &g_array_index(controller->settings->siblings, sibling_t, i);
+        if (strcmp(sibling->name, controller->membership.view.leader) == 0)
+            return sibling->endpoint;
+    }
+    return NULL;
 }
 
-/* The next message to the leader, to be freed; NULL: this controller leads or has nothing loaded,
- * and a while has passed. */
-static GByteArray *next_frame(peer_client_t *peer)
+/* Where the leader to call listens, transfer none; NULL: there is none to call, because this
+ * controller leads, is not a member or has no data loaded. Called with the lock held. */
+static const char *endpoint_to_call(const controller_t *controller)
 {
-    controller_t *controller = peer->controller;
+    if (controller->membership.is_leader || !controller->placement.is_loaded ||
+        controller->membership.own_index == G_MAXUINT)
+        return NULL;
+    return find_leader_endpoint(controller);
+}
+
+/* The next message to the leader, transfer full. If there is no leader to call, waits for a while
+ * and returns NULL. */
+static GByteArray *next_frame(peer_client_t *client)
+{
+    controller_t *controller = client->controller;
     GByteArray *frame = NULL;
     pthread_mutex_lock(&controller->lock);
-    if (!controller->membership.is_leader && controller->placement.is_loaded &&
-        controller->membership.own_index != G_MAXUINT && leader_endpoint(controller)) {
-        g_strlcpy(peer->endpoint, leader_endpoint(controller), sizeof peer->endpoint);
-        summary_update_t summaries = next_summaries(peer);
-        frame = peer_exchange_compose(controller, controller->peers.leader_channel, &summaries);
+    const char *endpoint = endpoint_to_call(controller);
+    if (endpoint) {
+        g_strlcpy(client->leader_endpoint, endpoint, sizeof client->leader_endpoint);
+        frame = peer_exchange_compose(controller, controller->peers.leader_channel,
+                                      next_summaries(client));
     } else {
         controller_wait(controller, &controller->peers.item_available, MEMBER_TICK_MS);
     }
@@ -112,49 +91,72 @@
     return frame;
 }
 
-static void disconnect(peer_client_t *peer)
+static void disconnect(peer_client_t *client)
 {
-    if (peer->fd >= 0)
-        close(peer->fd);
-    peer->fd = -1;
+    if (client->fd >= 0)
+        close(client->fd);
+    client->fd = -1;
 }
 
-/* One exchange, by socket or, if there was none by socket for a while, by relay. False: not by
- * socket. */
-static bool exchange_once(peer_client_t *peer, const GByteArray *frame)
+static void connect_to_leader(peer_client_t *client)
 {
-    if (strcmp(peer->endpoint, peer->connected) != 0)
-        disconnect(peer);
-    /* While the relay is used, sockets are tried now and then only: behind a cut each try hangs. */
-    bool by_relay = clock_steady() - peer->reached > RELAY_AFTER_MS;
-    if (peer->fd < 0 && (!by_relay || clock_steady() - peer->tried > RELAY_SOCKET_GAP_MS)) {
-        peer->fd = peer_connect(peer->endpoint, PEER_TIMEOUT_MS);
-        g_strlcpy(peer->connected, peer->endpoint, sizeof peer->connected);
-        peer->tried = clock_steady();
-    }
-    if (peer->fd >= 0 && exchange(peer, frame)) {
-        peer->reached = clock_steady();
+    client->fd = peer_connect(client->leader_endpoint, PEER_TIMEOUT_MS);
+    g_strlcpy(client->connected_endpoint, client->leader_endpoint,
+              sizeof client->connected_endpoint);
+    client->last_connect_at = clock_steady();
+}
+
+/* Returns whether the leader answered by socket. */
+static bool exchange_by_socket(peer_client_t *client, const GByteArray *frame)
+{
+    controller_t *controller = client->controller;
+    g_auto(peer_message_t) message = {0};
+    if (!peer_exchange_call(client->fd, frame, &message))
+        return false;
+    pthread_mutex_lock(&controller->lock);
+    partition_end_receive(controller, &message);
+    summary_sender_acknowledge(&client->summaries, message.summaries.version);
+    pthread_mutex_unlock(&controller->lock);
+    return true;
+}
+
+/* One exchange: by socket or, if there was none by socket for a while, by relay. Returns whether it
+ * was by socket. */
+static bool exchange_once(peer_client_t *client, const GByteArray *frame)
+{
+    if (strcmp(client->leader_endpoint, client->connected_endpoint) != 0)
+        disconnect(client);
+    bool uses_relay = clock_steady() - client->last_socket_exchange_at > RELAY_AFTER_MS;
+    /* While the relay is used, sockets are tried rarely: behind a network cut each try hangs. */
+    if (client->fd < 0 &&
+        (!uses_relay || clock_steady() - client->last_connect_at > RELAY_SOCKET_GAP_MS))
+        connect_to_leader(client);
+    if (client->fd >= 0 && exchange_by_socket(client, frame)) {
+        client->last_socket_exchange_at = clock_steady();
         return true;
     }
-    if (by_relay)
-        peer_relay_exchange(peer->controller, peer->client, frame);
-    peer->summaries_sent_at = 0;
-    summary_sender_reset(&peer->summaries);
-    disconnect(peer);
+    if (uses_relay)
+        peer_relay_exchange(client->controller, client->http, frame);
+    /* What arrived is not known: the next message has all summaries. */
+    client->summaries_sent_at = 0;
+    summary_sender_reset(&client->summaries);
+    disconnect(client);
     return false;
 }
 
 void *peer_client_run(void *data)
 {
-    peer_client_t peer = {
-        .controller = data, .client = http_client_new(2), .fd = -1, .reached = clock_steady()};
+    peer_client_t client = {.controller = data,
+                            .http = http_client_new(2),
+                            .fd = -1,
+                            .last_socket_exchange_at = clock_steady()};
     for (;;) {
-        GByteArray *frame = next_frame(&peer);
+        GByteArray *frame = next_frame(&client);
         if (!frame)
             continue;
-        bool done = exchange_once(&peer, frame);
+        bool is_by_socket = exchange_once(&client, frame);
         g_byte_array_unref(frame);
-        controller_sleep(done ? PEER_GAP_MS : PEER_RETRY_MS);
+        controller_sleep(is_by_socket ? PEER_GAP_MS : PEER_RETRY_MS);
     }
     return NULL;
 }
--- a/src/controller/peer/peer_exchange.c
+++ b/src/controller/peer/peer_exchange.c
@@ -1,17 +1,9 @@
-/* The exchange between the leader and the partitions, by sockets or, where those fail, by relay:
- * the same messages as values in the key-value store, which a cut between zones leaves in reach.
- * What is late or repeated there is as harmless as on a socket, by the numbers that the messages
- * bear.
- *
- * Each partition calls the leader, over and over: what it
- * has to tell goes with the call, what the leader wants comes with the answer, which the leader
- * holds back for a moment while it has nothing to say. */
 #include "controller/peer/peer_exchange.h"
 #include "controller/placement/partition_items.h"
 
 #include "io/clock.h"
 
-peer_message_t peer_exchange_message(const controller_t *controller)
+peer_message_t peer_exchange_new_message(const controller_t *controller)
 {
     peer_message_t message = {.incarnation = controller->incarnation,
                               .view_number = controller->membership.view.number};
@@ -22,38 +14,41 @@
 }
 
 GByteArray *peer_exchange_compose(const controller_t *controller, channel_t *channel,
-                                  const summary_update_t *summaries)
+                                  summary_update_t summaries)
 {
-    peer_message_t message = peer_exchange_message(controller);
+    g_auto(peer_message_t) message = peer_exchange_new_message(controller);
     if (channel) {
-        message.items = g_array_ref((GArray *)(void *)channel_batch(channel, PEER_BATCH_COUNT));
-        message.batch_number = channel->sent;
-        message.acknowledged_batch = channel->received;
+        message.items = g_array_ref(channel_current_batch(channel, PEER_BATCH_COUNT));
+        message.batch_number = channel->last_sent_batch;
+        message.acknowledged_batch = channel->last_received_batch;
     }
-    if (summaries) {
-        message.summaries = *summaries;
-        message.cpus_being_preempted =
-            summaries->summaries ? partition_items_cpus_being_preempted(controller) : NULL;
-    }
-    GByteArray *frame = peer_encode(&message);
-    peer_message_clear(&message);
-    return frame;
+    message.summaries = summaries;
+    if (summaries.summaries)
+        message.cpus_being_preempted = partition_items_cpus_being_preempted(controller);
+    return peer_encode(&message);
+}
+
+void peer_exchange_observe_sender(controller_t *controller, const peer_message_t *message)
+{
+    membership_t *membership = &controller->membership;
+    peer_state_t *peers = &controller->peers;
+    membership->highest_view_seen = MAX(membership->highest_view_seen, message->view_number);
+    peers->sibling_message_at = clock_steady();
+    msec_t kv_answered_at = clock_steady() - message->kv_answer_age_ms;
+    peers->siblings_kv_answered_at = MAX(peers->siblings_kv_answered_at, kv_answered_at);
 }
 
-void peer_exchange_receive_any(controller_t *controller, const peer_message_t *message)
+bool peer_exchange_is_from_leader(const controller_t *controller, const peer_message_t *message)
 {
-    controller->membership.highest_view_seen =
-        MAX(controller->membership.highest_view_seen, message->view_number);
-    controller->peers.sibling_message_at = clock_steady();
-    controller->peers.siblings_kv_answered_at =
-        MAX(controller->peers.siblings_kv_answered_at, clock_steady() - message->kv_answer_age_ms);
+    const view_t *view = &controller->membership.view;
+    return message->view_number == view->number && message->incarnation == view->incarnation;
 }
 
-bool peer_exchange_converse(int fd, const GByteArray *frame, peer_message_t *message)
+bool peer_exchange_call(int fd, const GByteArray *frame, peer_message_t *message)
 {
-    GByteArray *answer = peer_send(fd, frame) ? peer_receive(fd) : NULL;
-    bool valid = answer && peer_decode(answer->data, answer->len, message);
-    if (answer)
-        g_byte_array_unref(answer);
-    return valid;
+    *message = (peer_message_t){0};
+    if (!peer_send(fd, frame))
+        return false;
+    g_autoptr(GByteArray) answer = peer_receive(fd);
+    return answer && peer_decode(answer->data, answer->len, message);
 }
--- a/src/controller/peer/peer_heartbeat.c
+++ b/src/controller/peer/peer_heartbeat.c
@@ -1,4 +1,3 @@
-/* Heartbeats: every controller asks every other what cancellations it told its users of. */
 #include "controller/peer/peer_heartbeat.h"
 #include "controller/peer/peer_exchange.h"
 
@@ -8,19 +7,20 @@
 #include "io/clock.h"
 #include "io/log.h"
 
-/* A sibling to which a thread of ours sends heartbeats. */
-typedef struct peer_heartbeat {
+/* What a thread that sends heartbeats to one sibling works with. */
+typedef struct heartbeat_sender {
     controller_t *controller;
-    guint index; /* among the settings' siblings */
-} peer_heartbeat_t;
+    guint sibling; /* index among the settings' siblings */
+} heartbeat_sender_t;
 
-static GByteArray *compose_heartbeat(const peer_heartbeat_t *peer_heartbeat)
+/* The next heartbeat to the sibling, encoded; transfer full. Takes the lock. */
+static GByteArray *compose_heartbeat(const heartbeat_sender_t *sender)
 {
-    controller_t *controller = peer_heartbeat->controller;
+    controller_t *controller = sender->controller;
     pthread_mutex_lock(&controller->lock);
     const cancellation_replica_t *replica =
-        &controller->jobs.cancellations.siblings[peer_heartbeat->index];
-    peer_message_t message = peer_exchange_message(controller);
+        &controller->jobs.cancellations.siblings[sender->sibling];
+    peer_message_t message = peer_exchange_new_message(controller);
     message.is_heartbeat = true;
     message.known_log_incarnation = replica->incarnation;
     message.known_log_index = replica->last_index;
@@ -30,44 +30,71 @@
     return peer_encode(&message);
 }
 
-/* With the lock held, which is given up meanwhile: waits until there is a cancellation that the
- * caller has not got, for a while at most. Returns how long that was. */
-static msec_t hold_answer(controller_t *controller, const peer_message_t *message)
+/* Whether the sender of the heartbeat has every entry of this controller's log. */
+static bool is_log_known(const cancellation_log_t *log, const peer_message_t *message)
+{
+    return message->known_log_incarnation == log->incarnation &&
+           message->known_log_index >= log->newest;
+}
+
+/* Waits for a cancellation that the sender of the heartbeat does not have, up to
+ * PEER_HEARTBEAT_HOLD_MS. Returns for how long it waited. Called with the lock held, which is
+ * released meanwhile. */
+static msec_t wait_for_cancellation(controller_t *controller, const peer_message_t *message)
 {
     const cancellation_log_t *log = &controller->jobs.cancellations;
-    msec_t begun = clock_steady();
-    msec_t hold = 0;
-    while (message->known_log_incarnation == log->incarnation &&
-           message->known_log_index >= log->newest && hold < PEER_HEARTBEAT_HOLD_MS) {
+    msec_t begun_at = clock_steady();
+    msec_t waited_ms = 0;
+    while (is_log_known(log, message) && waited_ms < PEER_HEARTBEAT_HOLD_MS) {
         controller_wait(controller, &controller->jobs.cancellation_appended,
-                        PEER_HEARTBEAT_HOLD_MS - hold);
-        hold = clock_steady() - begun;
+                        PEER_HEARTBEAT_HOLD_MS - waited_ms);
+        waited_ms = clock_steady() - begun_at;
     }
-    return hold;
+    return waited_ms;
 }
 
-GByteArray *peer_heartbeat_answer(controller_t *controller, const peer_message_t *message)
+/* The answer to a heartbeat, for which the sender has waited so long; transfer full. Called with
+ * the lock held. */
+static peer_message_t new_answer(controller_t *controller, const peer_message_t *heartbeat,
+                                 msec_t waited_ms)
 {
-    pthread_mutex_lock(&controller->lock);
-    peer_exchange_receive_any(controller, message);
-    msec_t hold = hold_answer(controller, message);
-    peer_message_t answer = peer_exchange_message(controller);
+    peer_message_t answer = peer_exchange_new_message(controller);
     answer.is_heartbeat = true;
-    answer.answer_delay_ms = hold;
+    answer.answer_delay_ms = waited_ms;
     answer.cancellations =
-        cancellation_log_update(&controller->jobs.cancellations, message->known_log_incarnation,
-                                message->known_log_index, clock_steady());
+        cancellation_log_update(&controller->jobs.cancellations, heartbeat->known_log_incarnation,
+                                heartbeat->known_log_index, clock_steady());
     if (controller->membership.is_leader && controller->placement.is_loaded)
-        answer.job_counts = leader_counts(controller->placement.leader, message->job_counts.epoch,
-                                          message->job_counts.version, JOB_COUNTS_BATCH_COUNT);
+        answer.job_counts = leader_counts(controller->placement.leader, heartbeat->job_counts.epoch,
+                                          heartbeat->job_counts.version, JOB_COUNTS_BATCH_COUNT);
+    return answer;
+}
+
+GByteArray *peer_heartbeat_answer(controller_t *controller, const peer_message_t *message)
+{
+    pthread_mutex_lock(&controller->lock);
+    peer_exchange_observe_sender(controller, message);
+    msec_t waited_ms = wait_for_cancellation(controller, message);
+    g_auto(peer_message_t) answer = new_answer(controller, message, waited_ms);
     pthread_mutex_unlock(&controller->lock);
-    GByteArray *frame = peer_encode(&answer);
-    peer_message_clear(&answer);
-    return frame;
+    return peer_encode(&answer);
 }
 
-/* With the lock held. A job that is over here may still be live where it is counted. */
-static void receive_job_counts(controller_t *controller, const job_counts_update_t *update)
+/* Stops and logs the jobs that a sibling has confirmed as cancelled. Called with the lock held. */
+static void record_cancellations(controller_t *controller, const peer_message_t *message)
+{
+    const GPtrArray *jobs = message->cancellations.jobs;
+    for (guint i = 0; i < jobs->len; i++) {
+        const char *id = g_ptr_array_index(jobs, i);
+        if (!g_hash_table_contains(controller->jobs.terminal, id))
+            log_info("event=cancellation_update job=%s from=%s", id, message->sender);
+        job_directory_record_terminal(controller, id, false);
+    }
+}
+
+/* A job that is over here may still be live where it is counted: its counts are not kept. Called
+ * with the lock held. */
+static void apply_job_counts(controller_t *controller, const job_counts_update_t *update)
 {
     job_counts_replica_apply(&controller->jobs.counts, update);
     for (guint i = 0; i < update->jobs->len; i++) {
@@ -77,78 +104,73 @@
     }
 }
 
-/* With the lock held: what a sibling answered to a heartbeat, whose answer it made at `asked` or
- * later. */
-static void receive_heartbeat_answer(controller_t *controller, guint index,
-                                     const peer_message_t *message, msec_t asked)
+/* Handles a sibling's answer, which it made at `made_at` or later. Called with the lock held. */
+static void receive_answer(controller_t *controller, guint sibling, const peer_message_t *answer,
+                           msec_t made_at)
 {
-    peer_exchange_receive_any(controller, message);
-    controller->peers.sibling_health[index] = (owner_health_t){
-        .answered_at = asked, .worker_heartbeat_at = asked - message->worker_heartbeat_age_ms};
-    for (guint i = 0; i < message->cancellations.jobs->len; i++) {
-        const char *id = g_ptr_array_index(message->cancellations.jobs, i);
-        if (!g_hash_table_contains(controller->jobs.terminal, id))
-            log_info("event=cancellation_update job=%s from=%s", id, message->sender);
-        job_directory_record_terminal(controller, id, false);
-    }
-    cancellation_log_apply(&controller->jobs.cancellations, index, &message->cancellations, asked,
-                           clock_steady());
-    if (message->view_number == controller->membership.view.number &&
-        message->incarnation == controller->membership.view.incarnation)
-        receive_job_counts(controller, &message->job_counts);
+    peer_exchange_observe_sender(controller, answer);
+    controller->peers.sibling_health[sibling] = (owner_health_t){
+        .answered_at = made_at, .worker_heartbeat_at = made_at - answer->worker_heartbeat_age_ms};
+    /* The jobs must be stopped before the log counts as known up to then. */
+    record_cancellations(controller, answer);
+    cancellation_log_apply(&controller->jobs.cancellations, sibling, &answer->cancellations,
+                           made_at, clock_steady());
+    if (peer_exchange_is_from_leader(controller, answer))
+        apply_job_counts(controller, &answer->job_counts);
 }
 
-/* The answer was made when it had been delayed for so long after the heartbeat had left, or later.
- * Clocks drift apart: what the sibling measured is shortened. */
-static msec_t answer_made_at(const peer_message_t *answer, msec_t asked)
+/* A moment at or before the making of the answer to a heartbeat sent at `sent_at`: the sibling held
+ * the answer back for answer_delay_ms after it had received the heartbeat. Clocks drift apart, so
+ * what the sibling's clock measured is shortened. */
+static msec_t answer_made_at(const peer_message_t *answer, msec_t sent_at)
 {
-    return asked +
-           MAX(answer->answer_delay_ms - answer->answer_delay_ms / CLOCK_DRIFT_DIVISOR - 1, 0);
+    msec_t drift_ms = answer->answer_delay_ms / CLOCK_DRIFT_DIVISOR + 1;
+    return sent_at + MAX(answer->answer_delay_ms - drift_ms, 0);
 }
 
-static bool send_heartbeat(const peer_heartbeat_t *peer_heartbeat, int fd)
+/* Sends a heartbeat and handles the answer. Returns whether there was one. */
+static bool send_heartbeat(const heartbeat_sender_t *sender, int fd)
 {
-    controller_t *controller = peer_heartbeat->controller;
-    msec_t asked = clock_steady();
-    GByteArray *frame = compose_heartbeat(peer_heartbeat);
-    peer_message_t message;
-    bool answered = peer_exchange_converse(fd, frame, &message);
-    g_byte_array_unref(frame);
-    if (!answered)
+    controller_t *controller = sender->controller;
+    msec_t sent_at = clock_steady();
+    g_autoptr(GByteArray) frame = compose_heartbeat(sender);
+    g_auto(peer_message_t) answer = {0};
+    if (!peer_exchange_call(fd, frame, &answer))
         return false;
     pthread_mutex_lock(&controller->lock);
-    receive_heartbeat_answer(controller, peer_heartbeat->index, &message,
-                             answer_made_at(&message, asked));
+    receive_answer(controller, sender->sibling, &answer, answer_made_at(&answer, sent_at));
     pthread_mutex_unlock(&controller->lock);
-    peer_message_clear(&message);
     return true;
 }
 
-/* Every controller asks every other, whatever the view, what cancellations it told its users of:
- * without the key-value store nothing else says so. It also hears whether the other has the state
- * service, and of a higher view: one that is refused alone can't see that it was replaced, and
- * would hold its workers, whom the new leader then takes for dead. */
-static void *peer_heartbeat_run(void *data)
+/* Negative: failed. */
+static int connect_to_sibling(const heartbeat_sender_t *sender)
+{
+    const sibling_t *sibling =
+        &g_array_index(sender->controller->settings->siblings, sibling_t, sender->sibling);
+    int fd = peer_connect(sibling->endpoint, PEER_TIMEOUT_MS);
+    if (fd >= 0)
+        peer_set_timeout(fd, PEER_HEARTBEAT_TIMEOUT_MS);
+    return fd;
+}
+
+/* The thread's loop. Never returns. */
+static void *heartbeat_sender_run(void *data)
 {
-    const peer_heartbeat_t *peer_heartbeat = data;
-    const sibling_t *sibling = &g_array_index(peer_heartbeat->controller->settings->siblings,
-                                              sibling_t, peer_heartbeat->index);
+    const heartbeat_sender_t *sender = data;
     int fd = -1;
     for (;;) {
-        if (fd < 0) {
-            fd = peer_connect(sibling->endpoint, PEER_TIMEOUT_MS);
-            if (fd >= 0)
-                peer_set_timeout(fd, PEER_HEARTBEAT_TIMEOUT_MS);
-        }
-        msec_t sent = clock_steady();
-        bool is_answered = fd >= 0 && send_heartbeat(peer_heartbeat, fd);
+        if (fd < 0)
+            fd = connect_to_sibling(sender);
+        msec_t sent_at = clock_steady();
+        bool is_answered = fd >= 0 && send_heartbeat(sender, fd);
         if (!is_answered && fd >= 0) {
             close(fd);
             fd = -1;
         }
         if (!is_answered)
             controller_sleep(PEER_HEARTBEAT_GAP_MS);
-        else if (clock_steady() - sent < PEER_HEARTBEAT_NEWS_GAP_MS)
+        else if (clock_steady() - sent_at < PEER_HEARTBEAT_NEWS_GAP_MS)
             controller_sleep(PEER_HEARTBEAT_NEWS_GAP_MS);
     }
     return NULL;
@@ -157,8 +179,8 @@
 void peer_heartbeat_start(controller_t *controller)
 {
     for (guint i = 0; i < controller->settings->siblings->len; i++) {
-        peer_heartbeat_t *peer_heartbeat = g_new(peer_heartbeat_t, 1);
-        *peer_heartbeat = (peer_heartbeat_t){controller, i};
-        threads_start("peer_heartbeat", peer_heartbeat_run, peer_heartbeat);
+        heartbeat_sender_t *sender = g_new(heartbeat_sender_t, 1);
+        *sender = (heartbeat_sender_t){.controller = controller, .sibling = i};
+        threads_start("peer_heartbeat", heartbeat_sender_run, sender);
     }
 }
--- a/src/controller/peer/peer_relay.c
+++ b/src/controller/peer/peer_relay.c
@@ -1,5 +1,6 @@
-/* The exchange by relay: messages as values in the key-value store, where sockets fail. */
 #include "controller/peer/peer_relay.h"
+#include "controller/peer/leader_end.h"
+#include "controller/peer/partition_end.h"
 #include "controller/peer/peer_exchange.h"
 
 #include <string.h>
@@ -8,88 +9,110 @@
 #include "io/log.h"
 #include "io/relay.h"
 
-static bool write_relay(controller_t *controller, http_client_t *client, const char *inbox,
-                        const char *name, const GByteArray *frame)
+/* When no member may need the relay. */
+#define NEVER G_MAXINT64
+
+static bool write_message(controller_t *controller, http_client_t *http, const char *inbox,
+                          const char *name, const GByteArray *frame)
 {
     kv_txn_t txn = kv_txn_new();
     guint pages = relay_write(&txn, inbox, name, frame,
                               (gsize)(controller->settings->value_kb * BYTES_PER_KIB));
     rate_limiter_charge(&controller->core_request_limiter, 1, clock_steady());
     rate_limiter_charge(&controller->core_write_limiter, pages, clock_steady());
-    kv_result_t result = kv_commit(&controller->kv_store, client, &txn, KV_TIMEOUT_MS, NULL, NULL);
+    kv_result_t result = kv_commit(&controller->kv_store, http, &txn, KV_TIMEOUT_MS, NULL, NULL);
     kv_txn_free(&txn);
     if (result == KV_INVALID)
         log_error("event=relay_refused inbox=%s name=%s bytes=%u", inbox, name, frame->len);
     return result == KV_OK;
 }
 
-static GArray *read_relay(controller_t *controller, http_client_t *client, const char *inbox,
-                          const char *name)
+/* The messages of an inbox whose name begins so: array of relay_message_t, transfer full. Empty if
+ * the key-value store did not answer. */
+static GArray *read_messages(controller_t *controller, http_client_t *http, const char *inbox,
+                             const char *name_prefix)
 {
     char prefix[KV_KEY_BYTES];
-    GArray *entries = kv_entries_new();
-    g_snprintf(prefix, sizeof prefix, "mail/%s/%s", inbox, name);
+    g_autoptr(GArray) entries = kv_entries_new();
+    g_snprintf(prefix, sizeof prefix, "mail/%s/%s", inbox, name_prefix);
     rate_limiter_charge(&controller->core_request_limiter, 1, clock_steady());
-    if (kv_list(&controller->kv_store, client, prefix, entries, NULL) != KV_OK)
+    if (kv_list(&controller->kv_store, http, prefix, entries, NULL) != KV_OK)
         g_array_set_size(entries, 0);
-    GArray *relayed_messages = relay_read(entries, inbox);
-    g_array_unref(entries);
-    return relayed_messages;
+    return relay_read(entries, inbox);
 }
 
-/* The leader's side of the relay: answers every message that is new. */
-static void answer_relay(controller_t *controller, http_client_t *client, GHashTable *revisions)
+/* Handles a partition's message and writes the answer to its inbox. */
+static void answer_message(controller_t *controller, http_client_t *http,
+                           const relay_message_t *relayed)
 {
-    GArray *relayed_messages = read_relay(controller, client, "up", "");
-    for (guint i = 0; i < relayed_messages->len; i++) {
-        const relay_message_t *relayed = &g_array_index(relayed_messages, relay_message_t, i);
-        peer_message_t message;
-        if (GPOINTER_TO_SIZE(g_hash_table_lookup(revisions, relayed->name)) == relayed->revision)
-            continue;
-        g_hash_table_insert(revisions, g_strdup(relayed->name),
-                            GSIZE_TO_POINTER(relayed->revision));
-        if (!peer_decode(relayed->frame->data, relayed->frame->len, &message))
-            continue;
-        pthread_mutex_lock(&controller->lock);
-        channel_t *channel = peer_server_receive(controller, &message);
-        GByteArray *frame = channel ? peer_exchange_compose(controller, channel, NULL) : NULL;
-        pthread_mutex_unlock(&controller->lock);
-        if (frame) {
-            write_relay(controller, client, "down", message.sender, frame);
-            g_byte_array_unref(frame);
-        }
-        peer_message_clear(&message);
+    g_auto(peer_message_t) message = {0};
+    g_autoptr(GByteArray) answer = NULL;
+    guint member = 0;
+    if (!peer_decode(relayed->frame->data, relayed->frame->len, &message))
+        return;
+    pthread_mutex_lock(&controller->lock);
+    if (leader_end_receive(controller, &message, &member))
+        answer = peer_exchange_compose(controller, leader_end_channel(controller, member),
+                                       (summary_update_t){0});
+    pthread_mutex_unlock(&controller->lock);
+    if (answer)
+        write_message(controller, http, RELAY_PARTITIONS_INBOX, message.sender, answer);
+}
+
+/* Whether the message was not answered before; it counts as answered then. answered_revisions: name
+ * of the sender (owned) -> revision (GSIZE_TO_POINTER) of its message answered last. */
+static bool is_new(GHashTable *answered_revisions, const relay_message_t *relayed)
+{
+    gpointer answered = g_hash_table_lookup(answered_revisions, relayed->name);
+    if (GPOINTER_TO_SIZE(answered) == relayed->revision)
+        return false;
+    g_hash_table_insert(answered_revisions, g_strdup(relayed->name),
+                        GSIZE_TO_POINTER(relayed->revision));
+    return true;
+}
+
+/* Answers every new message to the leader. */
+static void answer_messages(controller_t *controller, http_client_t *http,
+                            GHashTable *answered_revisions)
+{
+    g_autoptr(GArray) messages = read_messages(controller, http, RELAY_LEADER_INBOX, "");
+    for (guint i = 0; i < messages->len; i++) {
+        const relay_message_t *relayed = &g_array_index(messages, relay_message_t, i);
+        if (is_new(answered_revisions, relayed))
+            answer_message(controller, http, relayed);
     }
-    g_array_unref(relayed_messages);
 }
 
-/* With the lock held: when the member that called longest ago will have been silent for so long
- * that it may need the relay; G_MAXINT64: this controller has no partitions to serve. */
-static msec_t relay_due(const controller_t *controller)
+/* When the member that called longest ago will have been silent for so long that it may use the
+ * relay; NEVER: this controller has no partitions to serve. Called with the lock held. */
+static msec_t relay_due_at(const controller_t *controller)
 {
-    msec_t due = G_MAXINT64;
+    msec_t due_at = NEVER;
     if (!controller->membership.is_leader || !controller->placement.is_loaded)
-        return due;
-    for (guint i = 0; i < controller->membership.view.count; i++)
-        if (i != controller->membership.own_index)
-            due = MIN(due, MAX(controller->peers.received_at[i], controller->placement.loaded_at) +
-                               RELAY_AFTER_MS);
-    return due;
+        return due_at;
+    for (guint i = 0; i < controller->membership.view.count; i++) {
+        if (i == controller->membership.own_index)
+            continue;
+        msec_t silent_since =
+            MAX(controller->peers.received_at[i], controller->placement.loaded_at);
+        due_at = MIN(due_at, silent_since + RELAY_AFTER_MS);
+    }
+    return due_at;
 }
 
-/* Waits until some member has not called for a while. */
-static void wait_for_silence(controller_t *controller)
+/* Waits until a member has not called by socket for a while. Takes the lock. */
+static void wait_until_relay_is_due(controller_t *controller)
 {
     pthread_mutex_lock(&controller->lock);
     for (;;) {
         msec_t now = clock_steady();
-        msec_t due = relay_due(controller);
-        if (due < now)
+        msec_t due_at = relay_due_at(controller);
+        if (due_at < now)
             break;
-        if (due == G_MAXINT64)
+        if (due_at == NEVER)
             pthread_cond_wait(&controller->peers.relay_ready, &controller->lock);
         else
-            controller_wait(controller, &controller->peers.relay_ready, due - now + 1);
+            controller_wait(controller, &controller->peers.relay_ready, due_at - now + 1);
     }
     pthread_mutex_unlock(&controller->lock);
 }
@@ -97,32 +120,39 @@
 void *peer_relay_run(void *data)
 {
     controller_t *controller = data;
-    http_client_t *client = http_client_new(2);
-    GHashTable *revisions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    http_client_t *http = http_client_new(2);
+    /* See is_new(). */
+    GHashTable *answered_revisions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     for (;;) {
-        wait_for_silence(controller);
-        answer_relay(controller, client, revisions);
+        wait_until_relay_is_due(controller);
+        answer_messages(controller, http, answered_revisions);
         controller_sleep(RELAY_GAP_MS);
     }
     return NULL;
 }
 
-void peer_relay_exchange(controller_t *controller, http_client_t *client, const GByteArray *frame)
+/* Handles the leader's answer. Takes the lock. */
+static void receive_answer(controller_t *controller, const relay_message_t *relayed)
+{
+    g_auto(peer_message_t) message = {0};
+    if (!peer_decode(relayed->frame->data, relayed->frame->len, &message))
+        return;
+    pthread_mutex_lock(&controller->lock);
+    partition_end_receive(controller, &message);
+    pthread_mutex_unlock(&controller->lock);
+}
+
+void peer_relay_exchange(controller_t *controller, http_client_t *http, const GByteArray *frame)
 {
-    peer_message_t message;
-    if (!write_relay(controller, client, "up", controller->settings->name, frame))
+    const char *own_name = controller->settings->name;
+    if (!write_message(controller, http, RELAY_LEADER_INBOX, own_name, frame))
         return;
     controller_sleep(RELAY_GAP_MS);
-    GArray *relayed_messages = read_relay(controller, client, "down", controller->settings->name);
-    for (guint i = 0; i < relayed_messages->len; i++) {
-        const relay_message_t *relayed = &g_array_index(relayed_messages, relay_message_t, i);
-        if (strcmp(relayed->name, controller->settings->name) != 0 ||
-            !peer_decode(relayed->frame->data, relayed->frame->len, &message))
-            continue;
-        pthread_mutex_lock(&controller->lock);
-        peer_client_receive(controller, &message);
-        pthread_mutex_unlock(&controller->lock);
-        peer_message_clear(&message);
+    g_autoptr(GArray) messages = read_messages(controller, http, RELAY_PARTITIONS_INBOX, own_name);
+    for (guint i = 0; i < messages->len; i++) {
+        const relay_message_t *relayed = &g_array_index(messages, relay_message_t, i);
+        /* The prefix matches longer names of other controllers too. */
+        if (strcmp(relayed->name, own_name) == 0)
+            receive_answer(controller, relayed);
     }
-    g_array_unref(relayed_messages);
 }
--- a/src/core/replication/channel.c
+++ b/src/core/replication/channel.c
@@ -2,7 +2,8 @@
 
 static void item_clear(gpointer data)
 {
-    g_strfreev(((channel_item_t *)data)->request.types);
+    channel_item_t *item = data;
+    g_strfreev(item->request.types);
 }
 
 GArray *channel_items_new(void)
@@ -32,35 +33,40 @@
     g_array_append_val(channel->queue, item);
 }
 
-const GArray *channel_batch(channel_t *channel, guint most)
+/* Moves the oldest items of the queue to the batch in flight, which is empty. */
+static void fill_next_batch(channel_t *channel, guint max_count)
 {
-    if (channel->in_flight->len == 0 && channel->queue->len > 0) {
-        guint count = MIN(most, channel->queue->len);
-        g_array_append_vals(channel->in_flight, channel->queue->data, count);
-        /* The items moved: what they own must not be freed here. */
-        for (guint i = 0; i < count; i++)
-            g_array_index(channel->queue, channel_item_t, i).request.types = NULL;
-        g_array_remove_range(channel->queue, 0, count);
-        channel->sent++;
-    }
+    guint count = MIN(max_count, channel->queue->len);
+    g_array_append_vals(channel->in_flight, channel->queue->data, count);
+    /* What the moved items own must not be freed when they leave the queue. */
+    for (guint i = 0; i < count; i++)
+        g_array_index(channel->queue, channel_item_t, i).request.types = NULL;
+    g_array_remove_range(channel->queue, 0, count);
+    channel->last_sent_batch++;
+}
+
+GArray *channel_current_batch(channel_t *channel, guint max_count)
+{
+    if (channel->in_flight->len == 0 && channel->queue->len > 0)
+        fill_next_batch(channel, max_count);
     return channel->in_flight;
 }
 
-bool channel_busy(const channel_t *channel)
+bool channel_is_busy(const channel_t *channel)
 {
     return channel->queue->len > 0 || channel->in_flight->len > 0;
 }
 
-void channel_ack(channel_t *channel, uint64_t ack)
+void channel_acknowledge(channel_t *channel, uint64_t acknowledged_batch)
 {
-    if (ack == channel->sent)
+    if (acknowledged_batch == channel->last_sent_batch)
         g_array_set_size(channel->in_flight, 0);
 }
 
-bool channel_accept(channel_t *channel, uint64_t number)
+bool channel_accept(channel_t *channel, uint64_t batch_number)
 {
-    if (number != channel->received + 1)
+    if (batch_number != channel->last_received_batch + 1)
         return false;
-    channel->received = number;
+    channel->last_received_batch = batch_number;
     return true;
 }
--- a/src/io/peer_socket.c
+++ b/src/io/peer_socket.c
@@ -12,18 +12,27 @@
 
 #include "core/types.h"
 
-static bool parse_address(const char *text, struct sockaddr_in *address)
+/* Parses "address:port"; false: the endpoint has another form. */
+static bool parse_endpoint(const char *endpoint, struct sockaddr_in *address)
 {
     char host[ADDRESS_BYTES];
-    const char *colon = strrchr(text, ':');
+    const char *colon = strrchr(endpoint, ':');
     *address = (struct sockaddr_in){.sin_family = AF_INET};
     if (!colon)
         return false;
-    g_strlcpy(host, text, MIN(sizeof host, (gsize)(colon - text) + 1));
+    g_strlcpy(host, endpoint, MIN(sizeof host, (gsize)(colon - endpoint) + 1));
     address->sin_port = htons((uint16_t)g_ascii_strtoull(colon + 1, NULL, DECIMAL));
     return inet_pton(AF_INET, host, &address->sin_addr) == 1;
 }
 
+/* A socket for the endpoint, whose address it sets; negative: failed. */
+static int open_socket(const char *endpoint, struct sockaddr_in *address)
+{
+    if (!parse_endpoint(endpoint, address))
+        return -1;
+    return socket(AF_INET, SOCK_STREAM, 0);
+}
+
 void peer_set_timeout(int fd, guint timeout_ms)
 {
     struct timeval wait = {.tv_sec = timeout_ms / MS_PER_S,
@@ -36,7 +45,7 @@
 {
     struct sockaddr_in address;
     int on = 1;
-    int fd = parse_address(endpoint, &address) ? socket(AF_INET, SOCK_STREAM, 0) : -1;
+    int fd = open_socket(endpoint, &address);
     if (fd < 0)
         return -1;
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -48,25 +57,35 @@
     return fd;
 }
 
+/* Waits until the connection that was begun is there; false: it failed or took too long. */
+static bool wait_until_connected(int fd, guint timeout_ms)
+{
+    struct pollfd waiting = {.fd = fd, .events = POLLOUT};
+    int error = 0;
+    socklen_t size = sizeof error;
+    if (poll(&waiting, 1, (int)timeout_ms) != 1)
+        return false;
+    return getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error == 0;
+}
+
+/* Connects a socket that does not block. */
+static bool connect_within(int fd, const struct sockaddr_in *address, guint timeout_ms)
+{
+    if (connect(fd, (const struct sockaddr *)address, sizeof *address) == 0)
+        return true;
+    return errno == EINPROGRESS && wait_until_connected(fd, timeout_ms);
+}
+
 int peer_connect(const char *endpoint, guint timeout_ms)
 {
     struct sockaddr_in address;
     int on = 1;
-    int error = 0;
-    socklen_t size = sizeof error;
-    int fd = parse_address(endpoint, &address) ? socket(AF_INET, SOCK_STREAM, 0) : -1;
+    int fd = open_socket(endpoint, &address);
     if (fd < 0)
         return -1;
     int flags = fcntl(fd, F_GETFL);
     fcntl(fd, F_SETFL, flags | O_NONBLOCK);
-    int result = connect(fd, (struct sockaddr *)&address, sizeof address);
-    if (result != 0 && errno == EINPROGRESS) {
-        struct pollfd waiting = {.fd = fd, .events = POLLOUT};
-        bool done = poll(&waiting, 1, (int)timeout_ms) == 1 &&
-                    getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error == 0;
-        result = done ? 0 : -1;
-    }
-    if (result != 0) {
+    if (!connect_within(fd, &address, timeout_ms)) {
         close(fd);
         return -1;
     }
@@ -76,28 +95,30 @@
     return fd;
 }
 
+/* Sends all `size` bytes; false: the connection ended or did not take them in time. */
 static bool write_all(int fd, const void *data, size_t size)
 {
-    const char *at = data;
+    const char *next = data;
     while (size > 0) {
-        ssize_t sent = send(fd, at, size, MSG_NOSIGNAL);
+        ssize_t sent = send(fd, next, size, MSG_NOSIGNAL);
         if (sent <= 0)
             return false;
-        at += sent;
+        next += sent;
         size -= (size_t)sent;
     }
     return true;
 }
 
+/* Receives exactly `size` bytes; false: the connection ended or they did not come in time. */
 static bool read_all(int fd, void *data, size_t size)
 {
-    char *at = data;
+    char *next = data;
     while (size > 0) {
-        ssize_t got = recv(fd, at, size, 0);
-        if (got <= 0)
+        ssize_t received = recv(fd, next, size, 0);
+        if (received <= 0)
             return false;
-        at += got;
-        size -= (size_t)got;
+        next += received;
+        size -= (size_t)received;
     }
     return true;
 }
@@ -105,46 +126,44 @@
 bool peer_send(int fd, const GByteArray *frame)
 {
     uint32_t length = htonl(frame->len);
-    GByteArray *whole = g_byte_array_sized_new(frame->len + 4);
-    g_byte_array_append(whole, (const guint8 *)&length, sizeof length);
-    g_byte_array_append(whole, frame->data, frame->len);
-    bool sent = write_all(fd, whole->data, whole->len);
-    g_byte_array_unref(whole);
-    return sent;
+    /* Length and message leave with one call. */
+    g_autoptr(GByteArray) bytes = g_byte_array_sized_new(frame->len + sizeof length);
+    g_byte_array_append(bytes, (const guint8 *)&length, sizeof length);
+    g_byte_array_append(bytes, frame->data, frame->len);
+    return write_all(fd, bytes->data, bytes->len);
 }
 
-/* Reads what has arrived, at least the length of the frame and at most `size` bytes. The other side
- * sends one frame and waits for the answer, so nothing of a next frame is taken along. */
+/* Receives what has arrived, at least the length of the frame and at most `size` bytes; 0: the
+ * connection ended or nothing came in time. The other side sends one frame and waits for the
+ * answer, so no bytes of a next frame are received here. */
 static gsize read_some(int fd, uint8_t *data, gsize size)
 {
-    gsize got = 0;
-    while (got < sizeof(uint32_t)) {
-        ssize_t more = recv(fd, data + got, size - got, 0);
+    gsize received = 0;
+    while (received < sizeof(uint32_t)) {
+        ssize_t more = recv(fd, data + received, size - received, 0);
         if (more <= 0)
             return 0;
-        got += (gsize)more;
+        received += (gsize)more;
     }
-    return got;
+    return received;
 }
 
 GByteArray *peer_receive(int fd)
 {
     uint8_t start[PEER_READ_BYTES];
     uint32_t length;
-    gsize got = read_some(fd, start, sizeof start);
-    if (got == 0)
+    gsize received = read_some(fd, start, sizeof start);
+    if (received == 0)
         return NULL;
     memcpy(&length, start, sizeof length);
     length = ntohl(length);
-    got -= sizeof length;
-    if (length > PEER_FRAME_MAX_BYTES || got > length)
+    received -= sizeof length;
+    if (length > PEER_FRAME_MAX_BYTES || received > length)
         return NULL;
-    GByteArray *frame = g_byte_array_sized_new(length);
-    g_byte_array_append(frame, start + sizeof length, (guint)got);
+    g_autoptr(GByteArray) frame = g_byte_array_sized_new(length);
+    g_byte_array_append(frame, start + sizeof length, (guint)received);
     g_byte_array_set_size(frame, length);
-    if (!read_all(fd, frame->data + got, length - got)) {
-        g_byte_array_unref(frame);
+    if (!read_all(fd, frame->data + received, length - received))
         return NULL;
-    }
-    return frame;
+    return g_steal_pointer(&frame);
 }
--- a/tests/core/replication/test_channel.c
+++ b/tests/core/replication/test_channel.c
@@ -17,14 +17,14 @@
     channel_t *from = channel_new();
     channel_t *to = channel_new();
     channel_push(from, drain("m-1"));
-    assert_int_equal(channel_batch(from, 10)->len, 1);
-    assert_true(channel_accept(to, from->sent));
+    assert_int_equal(channel_current_batch(from, 10)->len, 1);
+    assert_true(channel_accept(to, from->last_sent_batch));
     channel_push(from, drain("m-2")); /* the acknowledgement is lost: the same batch again */
-    assert_int_equal(channel_batch(from, 10)->len, 1);
-    assert_false(channel_accept(to, from->sent));
-    channel_ack(from, to->received);
-    assert_int_equal(channel_batch(from, 10)->len, 1);
-    assert_true(channel_accept(to, from->sent));
+    assert_int_equal(channel_current_batch(from, 10)->len, 1);
+    assert_false(channel_accept(to, from->last_sent_batch));
+    channel_acknowledge(from, to->last_received_batch);
+    assert_int_equal(channel_current_batch(from, 10)->len, 1);
+    assert_true(channel_accept(to, from->last_sent_batch));
     channel_free(from);
     channel_free(to);
 }
@@ -36,15 +36,15 @@
     channel_t *to = channel_new();
     for (int i = 0; i < 3; i++) {
         channel_push(from, drain("m-1"));
-        channel_batch(from, 10);
-        assert_true(channel_accept(to, from->sent));
+        channel_current_batch(from, 10);
+        assert_true(channel_accept(to, from->last_sent_batch));
         if (i < 2)
-            channel_ack(from, to->received);
+            channel_acknowledge(from, to->last_received_batch);
     }
     assert_false(channel_accept(to, 1));
-    channel_ack(from, 1);
-    assert_int_equal(channel_batch(from, 10)->len, 1);
-    assert_int_equal(from->sent, 3);
+    channel_acknowledge(from, 1);
+    assert_int_equal(channel_current_batch(from, 10)->len, 1);
+    assert_int_equal(from->last_sent_batch, 3);
     channel_free(from);
     channel_free(to);
 }
