--- a/src/core/replication/cancellation_log.h
+++ b/src/core/replication/cancellation_log.h
@@ -1,69 +1,97 @@
-/* Cancellations that users were told of, here and by the siblings.
+/** @file
+ * Cancellations that users were given as confirmed, by this controller and by its siblings.
  *
- * Owns: the list of those that this controller told, in the order in which it told them first, and
- * what it has of each sibling's list. The caller holds the lock of the controller; no input or
- * output.
+ * A cancellation is *confirmed* to a user by any answer that says that the job is cancelled. From
+ * then on no task of the job may run for longer than cancel_s. A worker's lease may therefore be
+ * renewed only as long as every cancellation that any controller has confirmed is known here, so
+ * that the tasks concerned can be stopped. This module works out the moment up to which that holds
+ * (safety argument 14 of docs/design.md):
  *
- * A worker may be kept alive only as long as every cancellation that anybody was told of is known
- * here, so that its tasks can be stopped. Following jobs/ gives moments up to which that holds; in
- * an outage none come. But a sibling that answers with all it told since such a moment makes known
- * all that it told before it answered, whatever the view: where all siblings do, the moment moves
- * on to when they were asked, and what they named is stopped instead of dying with its lease. A
- * list that is lost, late or doubled moves nothing; one that has a gap (its replica began anew, or
- * dropped what was not fetched in time) counts only from a followed moment after the gap.
+ * - The watch of jobs/ yields moments up to which every cancellation is known. In an outage of the
+ *   key-value store it yields no new ones.
+ * - A sibling that answers a heartbeat with everything it confirmed since such a moment makes known
+ *   here everything that it confirmed before it answered, whatever the view. Where all siblings do
+ *   so, the moment moves on to when they were sent these heartbeats. The jobs that they name are
+ *   stopped by command instead of running until their workers' leases end.
+ * - An answer that is lost, late or repeated does not move the moment. An answer after a gap (the
+ *   sibling's process was restarted, or its log dropped entries that were not fetched in time)
+ *   counts only once the watch has yielded a moment after the gap.
+ * - A controller's own entries are made before the answer that confirms them can leave, whichever
+ *   request found the cancellation: a first abort, a repeated one, one whose commit had no answer,
+ * a status, a repeated submission.
  *
- * Own entries are made before the answer can leave, by whatever road it was found: a first abort, a
- * repeated one, one whose commit went unanswered, a status, a repeated submission.
- *
- * All times are of this controller's clock, in ms; where one is uncertain, the bound that proves
- * less. */
+ * A log holds the cancellations that this controller confirmed, in the order of their first
+ * confirmation and numbered from 1 without gaps, and a replica of each sibling's log, of which only
+ * the extent is kept: the caller stops the jobs. The caller holds the controller's lock; no input
+ * or output. All times are of this controller's steady clock, in ms; an uncertain one is replaced
+ * by the bound that proves less.
+ */
 #ifndef PEPPERPULLEY_CANCELLATION_LOG_H
 #define PEPPERPULLEY_CANCELLATION_LOG_H
 
 #include "core/membership/ownership.h"
 
-/* What one controller tells another: what it told users of after one number, up to another. */
+/** What one controller sends another: the entries of its log after one number, up to another. */
 typedef struct cancellation_update {
-    uint64_t incarnation; /* of the controller that keeps the log */
-    uint64_t after_index;
-    uint64_t last_index;
-    bool is_complete;             /* nothing else was told before this was put together */
-    msec_t complete_since_age_ms; /* of the moment since when nothing was dropped; at most since its
-                                     start */
-    GPtrArray *jobs;              /* ids, owned */
+    uint64_t incarnation; /**< Incarnation of the controller that keeps the log. */
+    uint64_t after_index; /**< The number before the first entry. */
+    uint64_t last_index;  /**< The number of the last entry; after_index if there is none. */
+    bool is_complete;     /**< Whether the log had no later entry when this update was made. */
+    msec_t complete_since_age_ms; /**< Age of the moment since when the log has dropped no entry: at
+                                       most since the start of the process. */
+    GPtrArray *jobs; /**< Job ids (char *), owned: the entries in order. NULL: the message has none.
+                      */
 } cancellation_update_t;
 
+/** What is known of one sibling's log. */
 typedef struct cancellation_replica {
-    uint64_t incarnation; /* of which the rest holds; 0: never heard */
-    uint64_t last_index;  /* all it told from `base` on, up to this number, is here */
-    msec_t complete_since;
-    msec_t complete_until; /* all that it told from `base` to then is here */
+    uint64_t incarnation;  /**< Incarnation of the sibling to which the rest belongs; 0: it has not
+                                answered yet. */
+    uint64_t last_index;   /**< Every entry up to this number is known, from complete_since on. */
+    msec_t complete_since; /**< The start of what is known without a gap. */
+    msec_t complete_until; /**< Everything that the sibling confirmed from complete_since up to this
+                                moment is known. */
 } cancellation_replica_t;
 
+/** The log of this controller and the replicas of its siblings' logs. */
 typedef struct cancellation_log {
-    uint64_t incarnation;
-    GQueue *entries;       /* job ids, owned; oldest first */
-    GHashTable *listed;    /* those, borrowed */
-    uint64_t newest;       /* number of the last; they are numbered from 1 without gaps */
-    msec_t complete_since; /* nothing told since then was dropped */
-    cancellation_replica_t siblings[MEMBERS_MAX_COUNT];
+    uint64_t incarnation;  /**< Incarnation of this controller. */
+    GQueue *entries;       /**< Job ids (char *), owned; oldest first. */
+    GHashTable *listed;    /**< Set of the same job ids (char *), borrowed from the entries. */
+    uint64_t newest;       /**< Number of the newest entry; 0: none so far. */
+    msec_t complete_since; /**< Nothing that was confirmed since then has been dropped. */
+    cancellation_replica_t siblings[MEMBERS_MAX_COUNT]; /**< One for each sibling, in the order of
+                                                             the settings. */
 } cancellation_log_t;
 
+/** Initializes @p cancellations for a controller of this @p incarnation that starts now. */
 void cancellation_log_init(cancellation_log_t *cancellations, uint64_t incarnation, msec_t now);
+
+/** Frees what @p cancellations owns. */
 void cancellation_log_clear(cancellation_log_t *cancellations);
-/* A user is about to be told. */
+
+/** Records that a user is about to receive the confirmation that @p job is cancelled. Does nothing
+ * if the job is listed already. Drops the oldest entry if the log is full. */
 void cancellation_log_append(cancellation_log_t *cancellations, const char *job, msec_t now);
-/* For one that knows our list up to `last_index` of that incarnation. The update is the caller's.
- */
+
+/** Returns the update for a sibling that has the log of @p incarnation up to @p last_index
+ * (transfer full): at most CANCELLATION_UPDATE_COUNT entries after that, or the oldest ones if the
+ * sibling has another incarnation's log. */
 cancellation_update_t cancellation_log_update(const cancellation_log_t *cancellations,
                                               uint64_t incarnation, uint64_t last_index,
                                               msec_t now);
+
+/** Frees what @p update owns. A second call does nothing. */
 void cancellation_update_clear(cancellation_update_t *update);
-/* A sibling was asked at `asked` and its answer is here. Its jobs are the caller's to stop. */
+
+/** Applies the @p update that @p sibling made at @p made_at or later, and whose jobs the caller has
+ * stopped. */
 void cancellation_log_apply(cancellation_log_t *cancellations, guint sibling,
-                            const cancellation_update_t *update, msec_t asked, msec_t now);
-/* The moment up to which every cancellation told anywhere is known, given that of the jobs
- * followed. siblings: all others that the settings name, in the view or not. */
+                            const cancellation_update_t *update, msec_t made_at, msec_t now);
+
+/** Returns the moment up to which every cancellation that any controller confirmed is known here.
+ * @p siblings: number of all siblings in the settings, members of the view or not.
+ * @p jobs_complete_until: the moment up to which the watch of jobs/ is complete. */
 msec_t cancellation_log_complete_until(const cancellation_log_t *cancellations, guint siblings,
                                        msec_t jobs_complete_until);
 
--- a/src/core/replication/job_counts.c
+++ b/src/core/replication/job_counts.c
@@ -1,7 +1,5 @@
 #include "core/replication/job_counts.h"
 
-#include <string.h>
-
 void job_counts_update_clear(job_counts_update_t *update)
 {
     g_clear_pointer(&update->jobs, g_array_unref);
--- a/src/core/replication/summary_update.c
+++ b/src/core/replication/summary_update.c
@@ -25,7 +25,8 @@
     version_clear(&sender->sent);
 }
 
-/* id -> machine_summary_t, both borrowed from the array. */
+/* Machine id (char *) -> machine_summary_t, both borrowed from the array, which may be NULL;
+ * transfer full. */
 static GHashTable *index_by_machine(GArray *summaries)
 {
     GHashTable *index = g_hash_table_new(g_str_hash, g_str_equal);
@@ -36,56 +37,71 @@
     return index;
 }
 
-static bool same_resources(resources_t left, resources_t right)
+static bool are_resources_equal(resources_t left, resources_t right)
 {
     return left.cpus == right.cpus && left.gpus == right.gpus && left.memory == right.memory;
 }
 
-/* What becomes of a summary that is not sent again, on both sides. */
-static void let_age_grow(machine_summary_t *summary, msec_t elapsed)
+/* What becomes, on both sides, of a summary that is not sent again. */
+static void advance_ages(machine_summary_t *summary, msec_t elapsed)
 {
     summary->known_ms += elapsed;
     if (summary->attempts == 0)
         summary->idle_ms += elapsed;
 }
 
-/* Whether what the leader has by now will do. Of machines that are not silent nobody asks for how
- * many milliseconds. */
-static bool is_as_expected(const machine_summary_t *expected, const machine_summary_t *current)
-{
-    bool is_silent =
-        expected->silent_ms >= SUMMARY_SILENT_MS || current->silent_ms >= SUMMARY_SILENT_MS;
-    msec_t idle_error = current->idle_ms - expected->idle_ms;
-    bool is_idle_known = current->attempts > 0 || (idle_error < SUMMARY_IDLE_ERROR_MS &&
-                                                   idle_error > -SUMMARY_IDLE_ERROR_MS);
-    return !is_silent && is_idle_known && expected->spot == current->spot &&
-           expected->open == current->open && expected->draining == current->draining &&
-           expected->attempts == current->attempts &&
-           same_resources(expected->total, current->total) &&
-           same_resources(expected->free, current->free) &&
+/* Whether the silence of neither is long enough to count: for how many milliseconds a machine that
+ * is not silent has not been heard decides nothing. */
+static bool is_silence_irrelevant(const machine_summary_t *expected,
+                                  const machine_summary_t *current)
+{
+    return expected->silent_ms < SUMMARY_SILENT_MS && current->silent_ms < SUMMARY_SILENT_MS;
+}
+
+/* Whether the idle time that the leader works out is near enough. Of a machine with attempts it is
+ * of no use. */
+static bool is_idle_time_near(const machine_summary_t *expected, const machine_summary_t *current)
+{
+    msec_t error_ms = current->idle_ms - expected->idle_ms;
+    return current->attempts > 0 ||
+           (error_ms < SUMMARY_IDLE_ERROR_MS && error_ms > -SUMMARY_IDLE_ERROR_MS);
+}
+
+/* Whether the values that do not grow with the time are equal. */
+static bool are_values_equal(const machine_summary_t *expected, const machine_summary_t *current)
+{
+    return expected->spot == current->spot && expected->open == current->open &&
+           expected->draining == current->draining && expected->attempts == current->attempts &&
+           are_resources_equal(expected->total, current->total) &&
+           are_resources_equal(expected->free, current->free) &&
            strcmp(expected->type, current->type) == 0 && strcmp(expected->zone, current->zone) == 0;
 }
 
-/* Whether the leader needs no word of the machine. Then `current` becomes what the leader has:
- * small errors that are not sent would add up otherwise. */
-static bool is_known(const machine_summary_t *known, machine_summary_t *current, msec_t elapsed)
+/* Whether `known`, of a version made `elapsed` ms ago, need not be sent again: the leader works out
+ * the current summary from it. Then `current` is set to what the leader works out, because small
+ * errors that are not sent would add up otherwise. */
+static bool match_known(const machine_summary_t *known, machine_summary_t *current, msec_t elapsed)
 {
     machine_summary_t expected = *known;
-    let_age_grow(&expected, elapsed);
-    if (!is_as_expected(&expected, current))
+    advance_ages(&expected, elapsed);
+    if (!is_silence_irrelevant(&expected, current) || !is_idle_time_near(&expected, current) ||
+        !are_values_equal(&expected, current))
         return false;
     current->idle_ms = expected.idle_ms;
     return true;
 }
 
+/* Adds to the update what differs between the base and the current summaries, and sets the idle
+ * times of the others to what the leader works out. */
 static void find_changes(const summary_version_t *base, GArray *current, msec_t now,
                          summary_update_t *update)
 {
-    GHashTable *before = index_by_machine(base->summaries);
+    /* In the end it has the machines that no longer exist. */
+    g_autoptr(GHashTable) before = index_by_machine(base->summaries);
     for (guint i = 0; i < current->len; i++) {
         machine_summary_t *summary = &g_array_index(current, machine_summary_t, i);
         const machine_summary_t *known = g_hash_table_lookup(before, summary->machine);
-        if (!known || !is_known(known, summary, now - base->at))
+        if (!known || !match_known(known, summary, now - base->at))
             g_array_append_vals(update->summaries, summary, 1);
         if (known)
             g_hash_table_remove(before, summary->machine);
@@ -95,7 +111,6 @@
     g_hash_table_iter_init(&iter, before);
     while (g_hash_table_iter_next(&iter, &machine, NULL))
         g_ptr_array_add(update->terminated, g_strdup(machine));
-    g_hash_table_unref(before);
 }
 
 summary_update_t summary_sender_next(summary_sender_t *sender, GArray *current, msec_t now)
@@ -106,7 +121,7 @@
                                .terminated = g_ptr_array_new_with_free_func(g_free)};
     find_changes(&sender->acknowledged, current, now, &update);
     version_clear(&sender->sent);
-    sender->sent = (summary_version_t){update.version, current, now};
+    sender->sent = (summary_version_t){.version = update.version, .summaries = current, .at = now};
     return update;
 }
 
@@ -125,19 +140,20 @@
 {
     if (!terminated || terminated->len == 0)
         return;
-    GHashTable *gone = g_hash_table_new(g_str_hash, g_str_equal);
+    /* Machine ids (char *), borrowed. */
+    g_autoptr(GHashTable) removed = g_hash_table_new(g_str_hash, g_str_equal);
     for (guint i = 0; i < terminated->len; i++)
-        g_hash_table_add(gone, g_ptr_array_index(terminated, i));
+        g_hash_table_add(removed, g_ptr_array_index(terminated, i));
     for (guint i = summaries->len; i-- > 0;)
-        if (g_hash_table_contains(gone, g_array_index(summaries, machine_summary_t, i).machine))
+        if (g_hash_table_contains(removed, g_array_index(summaries, machine_summary_t, i).machine))
             g_array_remove_index(summaries, i);
-    g_hash_table_unref(gone);
 }
 
-static void take_changed(GArray *summaries, const GArray *changed)
+/* Replaces the summaries that changed and appends the new ones. */
+static void apply_changed(GArray *summaries, const GArray *changed)
 {
-    GHashTable *index = index_by_machine(summaries);
-    GArray *added = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
+    g_autoptr(GHashTable) index = index_by_machine(summaries);
+    g_autoptr(GArray) added = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
     for (guint i = 0; i < changed->len; i++) {
         const machine_summary_t *summary = &g_array_index(changed, machine_summary_t, i);
         machine_summary_t *known = g_hash_table_lookup(index, summary->machine);
@@ -146,26 +162,32 @@
         else
             g_array_append_vals(added, summary, 1);
     }
-    g_hash_table_unref(index);
+    /* Appended last: the array may move, and the index points into it. */
     g_array_append_vals(summaries, added->data, added->len);
-    g_array_unref(added);
+}
+
+static void apply_changes(summary_replica_t *replica, const summary_update_t *update, msec_t now)
+{
+    for (guint i = 0; i < replica->summaries->len; i++) {
+        machine_summary_t *summary = &g_array_index(replica->summaries, machine_summary_t, i);
+        advance_ages(summary, now - replica->at);
+    }
+    remove_terminated(replica->summaries, update->terminated);
+    if (update->summaries->len)
+        apply_changed(replica->summaries, update->summaries);
 }
 
 bool summary_replica_apply(summary_replica_t *replica, const summary_update_t *update, msec_t now)
 {
-    if (update->version <= replica->version ||
-        (update->base != 0 && update->base != replica->version))
+    if (update->version <= replica->version)
+        return false;
+    if (update->base != 0 && update->base != replica->version)
         return false;
     if (update->base == 0) {
         version_clear(replica);
         replica->summaries = g_array_copy(update->summaries);
     } else {
-        for (guint i = 0; i < replica->summaries->len; i++)
-            let_age_grow(&g_array_index(replica->summaries, machine_summary_t, i),
-                         now - replica->at);
-        remove_terminated(replica->summaries, update->terminated);
-        if (update->summaries->len)
-            take_changed(replica->summaries, update->summaries);
+        apply_changes(replica, update, now);
     }
     replica->version = update->version;
     replica->at = now;
