--- a/src/core/replication/summary_update.c
+++ b/src/core/replication/summary_update.c
@@ -43,11 +43,11 @@
 }
 
 /* What becomes, on both sides, of a summary that is not sent again. */
-static void advance_ages(machine_summary_t *summary, msec_t elapsed)
+static void advance_ages(machine_summary_t *summary, msec_t elapsed_ms)
 {
-    summary->known_ms += elapsed;
+    summary->known_ms += elapsed_ms;
     if (summary->attempts == 0)
-        summary->idle_ms += elapsed;
+        summary->idle_ms += elapsed_ms;
 }
 
 /* Whether the silence of neither is long enough to count: for how many milliseconds a machine that
@@ -77,13 +77,14 @@
            strcmp(expected->type, current->type) == 0 && strcmp(expected->zone, current->zone) == 0;
 }
 
-/* Whether `known`, of a version made `elapsed` ms ago, need not be sent again: the leader works out
+/* Whether `known`, of a version made `elapsed_ms` ago, need not be sent again: the leader works out
  * the current summary from it. Then `current` is set to what the leader works out, because small
  * errors that are not sent would add up otherwise. */
-static bool match_known(const machine_summary_t *known, machine_summary_t *current, msec_t elapsed)
+static bool match_known(const machine_summary_t *known, machine_summary_t *current,
+                        msec_t elapsed_ms)
 {
     machine_summary_t expected = *known;
-    advance_ages(&expected, elapsed);
+    advance_ages(&expected, elapsed_ms);
     if (!is_silence_irrelevant(&expected, current) || !is_idle_time_near(&expected, current) ||
         !are_values_equal(&expected, current))
         return false;
@@ -101,7 +102,7 @@
     for (guint i = 0; i < current->len; i++) {
         machine_summary_t *summary = &g_array_index(current, machine_summary_t, i);
         const machine_summary_t *known = g_hash_table_lookup(before, summary->machine);
-        if (!known || !match_known(known, summary, now - base->at))
+        if (!known || !match_known(known, summary, now - base->updated_at))
             g_array_append_vals(update->summaries, summary, 1);
         if (known)
             g_hash_table_remove(before, summary->machine);
@@ -121,7 +122,8 @@
                                .terminated = g_ptr_array_new_with_free_func(g_free)};
     find_changes(&sender->acknowledged, current, now, &update);
     version_clear(&sender->sent);
-    sender->sent = (summary_version_t){.version = update.version, .summaries = current, .at = now};
+    sender->sent =
+        (summary_version_t){.version = update.version, .summaries = current, .updated_at = now};
     return update;
 }
 
@@ -170,7 +172,7 @@
 {
     for (guint i = 0; i < replica->summaries->len; i++) {
         machine_summary_t *summary = &g_array_index(replica->summaries, machine_summary_t, i);
-        advance_ages(summary, now - replica->at);
+        advance_ages(summary, now - replica->updated_at);
     }
     remove_terminated(replica->summaries, update->terminated);
     if (update->summaries->len)
@@ -190,6 +192,6 @@
         apply_changes(replica, update, now);
     }
     replica->version = update->version;
-    replica->at = now;
+    replica->updated_at = now;
     return true;
 }
--- a/src/core/replication/summary_update.h
+++ b/src/core/replication/summary_update.h
@@ -29,7 +29,7 @@
 typedef struct summary_version {
     uint64_t version;  /**< Its number; 0: there is none. */
     GArray *summaries; /**< machine_summary_t; NULL: there is none. */
-    msec_t at;         /**< When the summaries were made or, at the leader, arrived. */
+    msec_t updated_at; /**< When the summaries were made or, at the leader, arrived. */
 } summary_version_t;
 
 /** The partition's side. */
--- /dev/null
+++ b/tests/core/membership/test_ownership.c
@@ -0,0 +1,61 @@
+/* Tests of which member of a view owns a machine. */
+#include "core/membership/ownership.h"
+#include "unit_test.h"
+
+static const member_t members[] = {{.name = "controller-0", .zone = "zone-a"},
+                                   {.name = "controller-1", .zone = "zone-b"},
+                                   {.name = "controller-2", .zone = "zone-a"}};
+
+static void test_workers_stay_in_their_zone(void **state)
+{
+    (void)state;
+    for (int i = 0; i < 50; i++) {
+        char machine[ID_BYTES];
+        g_snprintf(machine, sizeof machine, "m-%06d", i);
+        assert_int_equal(owner_of(members, 3, machine, "zone-b"), 1);
+        assert_int_not_equal(owner_of(members, 3, machine, "zone-a"), 1);
+    }
+}
+
+static void test_lost_member_moves_only_its_own_machines(void **state)
+{
+    (void)state;
+    guint moved = 0;
+    guint owned = 0;
+    for (int i = 0; i < 200; i++) {
+        char machine[ID_BYTES];
+        g_snprintf(machine, sizeof machine, "m-%06d", i);
+        guint before = owner_of(members, 3, machine, "zone-d");
+        guint after = owner_of(members, 2, machine, "zone-d");
+        owned += before == 2;
+        moved += before != after;
+        assert_true(before == 2 || before == after);
+    }
+    assert_int_equal(moved, owned);
+    assert_true(owned > 30 && owned < 110);
+}
+
+static void test_excluded_member_owns_nothing(void **state)
+{
+    (void)state;
+    member_t some[3];
+    memcpy(some, members, sizeof some);
+    some[1].is_excluded = true;
+    for (int i = 0; i < 50; i++) {
+        char machine[ID_BYTES];
+        g_snprintf(machine, sizeof machine, "m-%06d", i);
+        assert_int_not_equal(owner_of(some, 3, machine, "zone-b"), 1);
+    }
+    some[0].is_excluded = some[2].is_excluded = true;
+    assert_int_equal(owner_of(some, 3, "m-000001", "zone-b"), 1);
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(test_workers_stay_in_their_zone),
+        cmocka_unit_test(test_excluded_member_owns_nothing),
+        cmocka_unit_test(test_lost_member_moves_only_its_own_machines),
+    };
+    return cmocka_run_group_tests_name("ownership", tests, NULL, NULL);
+}
--- a/tests/core/replication/test_cancellation_log.c
+++ b/tests/core/replication/test_cancellation_log.c
@@ -1,32 +1,32 @@
-/* Tests of cancellations that users were told of, and of how long workers may be kept alive. */
+/* Tests of the log of cancellations that users were given as confirmed, and of the moment up to
+ * which all of them are known. */
 #include "core/replication/cancellation_log.h"
 #include "unit_test.h"
 
-enum { FOLLOWED = 1000 };
+/* The moment up to which the watch of jobs/ is complete, unless a test names another. */
+enum { JOBS_COMPLETE_UNTIL = 1000 };
 
 typedef struct fixture {
-    cancellation_log_t ours;
+    cancellation_log_t own;
     cancellation_log_t siblings[2];
-    GHashTable *stopped; /* ids that the siblings named */
+    GHashTable *stopped; /* set of job ids (char *, owned) that the siblings named */
 } fixture_t;
 
-static fixture_t *fixture;
-
 static int set_up(void **state)
 {
-    (void)state;
-    fixture = g_new0(fixture_t, 1);
-    cancellation_log_init(&fixture->ours, 10, 100);
+    fixture_t *fixture = g_new0(fixture_t, 1);
+    cancellation_log_init(&fixture->own, 10, 100);
     for (guint i = 0; i < 2; i++)
         cancellation_log_init(&fixture->siblings[i], 20 + i, 100);
     fixture->stopped = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    *state = fixture;
     return 0;
 }
 
 static int tear_down(void **state)
 {
-    (void)state;
-    cancellation_log_clear(&fixture->ours);
+    fixture_t *fixture = *state;
+    cancellation_log_clear(&fixture->own);
     for (guint i = 0; i < 2; i++)
         cancellation_log_clear(&fixture->siblings[i]);
     g_hash_table_unref(fixture->stopped);
@@ -34,166 +34,177 @@
     return 0;
 }
 
-/* What the sibling would answer now. */
-static cancellation_update_t answer(guint sibling, msec_t now)
+/* Replaces the sibling's log by that of a new incarnation. */
+static void restart_sibling(fixture_t *fixture, guint sibling, msec_t now)
+{
+    cancellation_log_clear(&fixture->siblings[sibling]);
+    cancellation_log_init(&fixture->siblings[sibling], 99, now);
+}
+
+/* Jobs of different ids, confirmed `step_ms` apart. */
+static void append_jobs(cancellation_log_t *log, guint count, msec_t from, msec_t step_ms)
+{
+    char id[ID_BYTES];
+    for (guint i = 0; i < count; i++) {
+        g_snprintf(id, sizeof id, "j-%06u", i);
+        cancellation_log_append(log, id, from + (msec_t)i * step_ms);
+    }
+}
+
+/* What the sibling would answer to a heartbeat now. */
+static cancellation_update_t answer(const fixture_t *fixture, guint sibling, msec_t now)
 {
-    const cancellation_replica_t *replica = &fixture->ours.siblings[sibling];
+    const cancellation_replica_t *replica = &fixture->own.siblings[sibling];
     return cancellation_log_update(&fixture->siblings[sibling], replica->incarnation,
                                    replica->last_index, now);
 }
 
-static void receive(guint sibling, const cancellation_update_t *update, msec_t asked, msec_t now)
+static void receive(fixture_t *fixture, guint sibling, const cancellation_update_t *update,
+                    msec_t sent_at, msec_t now)
 {
     for (guint i = 0; i < update->jobs->len; i++)
         g_hash_table_add(fixture->stopped, g_strdup(g_ptr_array_index(update->jobs, i)));
-    cancellation_log_apply(&fixture->ours, sibling, update, asked, now);
+    cancellation_log_apply(&fixture->own, sibling, update, sent_at, now);
 }
 
-static void ask(guint sibling, msec_t asked, msec_t now)
+/* A heartbeat that is sent and answered at once. */
+static void exchange(fixture_t *fixture, guint sibling, msec_t sent_at, msec_t now)
 {
-    cancellation_update_t update = answer(sibling, now);
-    receive(sibling, &update, asked, now);
+    cancellation_update_t update = answer(fixture, sibling, now);
+    receive(fixture, sibling, &update, sent_at, now);
     cancellation_update_clear(&update);
 }
 
-static msec_t known(void)
+static msec_t complete_until(const fixture_t *fixture)
 {
-    return cancellation_log_complete_until(&fixture->ours, 2, FOLLOWED);
+    return cancellation_log_complete_until(&fixture->own, 2, JOBS_COMPLETE_UNTIL);
 }
 
-/* The gap: the leader alone is refused, a sibling confirms cancellations, then the key-value store
- * is out for all. What the sibling told is known, and so can be stopped, when the leader's moment
- * moves past it; the workers' other work keeps its leases. */
+/* The key-value store refuses the leader alone, a sibling confirms a cancellation, then the
+ * key-value store refuses all. The cancellation is known, so that the job can be stopped, once the
+ * leader's moment moves past it; the workers' other work keeps its leases. */
 static void test_entries_of_a_sibling_are_known_before_the_moment_moves(void **state)
 {
-    (void)state;
-    ask(0, 900, 910);
-    ask(1, 900, 910);
+    fixture_t *fixture = *state;
+    exchange(fixture, 0, 900, 910);
+    exchange(fixture, 1, 900, 910);
     cancellation_log_append(&fixture->siblings[0], "j-000001", 1500);
-    assert_int_equal(known(), FOLLOWED);
-    ask(1, 2000, 2010);
-    assert_int_equal(known(), FOLLOWED);
-    ask(0, 2000, 2010);
+    assert_int_equal(complete_until(fixture), JOBS_COMPLETE_UNTIL);
+    exchange(fixture, 1, 2000, 2010);
+    assert_int_equal(complete_until(fixture), JOBS_COMPLETE_UNTIL);
+    exchange(fixture, 0, 2000, 2010);
     assert_true(g_hash_table_contains(fixture->stopped, "j-000001"));
-    assert_int_equal(known(), 2000);
+    assert_int_equal(complete_until(fixture), 2000);
 }
 
 static void test_a_silent_sibling_stops_the_moment(void **state)
 {
-    (void)state;
-    ask(0, 50000, 50010);
-    assert_int_equal(known(), FOLLOWED); /* the other never answered */
-    ask(1, 20000, 20010);
-    assert_int_equal(known(), 20000);
-    assert_int_equal(cancellation_log_complete_until(&fixture->ours, 2, 30000), 30000);
-    assert_int_equal(cancellation_log_complete_until(&fixture->ours, 0, FOLLOWED),
-                     FOLLOWED); /* there is none */
+    fixture_t *fixture = *state;
+    exchange(fixture, 0, 50000, 50010);
+    /* The other sibling has not answered. */
+    assert_int_equal(complete_until(fixture), JOBS_COMPLETE_UNTIL);
+    exchange(fixture, 1, 20000, 20010);
+    assert_int_equal(complete_until(fixture), 20000);
+    assert_int_equal(cancellation_log_complete_until(&fixture->own, 2, 30000), 30000);
+    /* Without siblings the watch alone counts. */
+    assert_int_equal(cancellation_log_complete_until(&fixture->own, 0, JOBS_COMPLETE_UNTIL),
+                     JOBS_COMPLETE_UNTIL);
 }
 
-/* A cancellation told while the answer is under way isn't in it. */
+/* A cancellation that is confirmed while the answer is on its way is not in it. */
 static void test_an_answer_counts_from_when_it_was_asked_for(void **state)
 {
-    (void)state;
-    ask(0, 900, 910);
-    cancellation_update_t late = answer(0, 3000);
+    fixture_t *fixture = *state;
+    exchange(fixture, 0, 900, 910);
+    cancellation_update_t late = answer(fixture, 0, 3000);
     cancellation_log_append(&fixture->siblings[0], "j-000001", 3500);
-    ask(1, 60000, 60010);
-    receive(0, &late, 2900, 60000);
+    exchange(fixture, 1, 60000, 60010);
+    receive(fixture, 0, &late, 2900, 60000);
     cancellation_update_clear(&late);
-    assert_int_equal(known(), 2900);
+    assert_int_equal(complete_until(fixture), 2900);
 }
 
 static void test_a_late_or_doubled_answer_takes_nothing_back(void **state)
 {
-    (void)state;
-    ask(1, 9000, 9010);
+    fixture_t *fixture = *state;
+    exchange(fixture, 1, 9000, 9010);
     cancellation_log_append(&fixture->siblings[0], "j-000001", 1500);
-    cancellation_update_t first = answer(0, 2000);
-    receive(0, &first, 1990, 2000);
+    cancellation_update_t first = answer(fixture, 0, 2000);
+    receive(fixture, 0, &first, 1990, 2000);
     cancellation_log_append(&fixture->siblings[0], "j-000002", 2500);
-    ask(0, 3000, 3010);
-    receive(0, &first, 1990, 3100);
+    exchange(fixture, 0, 3000, 3010);
+    receive(fixture, 0, &first, 1990, 3100);
     cancellation_update_clear(&first);
-    assert_int_equal(known(), 3000);
-    assert_int_equal(fixture->ours.siblings[0].last_index, 2);
+    assert_int_equal(complete_until(fixture), 3000);
+    assert_int_equal(fixture->own.siblings[0].last_index, 2);
 }
 
-/* A sibling that began anew can't say what its earlier incarnation told just before its end: the
- * moment stands until the jobs were followed again. */
+/* A restarted sibling does not know what its earlier incarnation confirmed last: the moment does
+ * not move until the watch of jobs/ has passed the restart. */
 static void test_one_that_began_anew_counts_from_a_followed_moment(void **state)
 {
-    (void)state;
-    ask(0, 1200, 1210);
-    ask(1, 1200, 1210);
-    cancellation_log_append(&fixture->siblings[0], "j-000001", 1300); /* not fetched by anyone */
-    cancellation_log_clear(&fixture->siblings[0]);
-    cancellation_log_init(&fixture->siblings[0], 99, 1400);
-    ask(0, 5000, 5010);
-    ask(1, 5000, 5010);
-    assert_int_equal(known(), FOLLOWED);
-    assert_int_equal(cancellation_log_complete_until(&fixture->ours, 2, 1390), 1390);
-    assert_int_equal(cancellation_log_complete_until(&fixture->ours, 2, 1500), 5000);
+    fixture_t *fixture = *state;
+    exchange(fixture, 0, 1200, 1210);
+    exchange(fixture, 1, 1200, 1210);
+    cancellation_log_append(&fixture->siblings[0], "j-000001", 1300); /* never fetched */
+    restart_sibling(fixture, 0, 1400);
+    exchange(fixture, 0, 5000, 5010);
+    exchange(fixture, 1, 5000, 5010);
+    assert_int_equal(complete_until(fixture), JOBS_COMPLETE_UNTIL);
+    assert_int_equal(cancellation_log_complete_until(&fixture->own, 2, 1390), 1390);
+    assert_int_equal(cancellation_log_complete_until(&fixture->own, 2, 1500), 5000);
 }
 
-/* Its start is reckoned from an age that its own clock tells, and clocks drift apart. */
+/* The start of a sibling is worked out from an age by its own clock, and clocks drift apart. */
 static void test_the_age_of_a_start_is_uncertain(void **state)
 {
-    (void)state;
-    cancellation_log_clear(&fixture->siblings[0]);
-    cancellation_log_init(&fixture->siblings[0], 99, 10000);
-    ask(0, 110000, 110000);
-    ask(1, 110000, 110000);
-    assert_int_equal(cancellation_log_complete_until(&fixture->ours, 2, 10050), 10050);
-    assert_int_equal(cancellation_log_complete_until(&fixture->ours, 2, 10200), 110000);
+    fixture_t *fixture = *state;
+    restart_sibling(fixture, 0, 10000);
+    exchange(fixture, 0, 110000, 110000);
+    exchange(fixture, 1, 110000, 110000);
+    assert_int_equal(cancellation_log_complete_until(&fixture->own, 2, 10050), 10050);
+    assert_int_equal(cancellation_log_complete_until(&fixture->own, 2, 10200), 110000);
 }
 
-/* Three messages' worth: the moment moves with the last of them, not before. */
+/* Entries for three messages: the moment moves with the last message, not before. */
 static void test_a_long_list_comes_in_several_updates(void **state)
 {
-    (void)state;
-    char id[ID_BYTES];
-    ask(0, 900, 910);
-    ask(1, 9000, 9010);
-    for (guint i = 0; i < 2 * CANCELLATION_UPDATE_COUNT + 1; i++) {
-        g_snprintf(id, sizeof id, "j-%06u", i);
-        cancellation_log_append(&fixture->siblings[0], id, 1500);
-    }
-    ask(0, 2000, 2010);
-    assert_int_equal(known(), FOLLOWED);
-    ask(0, 3000, 3010);
-    assert_int_equal(known(), FOLLOWED);
-    ask(0, 4000, 4010);
-    assert_int_equal(known(), 4000);
+    fixture_t *fixture = *state;
+    exchange(fixture, 0, 900, 910);
+    exchange(fixture, 1, 9000, 9010);
+    append_jobs(&fixture->siblings[0], 2 * CANCELLATION_UPDATE_COUNT + 1, 1500, 0);
+    exchange(fixture, 0, 2000, 2010);
+    assert_int_equal(complete_until(fixture), JOBS_COMPLETE_UNTIL);
+    exchange(fixture, 0, 3000, 3010);
+    assert_int_equal(complete_until(fixture), JOBS_COMPLETE_UNTIL);
+    exchange(fixture, 0, 4000, 4010);
+    assert_int_equal(complete_until(fixture), 4000);
     assert_int_equal(g_hash_table_size(fixture->stopped), 2 * CANCELLATION_UPDATE_COUNT + 1);
 }
 
-/* The list is bounded: one that fell behind it must not take what is left for the whole. */
+/* A log is bounded: a replica that fell behind must not count what is left as complete. */
 static void test_an_entry_dropped_before_it_was_fetched_is_a_gap(void **state)
 {
-    (void)state;
-    char id[ID_BYTES];
-    ask(0, 900, 910);
-    ask(1, 90000, 90010);
-    for (guint i = 0; i < CANCELLATION_LOG_COUNT + 1; i++) {
-        g_snprintf(id, sizeof id, "j-%06u", i);
-        cancellation_log_append(&fixture->siblings[0], id, 2000 + i);
-    }
-    while (fixture->ours.siblings[0].last_index < CANCELLATION_LOG_COUNT + 1)
-        ask(0, 60000, 60010);
+    fixture_t *fixture = *state;
+    exchange(fixture, 0, 900, 910);
+    exchange(fixture, 1, 90000, 90010);
+    append_jobs(&fixture->siblings[0], CANCELLATION_LOG_COUNT + 1, 2000, 1);
+    while (fixture->own.siblings[0].last_index < CANCELLATION_LOG_COUNT + 1)
+        exchange(fixture, 0, 60000, 60010);
     assert_false(g_hash_table_contains(fixture->stopped, "j-000000"));
-    assert_int_equal(known(), FOLLOWED);
+    assert_int_equal(complete_until(fixture), JOBS_COMPLETE_UNTIL);
     assert_int_equal(
-        cancellation_log_complete_until(&fixture->ours, 2, 2000 + CANCELLATION_LOG_COUNT + 100),
+        cancellation_log_complete_until(&fixture->own, 2, 2000 + CANCELLATION_LOG_COUNT + 100),
         60000);
 }
 
-/* A status read, a repeated abort: the job is on the list once, at its first telling. */
+/* As by a status read or a repeated abort: the job is listed once, when it was first confirmed. */
 static void test_a_repeated_cancellation_is_listed_once(void **state)
 {
-    (void)state;
+    fixture_t *fixture = *state;
     cancellation_log_append(&fixture->siblings[0], "j-000001", 1500);
     cancellation_log_append(&fixture->siblings[0], "j-000001", 1900);
-    cancellation_update_t update = answer(0, 2000);
+    cancellation_update_t update = answer(fixture, 0, 2000);
     assert_int_equal(update.jobs->len, 1);
     assert_int_equal(update.last_index, 1);
     assert_true(update.is_complete);
--- a/tests/core/replication/test_summary_update.c
+++ b/tests/core/replication/test_summary_update.c
@@ -8,9 +8,9 @@
 typedef struct fixture {
     summary_sender_t sender;
     summary_replica_t replica;
-    GArray *current; /* the partition's */
+    GArray *current; /* machine_summary_t, owned: what the partition has */
     msec_t now;
-    guint created;
+    guint created_count; /* machines that have existed */
 } fixture_t;
 
 static machine_summary_t summary_of(guint number)
@@ -27,7 +27,7 @@
     fixture_t fixture = {.current = g_array_new(FALSE, FALSE, sizeof(machine_summary_t)),
                          .now = 1000};
     for (guint i = 0; i < machines; i++) {
-        machine_summary_t summary = summary_of(fixture.created++);
+        machine_summary_t summary = summary_of(fixture.created_count++);
         g_array_append_val(fixture.current, summary);
     }
     return fixture;
@@ -40,8 +40,8 @@
     summary_replica_clear(&fixture->replica);
 }
 
-/* Time passes for every machine. */
-static void pass(fixture_t *fixture, msec_t ms)
+/* Lets time pass for every machine. */
+static void advance(fixture_t *fixture, msec_t ms)
 {
     fixture->now += ms;
     for (guint i = 0; i < fixture->current->len; i++) {
@@ -62,7 +62,8 @@
     return summary_sender_next(&fixture->sender, g_array_copy(fixture->current), fixture->now);
 }
 
-/* One exchange; returns how many summaries it took. */
+/* Sends the next update, which may be lost, as its answer may; returns how many summaries it had.
+ */
 static guint exchange(fixture_t *fixture, bool arrives, bool is_answered)
 {
     summary_update_t update = next_update(fixture);
@@ -77,7 +78,7 @@
     return count;
 }
 
-static const machine_summary_t *find(const GArray *summaries, const char *machine)
+static const machine_summary_t *find_summary(const GArray *summaries, const char *machine)
 {
     for (guint i = 0; i < summaries->len; i++) {
         const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, i);
@@ -92,7 +93,7 @@
     assert_int_equal(fixture->replica.summaries->len, fixture->current->len);
     for (guint i = 0; i < fixture->current->len; i++) {
         const machine_summary_t *summary = machine_at(fixture, i);
-        const machine_summary_t *known = find(fixture->replica.summaries, summary->machine);
+        const machine_summary_t *known = find_summary(fixture->replica.summaries, summary->machine);
         assert_non_null(known);
         assert_int_equal(known->open, summary->open);
         assert_int_equal(known->draining, summary->draining);
@@ -114,7 +115,7 @@
     fixture_t fixture = fixture_new(MACHINES_MAX);
     assert_int_equal(exchange(&fixture, true, true), MACHINES_MAX);
     for (guint i = 0; i < 20; i++) {
-        pass(&fixture, 400);
+        advance(&fixture, 400);
         assert_int_equal(exchange(&fixture, true, true), 0);
         assert_replica_is_current(&fixture);
     }
@@ -124,15 +125,15 @@
     fixture_clear(&fixture);
 }
 
-/* A machine that has short work again and again is not idle: each time its idle time was off by
- * less than is sent, the leader's grew on. */
+/* The idle time of a machine that has short work again and again differs by less than is sent each
+ * time: the leader's must not grow on. */
 static void test_small_errors_of_idle_times_do_not_add_up(void **state)
 {
     (void)state;
     fixture_t fixture = fixture_new(3);
     exchange(&fixture, true, true);
     for (guint i = 0; i < 50; i++) {
-        pass(&fixture, 400);
+        advance(&fixture, 400);
         machine_at(&fixture, 1)->idle_ms = 0;
         exchange(&fixture, true, true);
         assert_replica_is_current(&fixture);
@@ -140,7 +141,7 @@
     fixture_clear(&fixture);
 }
 
-/* Silence decides on releases: how long it has lasted is told each time. */
+/* Terminating machines depends on how long they have been silent: that is sent each time. */
 static void test_silence_is_sent_as_it_grows(void **state)
 {
     (void)state;
@@ -148,7 +149,7 @@
     exchange(&fixture, true, true);
     machine_at(&fixture, 2)->open = false;
     for (guint i = 0; i < 30; i++) {
-        pass(&fixture, 700);
+        advance(&fixture, 700);
         exchange(&fixture, true, true);
         assert_replica_is_current(&fixture);
     }
@@ -164,7 +165,7 @@
     guint kind = (guint)g_rand_int_range(random, 0, 5);
     guint at = (guint)g_rand_int_range(random, 0, MAX((gint)fixture->current->len, 1));
     if (kind == 0 && fixture->current->len < MACHINES_MAX) {
-        machine_summary_t summary = summary_of(fixture->created++);
+        machine_summary_t summary = summary_of(fixture->created_count++);
         g_array_append_val(fixture->current, summary);
     } else if (kind == 1 && fixture->current->len > 1) {
         g_array_remove_index(fixture->current, at);
@@ -178,7 +179,7 @@
     }
 }
 
-/* Messages and answers are lost at random, old messages come again. */
+/* Messages and answers are lost at random, and old messages arrive again. */
 static void test_losses_and_copies_leave_the_leader_what_the_partition_has(void **state)
 {
     (void)state;
@@ -186,7 +187,7 @@
     fixture_t fixture = fixture_new(10);
     summary_update_t old = {0};
     for (guint i = 0; i < ROUNDS; i++) {
-        pass(&fixture, g_rand_int_range(random, 50, 1500));
+        advance(&fixture, g_rand_int_range(random, 50, 1500));
         for (gint changes = g_rand_int_range(random, 0, 4); changes > 0; changes--)
             change_something(&fixture, random);
         bool arrives = g_rand_int_range(random, 0, 10) > 0;
@@ -196,7 +197,7 @@
         summary_update_clear(&old);
         if (fixture.replica.summaries && arrives)
             assert_replica_is_current(&fixture);
-        if (i % 50 == 0) { /* one that overtakes nothing: it is older when it comes */
+        if (i % 50 == 0) { /* this one will arrive after a newer one */
             old = next_update(&fixture);
             summary_sender_reset(&fixture.sender);
             exchange(&fixture, true, true);
@@ -207,13 +208,13 @@
     fixture_clear(&fixture);
 }
 
-/* A leader that has another version takes no changes, and gets all there is next. */
+/* A leader that has another version applies no changes and is sent all summaries next. */
 static void test_a_leader_with_another_version_gets_all(void **state)
 {
     (void)state;
     fixture_t fixture = fixture_new(6);
     exchange(&fixture, true, true);
-    summary_replica_clear(&fixture.replica); /* a new view */
+    summary_replica_clear(&fixture.replica); /* as by a new view */
     machine_at(&fixture, 0)->attempts = 1;
     assert_int_equal(exchange(&fixture, true, true), 1);
     assert_null(fixture.replica.summaries);
--- a/tests/io/test_relay.c
+++ b/tests/io/test_relay.c
@@ -4,38 +4,42 @@
 #include "io/relay.h"
 #include "unit_test.h"
 
-enum { VALUE = 2048 };
-
-static fake_kv_store_t *store;
+enum { VALUE_MAX_BYTES = 2048 };
 
 static int set_up(void **state)
 {
-    (void)state;
-    store = fake_kv_store_new();
+    *state = fake_kv_store_new();
     return 0;
 }
 
 static int tear_down(void **state)
 {
-    (void)state;
-    fake_kv_store_free(store);
+    fake_kv_store_free(*state);
     return 0;
 }
 
-static guint post(const char *name, guint size, guint8 fill)
+/* Bytes from a fixed seed, which compression does not make shorter; the first and the last one are
+ * `fill`. */
+static GByteArray *noise_frame(guint size, guint8 fill)
 {
     GByteArray *frame = g_byte_array_new();
     g_byte_array_set_size(frame, size);
-    /* Noise from a fixed start, which no packing makes shorter. */
     GRand *noise = g_rand_new_with_seed(fill);
     for (guint i = 0; i < size; i++)
         frame->data[i] = (guint8)g_rand_int(noise);
     g_rand_free(noise);
-    frame->data[0] = frame->data[size - 1] = fill;
+    frame->data[0] = fill;
+    frame->data[size - 1] = fill;
+    return frame;
+}
+
+/* Commits a message to the leader; returns the number of its pages. */
+static guint post(fake_kv_store_t *store, const char *name, guint size, guint8 fill)
+{
+    g_autoptr(GByteArray) frame = noise_frame(size, fill);
     kv_txn_t txn = kv_txn_new();
-    guint pages = relay_write(&txn, "up", name, frame, VALUE);
+    guint pages = relay_write(&txn, "up", name, frame, VALUE_MAX_BYTES);
     assert_int_equal(fake_kv_store_apply(store, txn), KV_OK);
-    g_byte_array_unref(frame);
     return pages;
 }
 
@@ -44,7 +48,8 @@
     return strcmp(((const kv_entry_t *)left)->key, ((const kv_entry_t *)right)->key);
 }
 
-static GArray *open_inbox(void)
+/* The messages to the leader: array of relay_message_t. */
+static GArray *read_inbox(const fake_kv_store_t *store)
 {
     GArray *entries = kv_entries_new();
     GHashTableIter iter;
@@ -63,57 +68,69 @@
     return relayed_messages;
 }
 
-static guint post_summaries(guint machines)
+static machine_summary_t summary_of(guint number)
 {
-    peer_message_t message = {.items = channel_items_new(),
-                              .summaries.summaries =
-                                  g_array_new(FALSE, FALSE, sizeof(machine_summary_t)),
-                              .cpus_being_preempted = g_array_new(FALSE, FALSE, sizeof(double))};
+    machine_summary_t summary = {
+        .total = {16, 0, 128},
+        .free = {(double)(number % 8) * 2, 0, 11.3 + (double)number * 0.37},
+        .attempts = 8 - number % 8,
+        .silent_ms = (msec_t)number * 7,
+        .known_ms = 100000 + number};
+    g_snprintf(summary.machine, sizeof summary.machine, "m-%06u", number * 3);
+    g_strlcpy(summary.type, "sixteen", sizeof summary.type);
+    g_strlcpy(summary.zone, number % 3 ? "zone-a" : "zone-b", sizeof summary.zone);
+    return summary;
+}
+
+static channel_item_t result_of(guint number)
+{
+    channel_item_t item = {.kind = CHANNEL_ATTEMPT_RESULT,
+                           .result.ref = {.task = number, .attempt = 1ULL << 30}};
+    g_snprintf(item.result.ref.job, sizeof item.result.ref.job, "j-%06u", number * 31);
+    g_snprintf(item.result.machine, sizeof item.result.machine, "m-%06u", number * 5);
+    return item;
+}
+
+/* The number of pages, of 16 KiB, of a message with so many summaries and a batch of results. */
+static guint pages_of_summaries(guint machines)
+{
+    g_auto(peer_message_t) message = {0};
+    message.items = channel_items_new();
+    message.summaries.summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
+    message.cpus_being_preempted = g_array_new(FALSE, FALSE, sizeof(double));
     for (guint i = 0; i < machines; i++) {
-        machine_summary_t summary = {.total = {16, 0, 128},
-                                     .free = {(double)(i % 8) * 2, 0, 11.3 + (double)i * 0.37},
-                                     .attempts = 8 - i % 8,
-                                     .silent_ms = (msec_t)i * 7,
-                                     .known_ms = 100000 + i};
-        g_snprintf(summary.machine, sizeof summary.machine, "m-%06u", i * 3);
-        g_strlcpy(summary.type, "sixteen", sizeof summary.type);
-        g_strlcpy(summary.zone, i % 3 ? "zone-a" : "zone-b", sizeof summary.zone);
+        machine_summary_t summary = summary_of(i);
         g_array_append_val(message.summaries.summaries, summary);
     }
     for (guint i = 0; i < PEER_BATCH_COUNT; i++) {
-        channel_item_t item = {.kind = CHANNEL_ATTEMPT_RESULT,
-                               .result.ref = {.task = i, .attempt = 1ULL << 30}};
-        g_snprintf(item.result.ref.job, sizeof item.result.ref.job, "j-%06u", i * 31);
-        g_snprintf(item.result.machine, sizeof item.result.machine, "m-%06u", i * 5);
+        channel_item_t item = result_of(i);
         g_array_append_val(message.items, item);
     }
-    GByteArray *frame = peer_encode(&message);
+    g_autoptr(GByteArray) frame = peer_encode(&message);
     kv_txn_t txn = kv_txn_new();
     guint pages = relay_write(&txn, "up", "controller-1", frame, 16384);
     kv_txn_free(&txn);
-    g_byte_array_unref(frame);
-    peer_message_clear(&message);
     return pages;
 }
 
-/* One surviving controller with a thousand machines behind a cut: its machine summaries and a batch
- * of results must fit one transaction of 64 KiB, or nothing is placed there. */
+/* One surviving controller with a thousand machines behind a network cut: its machine summaries and
+ * a batch of results must fit into one transaction of 64 KiB, or nothing is placed there. */
 static void test_summaries_of_a_thousand_machines_fit_a_message(void **state)
 {
     (void)state;
-    guint pages = post_summaries(1030);
+    guint pages = pages_of_summaries(1030);
     assert_in_range(pages, 1, 3);
-    assert_true(post_summaries(70) <= pages);
+    assert_true(pages_of_summaries(70) <= pages);
 }
 
-/* The machine summaries of 70 machines with a second's results are more than one value holds:
- * refused whole, a zone behind a cut got no work at all. */
+/* The summaries of 70 machines with a second's results exceed a value: in one page they would be
+ * refused, and a zone behind a network cut would get no work at all. */
 static void test_long_message_goes_in_pages(void **state)
 {
-    (void)state;
-    assert_true(post("controller-1", 5000, 7) > 2);
-    assert_int_equal(post("controller-10", 10, 9), 1);
-    GArray *relayed_messages = open_inbox();
+    fake_kv_store_t *store = *state;
+    assert_true(post(store, "controller-1", 5000, 7) > 2);
+    assert_int_equal(post(store, "controller-10", 10, 9), 1);
+    GArray *relayed_messages = read_inbox(store);
     assert_int_equal(relayed_messages->len, 2);
     const relay_message_t *relayed = &g_array_index(relayed_messages, relay_message_t, 0);
     assert_string_equal(relayed->name, "controller-1");
@@ -123,14 +140,14 @@
     g_array_unref(relayed_messages);
 }
 
-/* A shorter message leaves the last pages of the one before, of an older revision. */
+/* A shorter message leaves the last pages of the one before, which have an older revision. */
 static void test_pages_of_an_earlier_message_are_passed_over(void **state)
 {
-    (void)state;
-    guint before = post("controller-1", 5000, 7);
-    guint after = post("controller-1", 1800, 8);
+    fake_kv_store_t *store = *state;
+    guint before = post(store, "controller-1", 5000, 7);
+    guint after = post(store, "controller-1", 1800, 8);
     assert_true(after > 1 && after < before);
-    GArray *relayed_messages = open_inbox();
+    GArray *relayed_messages = read_inbox(store);
     assert_int_equal(relayed_messages->len, 1);
     const relay_message_t *relayed = &g_array_index(relayed_messages, relay_message_t, 0);
     assert_int_equal(relayed->frame->len, 1800);
@@ -138,15 +155,15 @@
     g_array_unref(relayed_messages);
 }
 
-/* Read while a new one was being listed page by page: not whole, so no message. */
+/* As when a new message is committed while the pages are listed one by one. */
 static void test_torn_message_is_ignored(void **state)
 {
-    (void)state;
-    post("controller-1", 3000, 7);
+    fake_kv_store_t *store = *state;
+    post(store, "controller-1", 3000, 7);
     kv_entry_t *page = g_hash_table_lookup(store->keys, "mail/up/controller-1.1");
     assert_non_null(page);
     page->revision++;
-    GArray *relayed_messages = open_inbox();
+    GArray *relayed_messages = read_inbox(store);
     assert_int_equal(relayed_messages->len, 0);
     g_array_unref(relayed_messages);
 }
