--- a/src/controller/peer/leader_end.c
+++ b/src/controller/peer/leader_end.c
@@ -12,8 +12,8 @@
 }
 
 /* Finds the sender among the members of the view; false: it is none. */
-static bool find_sender(const controller_t *controller, const peer_message_t *message,
-                        guint *member)
+static bool find_sender_locked(const controller_t *controller, const peer_message_t *message,
+                               guint *member)
 {
     const view_t *view = &controller->membership.view;
     for (guint i = 0; i < view->count; i++) {
@@ -27,19 +27,20 @@
 }
 
 /* Whether the message is of a partition of the view that this controller leads. */
-static bool find_partition(const controller_t *controller, const peer_message_t *message,
-                           guint *member)
+static bool find_partition_locked(const controller_t *controller, const peer_message_t *message,
+                                  guint *member)
 {
     if (!controller->membership.is_leader || !controller->placement.is_loaded)
         return false;
     if (message->view_number != controller->membership.view.number)
         return false;
-    return find_sender(controller, message, member) && *member != controller->membership.own_index;
+    return find_sender_locked(controller, message, member) &&
+           *member != controller->membership.own_index;
 }
 
 /* Handles the results of a new batch. Returns whether there was one. */
-static bool handle_results(controller_t *controller, guint member, const peer_message_t *message,
-                           msec_t now)
+static bool handle_results_locked(controller_t *controller, guint member,
+                                  const peer_message_t *message, msec_t now)
 {
     channel_t *channel = leader_end_channel(controller, member);
     if (message->items->len == 0 || !channel_accept(channel, message->batch_number))
@@ -55,8 +56,8 @@
 /* Hands the partition's machine summaries to the leader's data. Returns whether they changed. Those
  * from before the last batch of placement requests would show the resources of its requests as
  * free: they are kept until a message that acknowledges the batch. */
-static bool apply_summaries(controller_t *controller, guint member, peer_message_t *message,
-                            msec_t now)
+static bool apply_summaries_locked(controller_t *controller, guint member, peer_message_t *message,
+                                   msec_t now)
 {
     const channel_t *channel = leader_end_channel(controller, member);
     const summary_update_t *update = &message->summaries;
@@ -79,11 +80,11 @@
 {
     msec_t now = clock_steady();
     peer_exchange_observe_sender(controller, message);
-    if (!find_partition(controller, message, member))
+    if (!find_partition_locked(controller, message, member))
         return false;
     channel_acknowledge(leader_end_channel(controller, *member), message->acknowledged_batch);
-    bool has_results = handle_results(controller, *member, message, now);
-    bool has_summaries = apply_summaries(controller, *member, message, now);
+    bool has_results = handle_results_locked(controller, *member, message, now);
+    bool has_summaries = apply_summaries_locked(controller, *member, message, now);
     if (has_results || has_summaries)
         controller_notify_placement(controller);
     return true;
--- a/src/controller/peer/leader_end.h
+++ b/src/controller/peer/leader_end.h
@@ -15,7 +15,7 @@
  * Returns true and sets @p member, the sender's index in the view, which is valid while the lock is
  * held; or returns false if the message does not count: this controller does not lead or has no
  * data loaded, or the message is of another view or not of a member of this one. Then only what it
- * says of its sender is recorded. Called with the lock held. */
+ * reports of its sender is recorded. Called with the lock held. */
 bool leader_end_receive(controller_t *controller, peer_message_t *message, guint *member);
 
 /** Returns the leader's end of the channel to the partition of @p member, valid while the lock is
--- a/src/controller/peer/peer_client.c
+++ b/src/controller/peer/peer_client.c
@@ -27,7 +27,7 @@
 /* Whether machine summaries go with the next message. They are most of a message, so they follow
  * new batches and new data at once, and go at a slower pace otherwise. Called with the lock held.
  */
-static bool are_summaries_due(const peer_client_t *client)
+static bool are_summaries_due_locked(const peer_client_t *client)
 {
     const controller_t *controller = client->controller;
     return controller->peers.leader_channel->last_received_batch != client->summarized_batch ||
@@ -37,10 +37,10 @@
 
 /* The summaries that go with the next message (transfer full); all zeros: none. Called with the
  * lock held. */
-static summary_update_t next_summaries(peer_client_t *client)
+static summary_update_t next_summaries_locked(peer_client_t *client)
 {
     const controller_t *controller = client->controller;
-    if (!are_summaries_due(client))
+    if (!are_summaries_due_locked(client))
         return (summary_update_t){0};
     if (controller->placement.generation != client->summarized_generation)
         summary_sender_reset(&client->summaries);
@@ -52,7 +52,7 @@
 }
 
 /* Where the leader listens, transfer none; NULL: it is not among the siblings. */
-static const char *find_leader_endpoint(const controller_t *controller)
+static const char *find_leader_endpoint_locked(const controller_t *controller)
 {
     for (guint i = 0; i < controller->settings->siblings->len; i++) {
         const sibling_t *sibling = &g_array_index(controller->settings->siblings, sibling_t, i);
@@ -64,12 +64,12 @@
 
 /* Where the leader to call listens, transfer none; NULL: there is none to call, because this
  * controller leads, is not a member or has no data loaded. Called with the lock held. */
-static const char *endpoint_to_call(const controller_t *controller)
+static const char *endpoint_to_call_locked(const controller_t *controller)
 {
     if (controller->membership.is_leader || !controller->placement.is_loaded ||
         controller->membership.own_index == G_MAXUINT)
         return NULL;
-    return find_leader_endpoint(controller);
+    return find_leader_endpoint_locked(controller);
 }
 
 /* The next message to the leader, transfer full. If there is no leader to call, waits for a while
@@ -79,11 +79,11 @@
     controller_t *controller = client->controller;
     GByteArray *frame = NULL;
     pthread_mutex_lock(&controller->lock);
-    const char *endpoint = endpoint_to_call(controller);
+    const char *endpoint = endpoint_to_call_locked(controller);
     if (endpoint) {
         g_strlcpy(client->leader_endpoint, endpoint, sizeof client->leader_endpoint);
         frame = peer_exchange_compose(controller, controller->peers.leader_channel,
-                                      next_summaries(client));
+                                      next_summaries_locked(client));
     } else {
         controller_wait(controller, &controller->peers.item_available, MEMBER_TICK_MS);
     }
--- a/src/controller/peer/peer_exchange.h
+++ b/src/controller/peer/peer_exchange.h
@@ -1,6 +1,6 @@
 /** @file
  * What both ends of the exchange between controllers share: composing a message, recording what
- * every message says of its sender, and a call over a socket.
+ * every message reports of its sender, and a call over a socket.
  *
  * Each partition calls the leader over and over: what it has to send goes with the call, what the
  * leader has to send comes with the answer, which the leader delays for a moment while it has
@@ -28,8 +28,8 @@
 GByteArray *peer_exchange_compose(const controller_t *controller, channel_t *channel,
                                   summary_update_t summaries);
 
-/** Records what @p message says of its sender and of the newest view. That counts whoever sent it
- * and whatever view it is of. Called with the lock held. */
+/** Records what @p message reports of its sender and of the newest view. That counts whoever sent
+ * it and whatever view it is of. Called with the lock held. */
 void peer_exchange_observe_sender(controller_t *controller, const peer_message_t *message);
 
 /** Returns whether @p message is of the leader of the view that is installed here. Called with the
--- a/src/controller/peer/peer_heartbeat.c
+++ b/src/controller/peer/peer_heartbeat.c
@@ -31,7 +31,7 @@
 }
 
 /* Whether the sender of the heartbeat has every entry of this controller's log. */
-static bool is_log_known(const cancellation_log_t *log, const peer_message_t *message)
+static bool is_log_known_locked(const cancellation_log_t *log, const peer_message_t *message)
 {
     return message->known_log_incarnation == log->incarnation &&
            message->known_log_index >= log->newest;
@@ -40,12 +40,12 @@
 /* Waits for a cancellation that the sender of the heartbeat does not have, up to
  * PEER_HEARTBEAT_HOLD_MS. Returns for how long it waited. Called with the lock held, which is
  * released meanwhile. */
-static msec_t wait_for_cancellation(controller_t *controller, const peer_message_t *message)
+static msec_t wait_for_cancellation_locked(controller_t *controller, const peer_message_t *message)
 {
     const cancellation_log_t *log = &controller->jobs.cancellations;
     msec_t begun_at = clock_steady();
     msec_t waited_ms = 0;
-    while (is_log_known(log, message) && waited_ms < PEER_HEARTBEAT_HOLD_MS) {
+    while (is_log_known_locked(log, message) && waited_ms < PEER_HEARTBEAT_HOLD_MS) {
         controller_wait(controller, &controller->jobs.cancellation_appended,
                         PEER_HEARTBEAT_HOLD_MS - waited_ms);
         waited_ms = clock_steady() - begun_at;
@@ -55,8 +55,8 @@
 
 /* The answer to a heartbeat, for which the sender has waited so long; transfer full. Called with
  * the lock held. */
-static peer_message_t new_answer(controller_t *controller, const peer_message_t *heartbeat,
-                                 msec_t waited_ms)
+static peer_message_t new_answer_locked(controller_t *controller, const peer_message_t *heartbeat,
+                                        msec_t waited_ms)
 {
     peer_message_t answer = peer_exchange_new_message(controller);
     answer.is_heartbeat = true;
@@ -74,14 +74,14 @@
 {
     pthread_mutex_lock(&controller->lock);
     peer_exchange_observe_sender(controller, message);
-    msec_t waited_ms = wait_for_cancellation(controller, message);
-    g_auto(peer_message_t) answer = new_answer(controller, message, waited_ms);
+    msec_t waited_ms = wait_for_cancellation_locked(controller, message);
+    g_auto(peer_message_t) answer = new_answer_locked(controller, message, waited_ms);
     pthread_mutex_unlock(&controller->lock);
     return peer_encode(&answer);
 }
 
 /* Stops and logs the jobs that a sibling has confirmed as cancelled. Called with the lock held. */
-static void record_cancellations(controller_t *controller, const peer_message_t *message)
+static void record_cancellations_locked(controller_t *controller, const peer_message_t *message)
 {
     const GPtrArray *jobs = message->cancellations.jobs;
     for (guint i = 0; i < jobs->len; i++) {
@@ -94,7 +94,7 @@
 
 /* A job that is over here may still be live where it is counted: its counts are not kept. Called
  * with the lock held. */
-static void apply_job_counts(controller_t *controller, const job_counts_update_t *update)
+static void apply_job_counts_locked(controller_t *controller, const job_counts_update_t *update)
 {
     job_counts_replica_apply(&controller->jobs.counts, update);
     for (guint i = 0; i < update->jobs->len; i++) {
@@ -105,18 +105,18 @@
 }
 
 /* Handles a sibling's answer, which it made at `made_at` or later. Called with the lock held. */
-static void receive_answer(controller_t *controller, guint sibling, const peer_message_t *answer,
-                           msec_t made_at)
+static void receive_answer_locked(controller_t *controller, guint sibling,
+                                  const peer_message_t *answer, msec_t made_at)
 {
     peer_exchange_observe_sender(controller, answer);
     controller->peers.sibling_health[sibling] = (owner_health_t){
         .answered_at = made_at, .worker_heartbeat_at = made_at - answer->worker_heartbeat_age_ms};
     /* The jobs must be stopped before the log counts as known up to then. */
-    record_cancellations(controller, answer);
+    record_cancellations_locked(controller, answer);
     cancellation_log_apply(&controller->jobs.cancellations, sibling, &answer->cancellations,
                            made_at, clock_steady());
     if (peer_exchange_is_from_leader(controller, answer))
-        apply_job_counts(controller, &answer->job_counts);
+        apply_job_counts_locked(controller, &answer->job_counts);
 }
 
 /* A moment at or before the making of the answer to a heartbeat sent at `sent_at`: the sibling held
@@ -138,7 +138,7 @@
     if (!peer_exchange_call(fd, frame, &answer))
         return false;
     pthread_mutex_lock(&controller->lock);
-    receive_answer(controller, sender->sibling, &answer, answer_made_at(&answer, sent_at));
+    receive_answer_locked(controller, sender->sibling, &answer, answer_made_at(&answer, sent_at));
     pthread_mutex_unlock(&controller->lock);
     return true;
 }
--- a/src/controller/peer/peer_relay.c
+++ b/src/controller/peer/peer_relay.c
@@ -85,7 +85,7 @@
 
 /* When the member that called longest ago will have been silent for so long that it may use the
  * relay; NEVER: this controller has no partitions to serve. Called with the lock held. */
-static msec_t relay_due_at(const controller_t *controller)
+static msec_t relay_due_at_locked(const controller_t *controller)
 {
     msec_t due_at = NEVER;
     if (!controller->membership.is_leader || !controller->placement.is_loaded)
@@ -106,7 +106,7 @@
     pthread_mutex_lock(&controller->lock);
     for (;;) {
         msec_t now = clock_steady();
-        msec_t due_at = relay_due_at(controller);
+        msec_t due_at = relay_due_at_locked(controller);
         if (due_at < now)
             break;
         if (due_at == NEVER)
--- a/src/controller/peer/peer_server.c
+++ b/src/controller/peer/peer_server.c
@@ -19,7 +19,7 @@
 /* Waits for a while until the leader has something to send to the partition. Returns the channel,
  * or NULL if it was freed meanwhile with its view. Called with the lock held, which is released
  * meanwhile. */
-static channel_t *wait_for_items(controller_t *controller, channel_t *channel)
+static channel_t *wait_for_items_locked(controller_t *controller, channel_t *channel)
 {
     uint64_t generation = controller->placement.generation;
     msec_t delay_ms = controller_paced(controller, PEER_ANSWER_DELAY_MS);
@@ -42,7 +42,7 @@
     pthread_mutex_lock(&controller->lock);
     if (leader_end_receive(controller, message, &member)) {
         controller->peers.received_at[member] = clock_steady();
-        channel = wait_for_items(controller, leader_end_channel(controller, member));
+        channel = wait_for_items_locked(controller, leader_end_channel(controller, member));
     }
     if (channel)
         received_summaries.version = controller->peers.summary_replicas[member].version;
--- a/src/controller/peer/peer_state.h
+++ b/src/controller/peer/peer_state.h
@@ -15,7 +15,7 @@
  * members, except where another order is named. Times are of this controller's steady clock. */
 typedef struct peer_state {
     pthread_cond_t item_available; /**< Broadcast when an item is queued for a partition, and when a
-                                        view or its data are loaded. */
+                                        view is installed or its data are loaded. */
     pthread_cond_t relay_ready;    /**< Signalled when the data of a view are loaded. */
     channel_t *leader_channel;     /**< The partition's end, towards the leader; owned. NULL before
                                         the first view. */
--- a/src/core/replication/cancellation_log.h
+++ b/src/core/replication/cancellation_log.h
@@ -11,14 +11,15 @@
  *   key-value store it yields no new ones.
  * - A sibling that answers a heartbeat with everything it confirmed since such a moment makes known
  *   here everything that it confirmed before it answered, whatever the view. Where all siblings do
- *   so, the moment moves on to when they were sent these heartbeats. The jobs that they name are
- *   stopped by command instead of running until their workers' leases end.
+ *   so, the moment moves on to the earliest time at which they can have made these answers: when
+ *   the heartbeat was sent, plus the time for which the answer was held back. The jobs that they
+ *   name are stopped by command instead of running until their workers' leases end.
  * - An answer that is lost, late or repeated does not move the moment. An answer after a gap (the
  *   sibling's process was restarted, or its log dropped entries that were not fetched in time)
  *   counts only once the watch has yielded a moment after the gap.
- * - A controller's own entries are made before the answer that confirms them can leave, whichever
- *   request found the cancellation: a first abort, a repeated one, one whose commit had no answer,
- * a status, a repeated submission.
+ * - A controller's own entries are made before the answer that confirms them can leave, whatever
+ *   it answers: a first abort, a repeated one, one whose commit had no answer, a status read or a
+ *   repeated submission.
  *
  * A log holds the cancellations that this controller confirmed, in the order of their first
  * confirmation and numbered from 1 without gaps, and a replica of each sibling's log, of which only
@@ -85,7 +86,7 @@
 void cancellation_update_clear(cancellation_update_t *update);
 
 /** Applies the @p update that @p sibling made at @p made_at or later, and whose jobs the caller has
- * stopped. */
+ * recorded as cancelled, so that they are stopped. */
 void cancellation_log_apply(cancellation_log_t *cancellations, guint sibling,
                             const cancellation_update_t *update, msec_t made_at, msec_t now);
 
--- a/src/core/replication/channel.h
+++ b/src/core/replication/channel.h
@@ -16,16 +16,17 @@
 typedef enum {
     CHANNEL_PLACEMENT_REQUEST,  /**< Leader to partition: place an attempt. */
     CHANNEL_ACKNOWLEDGE,        /**< Leader to partition: an attempt's result is durable. */
-    CHANNEL_WITHDRAW,           /**< Leader to partition: stop an attempt, it is not needed. */
+    CHANNEL_WITHDRAW,           /**< Leader to partition: take a placed attempt back. */
     CHANNEL_DRAIN,              /**< Leader to partition: drain a machine. */
     CHANNEL_MACHINE_TERMINATED, /**< Leader to partition: a machine no longer exists. */
     CHANNEL_CANCEL_DRAIN,       /**< Leader to partition: a machine need not be drained any more. */
-    CHANNEL_ATTEMPT_RESULT      /**< Partition to leader: an attempt is over. */
+    CHANNEL_ATTEMPT_RESULT      /**< Partition to leader: an attempt is over, or a
+                                     placement request was refused. */
 } channel_item_kind_t;
 
 /** An item. Which field counts depends on the kind; the others are zeros. */
 typedef struct channel_item {
-    channel_item_kind_t kind;    /**< What the item asks for or reports. */
+    channel_item_kind_t kind;    /**< What the item orders or reports. */
     placement_request_t request; /**< Of CHANNEL_PLACEMENT_REQUEST; the item owns its types. */
     task_ref_t ref;              /**< Of CHANNEL_ACKNOWLEDGE and CHANNEL_WITHDRAW. */
     attempt_result_t result;     /**< Of CHANNEL_ATTEMPT_RESULT. */
--- a/src/core/replication/job_counts.h
+++ b/src/core/replication/job_counts.h
@@ -4,9 +4,9 @@
  *
  * For display only: whether a job is live, done or cancelled is never taken from here.
  *
- * The leader numbers its changes; a job has the number of its newest change only. A replica asks
- * for what is newer than what it has. An epoch is one loading of the leader's data: a replica of
- * another epoch is sent everything anew. The caller holds the controller's lock; no input or
+ * The leader numbers its changes; a job has the number of its newest change only. A replica
+ * requests what is newer than what it has. An epoch is one loading of the leader's data: a replica
+ * of another epoch is sent everything anew. The caller holds the controller's lock; no input or
  * output.
  */
 #ifndef PEPPERPULLEY_JOB_COUNTS_H
--- a/src/io/peer_protocol.h
+++ b/src/io/peer_protocol.h
@@ -52,7 +52,8 @@
 GByteArray *peer_encode(const peer_message_t *message);
 
 /** Decodes @p size bytes at @p data. Returns true and fills @p message, to be cleared by the
- * caller; or returns false for bytes that are no message and leaves @p message all zeros. */
+ * caller; or returns false for bytes that are no message and leaves @p message all zeros. Of a
+ * decoded message, items, cancellations.jobs and job_counts.jobs are never NULL. */
 bool peer_decode(const uint8_t *data, gsize size, peer_message_t *message);
 
 #endif
