--- a/src/controller/placement/partition_items.c
+++ b/src/controller/placement/partition_items.c
@@ -62,8 +62,8 @@
 /* One task of a gang found no machine: what the partitions hold for the others is freed. */
 static void withdraw_gang(controller_t *controller, const char *job)
 {
-    /* Of partition_attempt_t, owned. */
-    GArray *outstanding = leader_outstanding(controller->placement.leader, job);
+    /* Of partition_attempt_t. */
+    g_autoptr(GArray) outstanding = leader_outstanding(controller->placement.leader, job);
     for (guint i = 0; i < outstanding->len; i++) {
         const partition_attempt_t *attempt = &g_array_index(outstanding, partition_attempt_t, i);
         if (attempt->partition == controller->membership.own_index)
@@ -72,7 +72,6 @@
             push_to_channel(controller, attempt->partition,
                             (channel_item_t){.kind = CHANNEL_WITHDRAW, .ref = attempt->ref});
     }
-    g_array_unref(outstanding);
 }
 
 static void log_result(const attempt_result_t *result)
