--- a/tests/io/test_machine_pages.c
+++ b/tests/io/test_machine_pages.c
@@ -129,11 +129,11 @@
         partition_load(fixture->partition, &record, 1000);
         g_array_unref(record.machines);
     }
-    assert_int_equal(g_hash_table_size(fixture->partition->attempts), FLEET * EACH);
+    assert_int_equal(partition_attempt_count(fixture->partition), FLEET * EACH);
     partition_machine_terminated(
         fixture->partition, g_ptr_array_index(ids, 0)); /* its page is written under its revision */
     assert_int_equal(commit_within_limits(fixture, false), 1);
-    assert_int_equal(g_hash_table_size(fixture->partition->attempts), (FLEET - 1) * EACH);
+    assert_int_equal(partition_attempt_count(fixture->partition), (FLEET - 1) * EACH);
     g_ptr_array_unref(ids);
 }
 
--- a/tests/io/test_records.c
+++ b/tests/io/test_records.c
@@ -176,14 +176,14 @@
     partition_load(fixture->partition, &record, 1000);
     g_array_unref(record.machines);
     assert_int_equal(fake_kv_store_apply(fixture->store, late), KV_CONFLICT); /* executed again */
-    assert_int_equal(g_hash_table_size(fixture->partition->attempts), 1);
+    assert_int_equal(partition_attempt_count(fixture->partition), 1);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     const machine_t *machine = partition_take_push(fixture->partition, G_MAXUINT32, 1000, commands);
-    assert_string_equal(machine->address, "10.1.255.254:9000");
+    assert_string_equal(machine_address(machine), "10.1.255.254:9000");
     assert_int_equal(commands->len, 0);               /* contacted, without commands */
     fixture_heartbeat(fixture, "m-000001", "t16", 2); /* of the old view */
-    assert_int_equal(fixture->partition->results->len, 0);
-    assert_int_equal(g_hash_table_size(fixture->partition->attempts), 1);
+    assert_int_equal(partition_results(fixture->partition)->len, 0);
+    assert_int_equal(partition_attempt_count(fixture->partition), 1);
     partition_machine_terminated(fixture->partition, "m-000001");
     assert_int_equal(fixture_commit(fixture, fake_kv_store_revision(fixture->store, "view/number")),
                      KV_OK);
