--- a/src/controller/autoscaler/machine_listing.c
+++ b/src/controller/autoscaler/machine_listing.c
@@ -1,27 +1,61 @@
-/* The cloud's list of machines: what boots, what failed, what is gone. */
-#include "controller/autoscaler/autoscaler_loop_internal.h"
+/* The cloud's lists: which machine types there are; which machines boot, failed or are gone. */
+#include "controller/autoscaler/machine_listing.h"
 
+#include "core/autoscaler/machine_summary_iter.h"
 #include "io/clock.h"
 #include "io/codec/codec.h"
 
-static bool read_hosts(cloud_t *cloud, GArray *hosts)
+/* Called with the lock held. Takes the elements over. */
+static void install_machine_types(controller_t *controller, GArray *machine_types)
 {
-    bool more = true;
-    while (more) {
-        char path[URL_BYTES];
-        json_t *answer = NULL;
-        const char *since =
-            hosts->len ? g_array_index(hosts, host_t, hosts->len - 1).machine : NULL;
-        g_snprintf(path, sizeof path, "/hosts?%s%s%sLimit=%d", since ? "Since=" : "",
-                   since ? since : "", since ? "&" : "", LIST_PAGE_COUNT);
-        guint before = hosts->len;
-        bool read = cloud_call(cloud, "GET", path, NULL, &answer) == HTTP_OK &&
-                    codec_parse_hosts(answer, hosts, &more);
-        json_decref(answer);
-        if (!read)
+    GArray *installed = controller->placement.machine_types; /* machine_type_t, zones owned */
+    for (guint i = 0; i < installed->len; i++)
+        g_strfreev(g_array_index(installed, machine_type_t, i).zones);
+    g_array_set_size(installed, 0);
+    g_array_append_vals(installed, machine_types->data, machine_types->len);
+    /* The lists of zones moved along with the values. */
+    g_array_set_clear_func(machine_types, NULL);
+    if (controller->placement.partition)
+        partition_apply_machine_types(controller->placement.partition);
+}
+
+void machine_listing_refresh_types(cloud_context_t *context)
+{
+    json_auto_t *answer = NULL;
+    if (cloud_context_call(context, "GET", "/flavors", NULL, &answer) != HTTP_OK)
+        return;
+    g_autoptr(GArray) machine_types = codec_parse_machine_types(answer); /* machine_type_t */
+    if (!machine_types || machine_types->len == 0)
+        return;
+    pthread_mutex_lock(&context->controller->lock);
+    install_machine_types(context->controller, machine_types);
+    pthread_mutex_unlock(&context->controller->lock);
+    context->machine_types_at = clock_steady();
+}
+
+/* Appends the next page of the list. False: it could not be read. has_more: whether another page
+ * follows. */
+static bool read_page(cloud_context_t *context, GArray *machines, bool *has_more)
+{
+    char path[URL_BYTES];
+    json_auto_t *answer = NULL;
+    guint count = machines->len;
+    const char *last = count ? g_array_index(machines, host_t, count - 1).machine : NULL;
+    g_snprintf(path, sizeof path, "/hosts?%s%s%sLimit=%d", last ? "Since=" : "", last ? last : "",
+               last ? "&" : "", LIST_PAGE_COUNT);
+    if (cloud_context_call(context, "GET", path, NULL, &answer) != HTTP_OK ||
+        !codec_parse_hosts(answer, machines, has_more))
+        return false;
+    *has_more = *has_more && machines->len > count;
+    return true;
+}
+
+static bool read_machines(cloud_context_t *context, GArray *machines)
+{
+    bool has_more = true;
+    while (has_more)
+        if (!read_page(context, machines, &has_more))
             return false;
-        more = more && hosts->len > before;
-    }
     return true;
 }
 
@@ -29,57 +63,54 @@
 static GHashTable *known_machines(const leader_t *leader)
 {
     GHashTable *known = g_hash_table_new(g_str_hash, g_str_equal);
-    for (guint i = 0; i < leader->summaries->len; i++) {
-        GArray *summaries = g_ptr_array_index(leader->summaries, i);
-        for (guint k = 0; summaries && k < summaries->len; k++)
-            g_hash_table_add(known, g_array_index(summaries, machine_summary_t, k).machine);
-    }
+    machine_summary_iter_t iter = {.leader = leader};
+    for (machine_summary_t *summary = machine_summary_iter_next(&iter); summary;
+         summary = machine_summary_iter_next(&iter))
+        g_hash_table_add(known, summary->machine);
     return known;
 }
 
-static void take_hosts(cloud_t *cloud, const GArray *hosts, msec_t now)
+/* A machine that was terminated recently is no booting instance: the list lags. */
+static void add_if_booting(cloud_context_t *context, const host_t *machine, GHashTable *known,
+                           msec_t now)
 {
-    controller_t *controller = cloud->controller;
-    GHashTable *known = known_machines(controller->placement.leader);
-    g_hash_table_remove_all(cloud->listed_machines);
-    g_ptr_array_set_size(cloud->failed_machines, 0);
-    for (guint i = 0; i < hosts->len; i++) {
-        const host_t *host = &g_array_index(hosts, host_t, i);
-        g_hash_table_add(cloud->listed_machines, g_strdup(host->machine));
-        if (host->state == HOST_FAILED)
-            g_ptr_array_add(cloud->failed_machines, g_strdup(host->machine));
-        else if (!g_hash_table_contains(known, host->machine) &&
-                 !cloud_is_recently_terminated(cloud, host->machine, now)) /* else the list lags */
-            autoscaler_add_booting(
-                controller->autoscaler, host->machine, host->type, host->zone, host->spot,
-                MAX(now - (msec_t)(host->age_s * MS_PER_S), controller->placement.loaded_at));
-    }
-    /* What was scaled out long enough ago to be listed and is not, was taken while it booted. */
-    GHashTableIter iter;
-    gpointer key;
-    gpointer value;
-    msec_t lag = (msec_t)(controller->settings->list_lag_s * 2 * MS_PER_S) + LEADER_GRACE_MS;
-    g_hash_table_iter_init(&iter, controller->autoscaler->booting_instances);
-    while (g_hash_table_iter_next(&iter, &key, &value)) {
-        const booting_instance_t *booting = value;
-        if (g_hash_table_contains(known, key) ||
-            (now - booting->requested_at > lag &&
-             !g_hash_table_contains(cloud->listed_machines, key)))
-            g_hash_table_iter_remove(&iter);
-    }
-    g_hash_table_unref(known);
+    controller_t *controller = context->controller;
+    if (g_hash_table_contains(known, machine->machine) ||
+        cloud_context_is_recently_terminated(context, machine->machine, now))
+        return;
+    msec_t started_at = now - (msec_t)(machine->age_s * MS_PER_S);
+    autoscaler_add_booting(controller->autoscaler, machine->machine, machine->type, machine->zone,
+                           machine->spot, MAX(started_at, controller->placement.loaded_at));
 }
 
-void cloud_refresh_hosts(cloud_t *cloud)
+/* Called with the lock held. */
+static void apply_list(cloud_context_t *context, const GArray *machines, msec_t now)
 {
-    controller_t *controller = cloud->controller;
-    GArray *hosts = g_array_new(FALSE, FALSE, sizeof(host_t));
-    if (read_hosts(cloud, hosts)) {
-        pthread_mutex_lock(&controller->lock);
-        if (cloud_leads(controller))
-            take_hosts(cloud, hosts, clock_steady());
-        pthread_mutex_unlock(&controller->lock);
-        cloud->listed_at = clock_steady();
+    controller_t *controller = context->controller;
+    g_autoptr(GHashTable) known = known_machines(controller->placement.leader);
+    g_hash_table_remove_all(context->listed_machines);
+    g_ptr_array_set_size(context->failed_machines, 0);
+    for (guint i = 0; i < machines->len; i++) {
+        const host_t *machine = &g_array_index(machines, host_t, i);
+        g_hash_table_add(context->listed_machines, g_strdup(machine->machine));
+        if (machine->state == HOST_FAILED)
+            g_ptr_array_add(context->failed_machines, g_strdup(machine->machine));
+        else
+            add_if_booting(context, machine, known, now);
     }
-    g_array_unref(hosts);
+    autoscaler_prune_booting(controller->autoscaler, known, context->listed_machines,
+                             cloud_context_listing_lag_ms(controller), now);
+}
+
+void machine_listing_refresh(cloud_context_t *context)
+{
+    controller_t *controller = context->controller;
+    g_autoptr(GArray) machines = g_array_new(FALSE, FALSE, sizeof(host_t));
+    if (!read_machines(context, machines))
+        return;
+    pthread_mutex_lock(&controller->lock);
+    if (cloud_context_may_act(controller))
+        apply_list(context, machines, clock_steady());
+    pthread_mutex_unlock(&controller->lock);
+    context->listed_at = clock_steady();
 }
--- a/src/controller/autoscaler/member_exclusion.c
+++ b/src/controller/autoscaler/member_exclusion.c
@@ -1,54 +1,19 @@
-/* Controllers that their workers can't reach: what each controller retains of the workers of others
- * is published, and the leader excludes members by it. */
-#include "controller/autoscaler/autoscaler_loop_internal.h"
+/* Members that their workers can't reach are excluded by the leader. */
+#include "controller/autoscaler/member_exclusion.h"
 
-#include "io/clock.h"
+#include "controller/autoscaler/retained_workers.h"
 #include "io/log.h"
 
-GHashTable *cloud_read_retained(cloud_t *cloud)
-{
-    GHashTable *retained = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    GArray *entries = kv_entries_new();
-    rate_limiter_charge(&cloud->controller->core_request_limiter, 1, clock_steady());
-    kv_result_t result =
-        kv_list(&cloud->controller->kv_store, cloud->client, "kept/", entries, NULL);
-    int64_t day = clock_day();
-    for (guint i = 0; result == KV_OK && i < entries->len; i++) {
-        const json_t *value = g_array_index(entries, kv_entry_t, i).value;
-        if (day - json_integer_value(json_object_get(value, "At")) > RETAINED_FRESH_MS)
-            continue;
-        size_t k;
-        json_t *name;
-        json_array_foreach(json_object_get(value, "Machines"), k, name) if (json_is_string(name))
-            g_hash_table_add(retained, g_strdup(json_string_value(name)));
-    }
-    g_array_unref(entries);
-    if (result != KV_OK) {
-        g_hash_table_unref(retained);
-        return NULL;
-    }
-    /* Our own list there is seconds old. */
-    pthread_mutex_lock(&cloud->controller->lock);
-    redirection_add_retained(cloud->controller->membership.redirection, clock_steady(), retained);
-    pthread_mutex_unlock(&cloud->controller->lock);
-    return retained;
-}
-
-msec_t cloud_lost_after(const controller_t *controller)
-{
-    return MAX(LOST_SILENT_MS, (msec_t)(controller->settings->heartbeat_interval_s *
-                                        REPORT_SPREAD_FACTOR * MS_PER_S) +
-                                   2 * (msec_t)HEARTBEAT_LATE_MS);
-}
-
-/* With the lock held: machines of a partition that have gone silent, if they are most of it. */
-static GPtrArray *lost_of(const controller_t *controller, guint partition)
+/* Called with the lock held: the partition's silent machines (ids, owned) if they are most of it;
+ * else none. */
+static GPtrArray *lost_machines(const controller_t *controller, guint partition)
 {
+    /* machine_summary_t; NULL: none were handed in yet. */
     const GArray *summaries = g_ptr_array_index(controller->placement.leader->summaries, partition);
     GPtrArray *lost = g_ptr_array_new_with_free_func(g_free);
-    for (guint k = 0; summaries && k < summaries->len; k++) {
-        const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
-        if (summary->silent_ms > cloud_lost_after(controller))
+    for (guint i = 0; summaries && i < summaries->len; i++) {
+        const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, i);
+        if (summary->silent_ms > cloud_context_lost_worker_ms(controller))
             g_ptr_array_add(lost, g_strdup(summary->machine));
     }
     if (lost->len < LOST_MACHINES_MIN_COUNT || 2 * lost->len <= summaries->len)
@@ -56,72 +21,66 @@
     return lost;
 }
 
-void cloud_exclude_members(cloud_t *cloud, msec_t now)
+/* The same, lock not held; none if the generation has changed. */
+static GPtrArray *read_lost_machines(controller_t *controller, guint partition, uint64_t generation)
 {
-    controller_t *controller = cloud->controller;
-    GHashTable *retained = NULL;
-    guint partitions = 0;
     pthread_mutex_lock(&controller->lock);
-    uint64_t generation = controller->placement.generation;
-    /* In a view's first seconds, workers are still on their way to their owners. */
-    partitions = cloud_leads(controller) &&
-                         now - controller->placement.loaded_at > 2 * cloud_lost_after(controller)
-                     ? controller->membership.view.count
-                     : 0;
+    GPtrArray *lost = controller->placement.generation == generation
+                          ? lost_machines(controller, partition)
+                          : g_ptr_array_new();
     pthread_mutex_unlock(&controller->lock);
-    for (guint i = 0; i < partitions; i++) {
-        pthread_mutex_lock(&controller->lock);
-        GPtrArray *lost = controller->placement.generation == generation ? lost_of(controller, i)
-                                                                         : g_ptr_array_new();
-        pthread_mutex_unlock(&controller->lock);
-        if (lost->len && !retained)
-            retained = cloud_read_retained(cloud);
-        guint alive = 0;
-        for (guint k = 0; retained && k < lost->len; k++)
-            alive += g_hash_table_contains(retained, g_ptr_array_index(lost, k));
-        if (lost->len && 2 * alive > lost->len) {
-            msec_t until = now + EXCLUDED_MS;
-            pthread_mutex_lock(&controller->lock);
-            if (controller->placement.generation == generation) {
-                log_info("event=member_excluded member=%s machines=%u",
-                         controller->membership.view.members[i].name, alive);
-                g_hash_table_insert(controller->membership.election.excluded,
-                                    g_strdup(controller->membership.view.members[i].name),
-                                    g_memdup2(&until, sizeof until));
-                pthread_cond_broadcast(&controller->membership.changed);
-            }
-            pthread_mutex_unlock(&controller->lock);
-        }
-        g_ptr_array_unref(lost);
+    return lost;
+}
+
+static guint count_retained(const GPtrArray *machines, GHashTable *retained)
+{
+    guint count = 0;
+    for (guint i = 0; retained && i < machines->len; i++)
+        count += g_hash_table_contains(retained, g_ptr_array_index(machines, i));
+    return count;
+}
+
+static void exclude(controller_t *controller, guint member, uint64_t generation,
+                    guint retained_count, msec_t now)
+{
+    msec_t until = now + EXCLUDED_MS;
+    pthread_mutex_lock(&controller->lock);
+    if (controller->placement.generation == generation) {
+        const char *name = controller->membership.view.members[member].name;
+        log_info("event=member_excluded member=%s machines=%u", name, retained_count);
+        g_hash_table_insert(controller->membership.election.excluded, g_strdup(name),
+                            g_memdup2(&until, sizeof until));
+        pthread_cond_broadcast(&controller->membership.changed);
     }
-    if (retained)
-        g_hash_table_unref(retained);
+    pthread_mutex_unlock(&controller->lock);
 }
 
-void cloud_publish_retained(cloud_t *cloud, msec_t now)
+/* How many partitions are to be judged. In the first seconds of a view none: workers are still on
+ * their way to their owners. */
+static guint count_judged_partitions(controller_t *controller, msec_t now, uint64_t *generation)
 {
-    controller_t *controller = cloud->controller;
-    json_t *names = json_array();
     pthread_mutex_lock(&controller->lock);
-    GPtrArray *retained = redirection_retained(controller->membership.redirection, now);
+    *generation = controller->placement.generation;
+    bool may_judge =
+        cloud_context_may_act(controller) &&
+        now - controller->placement.loaded_at > 2 * cloud_context_lost_worker_ms(controller);
+    guint count = may_judge ? controller->membership.view.count : 0;
     pthread_mutex_unlock(&controller->lock);
-    for (guint i = 0; i < retained->len; i++)
-        json_array_append_new(names, json_string(g_ptr_array_index(retained, i)));
-    g_ptr_array_unref(retained);
-    bool has_grown = json_array_size(names) > cloud->retained_count;
-    msec_t gap = has_grown ? RETAINED_GROWN_GAP_MS : RETAINED_WRITE_GAP_MS;
-    if (json_array_size(names) == 0 || now - cloud->retained_at <= gap) {
-        json_decref(names);
-        return;
+    return count;
+}
+
+void member_exclusion_update(cloud_context_t *context, msec_t now)
+{
+    controller_t *controller = context->controller;
+    g_autoptr(GHashTable) retained = NULL; /* set of machine ids; read when first needed */
+    uint64_t generation = 0;
+    guint partitions = count_judged_partitions(controller, now, &generation);
+    for (guint i = 0; i < partitions; i++) {
+        g_autoptr(GPtrArray) lost = read_lost_machines(controller, i, generation);
+        if (lost->len && !retained)
+            retained = retained_workers_read(context);
+        guint retained_count = count_retained(lost, retained);
+        if (lost->len && 2 * retained_count > lost->len)
+            exclude(controller, i, generation, retained_count, now);
     }
-    cloud->retained_count = (guint)json_array_size(names);
-    char path[URL_BYTES];
-    kv_txn_t txn = kv_txn_new();
-    g_snprintf(path, sizeof path, "kept/%s", controller->settings->name);
-    kv_txn_put(&txn, path, json_pack("{s:I,s:o}", "At", (json_int_t)clock_day(), "Machines", names),
-               0);
-    rate_limiter_charge(&controller->core_request_limiter, 1, now);
-    kv_commit(&controller->kv_store, cloud->client, &txn, KV_TIMEOUT_MS, NULL, NULL);
-    kv_txn_free(&txn);
-    cloud->retained_at = now;
 }
--- a/src/controller/autoscaler/scale_in.c
+++ b/src/controller/autoscaler/scale_in.c
@@ -1,194 +1,166 @@
-/* Releases: which machines go back, and what the confirmation proves. */
-#include "controller/autoscaler/autoscaler_loop_internal.h"
+/* Scale-in: which machines are terminated, and what the cloud's confirmation proves. The silent
+ * ones are found in silent_machines.c. */
+#include "controller/autoscaler/scale_in.h"
 
+#include "controller/autoscaler/retained_workers.h"
+#include "controller/autoscaler/silent_machines.h"
+#include "core/autoscaler/machine_summary_iter.h"
 #include "io/clock.h"
 #include "io/codec/codec.h"
 #include "io/log.h"
 
-static void add_once(GPtrArray *names, const char *name)
+static void add_once(GPtrArray *machines, const char *machine)
 {
-    if (names->len < SCALE_IN_MAX_COUNT &&
-        !g_ptr_array_find_with_equal_func(names, name, g_str_equal, NULL))
-        g_ptr_array_add(names, g_strdup(name));
+    if (machines->len < SCALE_IN_MAX_COUNT &&
+        !g_ptr_array_find_with_equal_func(machines, machine, g_str_equal, NULL))
+        g_ptr_array_add(machines, g_strdup(machine));
 }
 
-static void update_zones(controller_t *controller, msec_t now)
+/* Called with the lock held: adds machines that failed, and booting instances that are stuck. */
+static void add_broken(cloud_context_t *context, GPtrArray *machines, msec_t now)
 {
-    GPtrArray *fallen = autoscaler_update_zones(
-        controller->autoscaler, controller->placement.leader, cloud_lost_after(controller), now);
-    for (guint i = 0; i < fallen->len; i++)
-        log_info("event=zone_unreachable zone=%s", (char *)g_ptr_array_index(fallen, i));
-    g_ptr_array_unref(fallen);
-}
-
-/* Machines to be given up for their silence, unless another controller keeps them alive. Those of
- * an unreachable zone have longer: a cut ends, and then they are there, where new ones would have
- * to be scaled out and booted; their tasks have missed the nearest SLOs either way. */
-static GPtrArray *find_silent(cloud_t *cloud)
-{
-    controller_t *controller = cloud->controller;
-    GPtrArray *silent = g_ptr_array_new_with_free_func(g_free);
-    msec_t most = (msec_t)(controller->settings->lease_s * MS_PER_S) + SILENT_MARGIN_MS;
-    msec_t lag = (msec_t)(controller->settings->list_lag_s * 2 * MS_PER_S) + LEADER_GRACE_MS;
-    msec_t now = clock_steady();
-    pthread_mutex_lock(&controller->lock);
-    if (cloud_leads(controller))
-        update_zones(controller, now);
-    bool listed =
-        cloud_leads(controller) && cloud->listed_at > controller->placement.loaded_at + lag;
-    for (guint i = 0; cloud_leads(controller) && i < controller->placement.leader->summaries->len;
-         i++) {
-        const GArray *summaries = g_ptr_array_index(controller->placement.leader->summaries, i);
-        for (guint k = 0; summaries && k < summaries->len; k++) {
-            const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
-            bool unlisted = listed && summary->known_ms > lag && !summary->open &&
-                            summary->silent_ms > ACKNOWLEDGEMENT_TIMEOUT_MS &&
-                            !g_hash_table_contains(cloud->listed_machines, summary->machine);
-            bool early = summary->silent_ms <= most ||
-                         autoscaler_awaits_zone(controller->autoscaler, summary->zone,
-                                                summary->silent_ms, most, now);
-            if ((early && !unlisted) || cloud_is_recently_terminated(cloud, summary->machine, now))
-                continue;
-            log_debug("event=machine_unresponsive machine=%s silent_ms=%" G_GINT64_FORMAT
-                      " known_ms=%" G_GINT64_FORMAT " listed=%d",
-                      summary->machine, summary->silent_ms, summary->known_ms,
-                      g_hash_table_contains(cloud->listed_machines, summary->machine));
-            g_ptr_array_add(silent, g_strdup(summary->machine));
-        }
+    const controller_t *controller = context->controller;
+    for (guint i = 0; i < context->failed_machines->len; i++) {
+        const char *machine = g_ptr_array_index(context->failed_machines, i);
+        if (!cloud_context_is_recently_terminated(context, machine, now))
+            add_once(machines, machine);
     }
-    pthread_mutex_unlock(&controller->lock);
-    return silent;
+    g_autoptr(GPtrArray) stuck = autoscaler_stuck_instances(
+        controller->autoscaler, controller->placement.machine_types, now); /* ids, owned */
+    for (guint i = 0; i < stuck->len; i++)
+        add_once(machines, g_ptr_array_index(stuck, i));
 }
 
-/* With the lock held: machines that failed and boots that took too long. */
-static void find_broken(cloud_t *cloud, GPtrArray *names, msec_t now)
+/* Called with the lock held: whether a surplus of machines may be acted on. */
+static bool may_drain_surplus(const controller_t *controller, msec_t now)
 {
-    const controller_t *controller = cloud->controller;
-    for (guint i = 0; i < cloud->failed_machines->len; i++)
-        if (!cloud_is_recently_terminated(cloud, g_ptr_array_index(cloud->failed_machines, i), now))
-            add_once(names, g_ptr_array_index(cloud->failed_machines, i));
-    GPtrArray *stuck = autoscaler_stuck_instances(controller->autoscaler,
-                                                  controller->placement.machine_types, now);
-    for (guint i = 0; i < stuck->len; i++)
-        add_once(names, g_ptr_array_index(stuck, i));
-    g_ptr_array_unref(stuck);
+    msec_t kv_silent_ms = now - atomic_load(&controller->kv_store.answered_at);
+    /* While the key-value store does not answer, nothing can be started, and the work that ends
+     * makes machines look superfluous. */
+    if (kv_silent_ms >= KV_WATCH_BLOCK_MS + KV_TIMEOUT_MS) {
+        autoscaler_reset_scale_in_delay(controller->autoscaler);
+        return false;
+    }
+    /* Counted from the begin of the leadership, not of the view: where views of the same leader
+     * came every half minute, nothing was scaled in for minutes. */
+    return now - controller->membership.leader_since_at > SCALE_IN_AFTER_MS &&
+           now - controller->placement.loaded_at > LEADER_GRACE_MS;
 }
 
-/* With the lock held: drains machines that nothing has wanted for a while. */
-static void drain_surplus(cloud_t *cloud, msec_t now)
+/* Called with the lock held: drains machines that have been superfluous for a while. */
+static void drain_surplus(controller_t *controller, msec_t now)
 {
-    controller_t *controller = cloud->controller;
-    guint partition = 0;
-    /* In an outage nothing can be started, and what runs out looks like too many machines. */
-    bool informed =
-        now - atomic_load(&controller->kv_store.answered_at) < KV_WATCH_BLOCK_MS + KV_TIMEOUT_MS;
-    if (!informed)
-        controller->autoscaler->surplus_since = 0;
-    /* Views of the same leader teach it nothing new: when they came every half minute, nothing was
-     * returned for minutes. */
-    bool may_return = informed &&
-                      now - controller->membership.leader_since_at > SCALE_IN_AFTER_MS &&
-                      now - controller->placement.loaded_at > LEADER_GRACE_MS;
-    for (guint drained = 0; may_return && drained < DRAINS_PER_ROUND_COUNT; drained++) {
+    bool may_drain = may_drain_surplus(controller, now);
+    for (guint drained = 0; may_drain && drained < DRAINS_PER_ROUND_COUNT; drained++) {
+        guint partition = 0;
         machine_summary_t *surplus =
             autoscaler_next_scale_in(controller->autoscaler, controller->placement.leader,
                                      controller->placement.machine_types, now, clock_day());
-        if (!surplus || !cloud_find_summary(controller, surplus->machine, &partition))
+        if (!surplus || !cloud_context_find_summary(controller, surplus->machine, &partition))
             break;
         log_info("event=scale_in_selected machine=%s", surplus->machine);
-        /* No more placement requests; draining only when its partition says so. */
+        /* It gets no more placement requests. It counts as draining only when the summaries of its
+         * partition say so. */
         surplus->open = false;
-        cloud_send_machine_item(controller, partition, CHANNEL_DRAIN, surplus->machine);
+        cloud_context_send_item(controller, partition, CHANNEL_DRAIN, surplus->machine);
     }
 }
 
-/* With the lock held: what is to go, for whatever reason but silence. A machine is drained first:
- * its partition's summaries must show it closed and empty, so that no start is under way to it. */
-static void find_unwanted(cloud_t *cloud, GPtrArray *names)
+/* Called with the lock held: adds the machines to terminate for any reason but silence. A machine
+ * is drained first: the summaries of its partition must show it draining and empty, so that no
+ * start is on its way to it. */
+static void add_unwanted(cloud_context_t *context, GPtrArray *machines)
 {
-    controller_t *controller = cloud->controller;
+    controller_t *controller = context->controller;
+    const leader_t *leader = controller->placement.leader;
     msec_t now = clock_steady();
-    find_broken(cloud, names, now);
-    drain_surplus(cloud, now);
-    for (guint i = 0; i < controller->placement.leader->summaries->len; i++) {
-        const GArray *summaries = g_ptr_array_index(controller->placement.leader->summaries, i);
-        for (guint k = 0; summaries && k < summaries->len; k++) {
-            const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
-            if (summary->draining && summary->attempts == 0 &&
-                !cloud_is_recently_terminated(cloud, summary->machine, now))
-                add_once(names, summary->machine);
-            if (!summary->draining &&
-                leader_is_quarantined(controller->placement.leader, summary->machine)) {
-                log_info("event=machine_quarantined machine=%s", summary->machine);
-                cloud_send_machine_item(controller, i, CHANNEL_DRAIN, summary->machine);
-            }
+    add_broken(context, machines, now);
+    drain_surplus(controller, now);
+    machine_summary_iter_t iter = {.leader = leader};
+    for (const machine_summary_t *summary = machine_summary_iter_next(&iter); summary;
+         summary = machine_summary_iter_next(&iter)) {
+        if (summary->draining && summary->attempts == 0 &&
+            !cloud_context_is_recently_terminated(context, summary->machine, now))
+            add_once(machines, summary->machine);
+        if (!summary->draining && leader_is_quarantined(leader, summary->machine)) {
+            log_info("event=machine_quarantined machine=%s", summary->machine);
+            cloud_context_send_item(controller, iter.partition, CHANNEL_DRAIN, summary->machine);
         }
     }
 }
 
-/* The release is proof for whatever the machine's record holds, also when no partition has a
- * summary of it.
- */
-static void terminated(controller_t *controller, const GPtrArray *names)
+/* The ids of the machines to terminate; transfer full. */
+static GPtrArray *choose_machines(cloud_context_t *context, uint64_t *generation)
+{
+    controller_t *controller = context->controller;
+    GPtrArray *machines = g_ptr_array_new_with_free_func(g_free);
+    g_autoptr(GPtrArray) silent = silent_machines_find(context);
+    g_autoptr(GHashTable) retained = silent->len ? retained_workers_read(context) : NULL;
+    pthread_mutex_lock(&controller->lock);
+    *generation = controller->placement.generation;
+    if (cloud_context_may_act(controller)) {
+        add_unwanted(context, machines);
+        for (guint i = 0; retained && i < silent->len; i++)
+            if (!g_hash_table_contains(retained, g_ptr_array_index(silent, i)))
+                add_once(machines, g_ptr_array_index(silent, i));
+    }
+    pthread_mutex_unlock(&controller->lock);
+    return machines;
+}
+
+/* Called with the lock held. The termination proves that whatever the machine's record holds is
+ * over, also where no partition has a summary of it. */
+static void handle_terminated(controller_t *controller, const GPtrArray *machines)
 {
-    metrics_count(controller->metrics, COUNT_SCALED_IN, names->len);
-    for (guint i = 0; i < names->len; i++) {
-        const char *id = g_ptr_array_index(names, i);
+    metrics_count(controller->metrics, COUNT_SCALED_IN, machines->len);
+    for (guint i = 0; i < machines->len; i++) {
+        const char *machine = g_ptr_array_index(machines, i);
         guint partition = 0;
-        log_info("event=scaled_in machine=%s", id);
-        autoscaler_remove_booting(controller->autoscaler, id);
-        if (cloud_find_summary(controller, id, &partition))
-            cloud_send_machine_item(controller, partition, CHANNEL_MACHINE_TERMINATED, id);
+        log_info("event=scaled_in machine=%s", machine);
+        autoscaler_remove_booting(controller->autoscaler, machine);
+        if (cloud_context_find_summary(controller, machine, &partition))
+            cloud_context_send_item(controller, partition, CHANNEL_MACHINE_TERMINATED, machine);
     }
     controller_notify_placement(controller);
 }
 
-static void record_terminated(cloud_t *cloud, const GPtrArray *names)
+/* Records the machines as recently terminated, and forgets those that no longer are. */
+static void record_terminated(cloud_context_t *context, const GPtrArray *machines)
 {
     msec_t now = clock_steady();
     GHashTableIter iter;
-    gpointer id;
-    g_hash_table_iter_init(&iter, cloud->recently_terminated);
-    while (g_hash_table_iter_next(&iter, &id, NULL))
-        if (!cloud_is_recently_terminated(cloud, id, now))
+    gpointer machine;
+    g_hash_table_iter_init(&iter, context->recently_terminated);
+    while (g_hash_table_iter_next(&iter, &machine, NULL))
+        if (!cloud_context_is_recently_terminated(context, machine, now))
             g_hash_table_iter_remove(&iter);
-    for (guint i = 0; i < names->len; i++)
-        g_hash_table_insert(cloud->recently_terminated, g_strdup(g_ptr_array_index(names, i)),
+    for (guint i = 0; i < machines->len; i++)
+        g_hash_table_insert(context->recently_terminated, g_strdup(g_ptr_array_index(machines, i)),
                             g_memdup2(&now, sizeof now));
 }
 
-bool cloud_scale_in(cloud_t *cloud)
+static void terminate_machines(cloud_context_t *context, const GPtrArray *machines,
+                               uint64_t generation)
 {
-    controller_t *controller = cloud->controller;
-    GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
-    GPtrArray *silent = find_silent(cloud);
-    GHashTable *retained = silent->len ? cloud_read_retained(cloud) : NULL;
+    controller_t *controller = context->controller;
+    json_auto_t *body = codec_build_scale_in(machines);
+    int status = cloud_context_call(context, "POST", "/hosts/release", body, NULL);
     pthread_mutex_lock(&controller->lock);
-    uint64_t generation = controller->placement.generation;
-    if (cloud_leads(controller)) {
-        find_unwanted(cloud, names);
-        for (guint i = 0; retained && i < silent->len; i++)
-            if (!g_hash_table_contains(retained, g_ptr_array_index(silent, i)))
-                add_once(names, g_ptr_array_index(silent, i));
+    if (status == HTTP_OK && cloud_context_may_act(controller) &&
+        controller->placement.generation == generation) {
+        handle_terminated(controller, machines);
+        record_terminated(context, machines);
+        g_ptr_array_set_size(context->failed_machines, 0);
     }
     pthread_mutex_unlock(&controller->lock);
-    if (retained)
-        g_hash_table_unref(retained);
-    g_ptr_array_unref(silent);
-    if (names->len) {
-        json_t *body = codec_build_scale_in(names);
-        int status = cloud_call(cloud, "POST", "/hosts/release", body, NULL);
-        json_decref(body);
-        pthread_mutex_lock(&controller->lock);
-        if (status == HTTP_OK && cloud_leads(controller) &&
-            controller->placement.generation == generation) {
-            terminated(controller, names);
-            record_terminated(cloud, names);
-            g_ptr_array_set_size(cloud->failed_machines, 0);
-        }
-        pthread_mutex_unlock(&controller->lock);
-    }
-    bool has_released = names->len > 0;
-    g_ptr_array_unref(names);
-    return has_released;
+}
+
+bool scale_in_run(cloud_context_t *context)
+{
+    uint64_t generation = 0;
+    g_autoptr(GPtrArray) machines = choose_machines(context, &generation); /* ids, owned */
+    if (machines->len == 0)
+        return false;
+    terminate_machines(context, machines, generation);
+    return true;
 }
--- a/src/controller/autoscaler/scale_out.c
+++ b/src/controller/autoscaler/scale_out.c
@@ -1,106 +1,142 @@
-/* Rentals: one at a time, repeated under its name until it is answered. */
-#include "controller/autoscaler/autoscaler_loop_internal.h"
+/* Scale-out requests: their choice, sending and answers. */
+#include "controller/autoscaler/scale_out.h"
 
+#include "core/autoscaler/machine_summary_iter.h"
 #include "io/clock.h"
 #include "io/codec/codec.h"
 #include "io/log.h"
 
-/* With the lock held: a machine that is being drained is nearer than any to be scaled out. */
+/* Called with the lock held: cancels the drain of one machine that still has work, in place of
+ * scaling out. It is available sooner than any new machine. False: there is none. */
 static bool cancel_drain(controller_t *controller)
 {
-    for (guint i = 0; i < controller->placement.leader->summaries->len; i++) {
-        const GArray *summaries = g_ptr_array_index(controller->placement.leader->summaries, i);
-        for (guint k = 0; summaries && k < summaries->len; k++) {
-            const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
-            if (!summary->draining || summary->attempts == 0 ||
-                leader_is_quarantined(controller->placement.leader, summary->machine))
-                continue;
-            log_info("event=drain_cancelled machine=%s", summary->machine);
-            cloud_send_machine_item(controller, i, CHANNEL_CANCEL_DRAIN, summary->machine);
-            return true;
-        }
+    const leader_t *leader = controller->placement.leader;
+    machine_summary_iter_t iter = {.leader = leader};
+    for (const machine_summary_t *summary = machine_summary_iter_next(&iter); summary;
+         summary = machine_summary_iter_next(&iter)) {
+        if (!summary->draining || summary->attempts == 0 ||
+            leader_is_quarantined(leader, summary->machine))
+            continue;
+        log_info("event=drain_cancelled machine=%s", summary->machine);
+        cloud_context_send_item(controller, iter.partition, CHANNEL_CANCEL_DRAIN, summary->machine);
+        return true;
     }
     return false;
 }
 
-static void choose_scale_out(cloud_t *cloud)
+/* Called with the lock held: whether the machines of an earlier leader must be known by now. Before
+ * the first view nothing was scaled out: the list shows all there is. */
+static bool is_fleet_known(const cloud_context_t *context, msec_t now)
+{
+    const controller_t *controller = context->controller;
+    return now - controller->placement.loaded_at > LEADER_GRACE_MS ||
+           (controller->membership.view.number == 1 &&
+            context->listed_at > controller->placement.loaded_at);
+}
+
+/* Called with the lock held. */
+static bool choose_request(cloud_context_t *context, msec_t now)
 {
-    controller_t *controller = cloud->controller;
+    controller_t *controller = context->controller;
+    pending_scale_out_t *pending = &context->pending_scale_out;
+    if (pending->is_pending || !cloud_context_may_act(controller) || !is_fleet_known(context, now))
+        return false;
+    if (!autoscaler_next_scale_out(controller->autoscaler, controller->placement.leader,
+                                   controller->placement.machine_types, now, clock_day(),
+                                   &pending->request))
+        return false;
+    return !cancel_drain(controller);
+}
+
+static void prepare_request(cloud_context_t *context)
+{
+    controller_t *controller = context->controller;
+    pending_scale_out_t *pending = &context->pending_scale_out;
     pthread_mutex_lock(&controller->lock);
-    msec_t now = clock_steady();
-    pending_scale_out_t *pending = &cloud->pending_scale_out;
+    /* If a request of an earlier generation was executed, its machines will appear in the list. */
     if (pending->is_pending && pending->generation != controller->placement.generation)
-        pending->is_pending =
-            false; /* if it was carried out, its machines will appear in the list */
-    /* Before the first view nobody scaled out: what the list shows is all there is. */
-    bool is_grace_over = now - controller->placement.loaded_at > LEADER_GRACE_MS ||
-                         (controller->membership.view.number == 1 &&
-                          cloud->listed_at > controller->placement.loaded_at);
-    if (!pending->is_pending && cloud_leads(controller) && is_grace_over &&
-        autoscaler_next_scale_out(controller->autoscaler, controller->placement.leader,
-                                  controller->placement.machine_types, now, clock_day(),
-                                  &pending->request) &&
-        !cancel_drain(controller)) {
-        /* The number is this leadership's alone, so the name can never have been used. */
+        pending->is_pending = false;
+    if (choose_request(context, clock_steady())) {
+        /* The view's number is this leadership's alone, so the key can never have been used. */
+        context->idempotency_key_count++;
         g_snprintf(pending->idempotency_key, sizeof pending->idempotency_key,
                    "c-%" G_GUINT64_FORMAT "-%u", controller->membership.view.number,
-                   ++cloud->idempotency_key_count);
+                   context->idempotency_key_count);
         pending->is_pending = true;
         pending->generation = controller->placement.generation;
     }
     pthread_mutex_unlock(&controller->lock);
 }
 
-static void handle_scale_out_answer(cloud_t *cloud, const json_t *answer)
+static int send_request(cloud_context_t *context, json_t **answer)
 {
-    controller_t *controller = cloud->controller;
-    const scale_out_request_t *request = &cloud->pending_scale_out.request;
-    const json_t *names = json_object_get(answer, "Winches");
+    const pending_scale_out_t *pending = &context->pending_scale_out;
+    const scale_out_request_t *request = &pending->request;
+    json_auto_t *body = codec_build_scale_out(pending->idempotency_key, request->type,
+                                              request->zone, request->spot, request->count);
+    return cloud_context_call(context, "POST", "/hosts", body, answer);
+}
+
+static void handle_scaled_out(cloud_context_t *context, const json_t *answer)
+{
+    controller_t *controller = context->controller;
+    const scale_out_request_t *request = &context->pending_scale_out.request;
+    const json_t *machines = json_object_get(answer, "Winches");
     size_t i;
-    json_t *name;
+    json_t *machine;
     pthread_mutex_lock(&controller->lock);
     msec_t now = clock_steady();
-    if (cloud_leads(controller)) {
-        json_array_foreach(names, i, name) if (json_is_string(name))
-            autoscaler_add_booting(controller->autoscaler, json_string_value(name), request->type,
-                                   request->zone, request->spot, now);
-        if (json_array_size(names) < request->count)
+    if (cloud_context_may_act(controller)) {
+        json_array_foreach(machines, i, machine)
+        {
+            if (json_is_string(machine))
+                autoscaler_add_booting(controller->autoscaler, json_string_value(machine),
+                                       request->type, request->zone, request->spot, now);
+        }
+        if (json_array_size(machines) < request->count)
             autoscaler_record_refusal(controller->autoscaler, request, now + CAPACITY_MEMORY_MS);
     }
     pthread_mutex_unlock(&controller->lock);
-    metrics_count(controller->metrics, COUNT_SCALED_OUT, json_array_size(names));
+    metrics_count(controller->metrics, COUNT_SCALED_OUT, json_array_size(machines));
     log_info("event=scaled_out idempotency_key=%s type=%s zone=%s spot=%d asked=%u got=%zu",
-             cloud->pending_scale_out.idempotency_key, request->type, request->zone, request->spot,
-             request->count, json_array_size(names));
+             context->pending_scale_out.idempotency_key, request->type, request->zone,
+             request->spot, request->count, json_array_size(machines));
+}
+
+static void handle_refused(cloud_context_t *context, int status)
+{
+    controller_t *controller = context->controller;
+    const scale_out_request_t *request = &context->pending_scale_out.request;
+    pthread_mutex_lock(&controller->lock);
+    if (controller->autoscaler)
+        autoscaler_record_refusal(controller->autoscaler, request,
+                                  clock_steady() + CAPACITY_MEMORY_MS);
+    pthread_mutex_unlock(&controller->lock);
+    log_info("event=no_capacity type=%s zone=%s spot=%d status=%d", request->type, request->zone,
+             request->spot, status);
+}
+
+static bool is_refusal(int status, const json_t *answer)
+{
+    const char *error = json_string_value(json_object_get(answer, "error"));
+    return status == HTTP_BAD_REQUEST ||
+           (status == HTTP_UNAVAILABLE && g_strcmp0(error, "no capacity") == 0);
 }
 
-bool cloud_scale_out(cloud_t *cloud)
+bool scale_out_run(cloud_context_t *context)
 {
-    choose_scale_out(cloud);
-    pending_scale_out_t *pending = &cloud->pending_scale_out;
+    prepare_request(context);
+    pending_scale_out_t *pending = &context->pending_scale_out;
     if (!pending->is_pending)
         return false;
-    json_t *answer = NULL;
-    json_t *body =
-        codec_build_scale_out(pending->idempotency_key, pending->request.type,
-                              pending->request.zone, pending->request.spot, pending->request.count);
-    int status = cloud_call(cloud, "POST", "/hosts", body, &answer);
-    json_decref(body);
-    const char *error = json_string_value(json_object_get(answer, "error"));
+    json_auto_t *answer = NULL;
+    int status = send_request(context, &answer);
     if (status == HTTP_OK) {
-        handle_scale_out_answer(cloud, answer);
+        handle_scaled_out(context, answer);
         pending->is_pending = false;
-    } else if (status == HTTP_BAD_REQUEST ||
-               (status == HTTP_UNAVAILABLE && g_strcmp0(error, "no capacity") == 0)) {
-        pthread_mutex_lock(&cloud->controller->lock);
-        if (cloud->controller->autoscaler)
-            autoscaler_record_refusal(cloud->controller->autoscaler, &pending->request,
-                                      clock_steady() + CAPACITY_MEMORY_MS);
-        pthread_mutex_unlock(&cloud->controller->lock);
-        log_info("event=no_capacity type=%s zone=%s spot=%d status=%d", pending->request.type,
-                 pending->request.zone, pending->request.spot, status);
+    } else if (is_refusal(status, answer)) {
+        handle_refused(context, status);
         pending->is_pending = false;
     }
-    json_decref(answer);
     return true;
 }
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -1,83 +1,103 @@
-/* What to rent and what to give back. Owns the machines under way and what was refused lately. */
+/** @file
+ * Chooses which machines to scale out and which to scale in.
+ *
+ * On-demand machines cost a multiple of spot ones. They are scaled out for the demand within the
+ * teams' guarantees, for work that may not use spot machines, and, up to a limited share of the
+ * capacity, where no spot machine is to be had and the pending work would otherwise wait too long.
+ *
+ * An autoscaler keeps the booting instances, the scale-out requests that were refused lately and
+ * the zones that can't be reached. Every function is called with the lock of the controller held.
+ * Times are in milliseconds of the steady clock; @p day_ms is the time of day, to which the jobs'
+ * deadlines refer. @p machine_types is an array of machine_type_t; transfer none.
+ */
 #ifndef PEPPERPULLEY_AUTOSCALER_H
 #define PEPPERPULLEY_AUTOSCALER_H
 
 #include "core/leader/leader.h"
 #include "core/types.h"
 
-/* A machine that was scaled out or listed and has not reported yet. */
-typedef struct booting {
-    char machine[ID_BYTES];
-    char type[LABEL_BYTES];
-    char zone[LABEL_BYTES];
-    bool spot;
-    msec_t requested_at; /* the autoscaler */
-} booting_instance_t;
-
-/* On-demand machines cost a multiple of spot ones. They are scaled out for what is promised (the
- * teams' guarantees), for work that may not use spot, and to a limited share where spot machines
- * can't be had and the work that waits would take those that stand too long. */
-
-typedef struct autoscaler {
-    GHashTable *booting_instances; /* id -> booting_instance_t, owned */
-    msec_t surplus_since;          /* more stands than is wanted; 0: it does not */
-    GHashTable *refused_until;     /* "type zone kind" -> msec_t *: not asked again before it */
-    GHashTable *unreachable_zones; /* zone -> msec_t *: nothing is scaled out there before it */
-    GHashTable *recovered_zones;   /* zone -> msec_t *: when it was heard again */
-} autoscaler_t;
+/** The state of the autoscaler. */
+typedef struct autoscaler autoscaler_t;
 
+/** Machines of one kind to ask the cloud for. */
 typedef struct scale_out_request {
-    char type[LABEL_BYTES];
-    char zone[LABEL_BYTES];
-    bool spot;
-    guint count;
+    char type[LABEL_BYTES]; /**< The machine type's name. */
+    char zone[LABEL_BYTES]; /**< The zone. */
+    bool spot;              /**< Spot machines; false: on-demand ones. */
+    guint count;            /**< How many. */
 } scale_out_request_t;
 
+/** Returns an autoscaler without booting instances, refusals and unreachable zones; transfer full.
+ */
 autoscaler_t *autoscaler_new(void);
+
+/** Frees the autoscaler. */
 void autoscaler_free(autoscaler_t *autoscaler);
-void autoscaler_add_booting(autoscaler_t *autoscaler, const char *machine, const char *type,
-                            const char *zone, bool spot, msec_t since);
-/* A leadership begins: what an earlier one of this controller had under way may be up by now and
- * work for partitions that have yet to say so. The list tells what still boots. */
+
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(autoscaler_t, autoscaler_free)
+
+/** Begins a leadership: forgets the booting instances of an earlier one. They may be up by now and
+ * work for partitions that have not handed in their summaries yet; the cloud's list shows which
+ * ones still boot. */
 void autoscaler_begin_leadership(autoscaler_t *autoscaler);
-/* It reported, or is gone. */
+
+/** Records a machine that was scaled out, or listed by the cloud, at @p requested_at and has not
+ * sent a heartbeat yet. Has no effect on a machine that is recorded already. */
+void autoscaler_add_booting(autoscaler_t *autoscaler, const char *machine, const char *type,
+                            const char *zone, bool spot, msec_t requested_at);
+
+/** Forgets a booting instance, because it sent a heartbeat or was terminated. */
 void autoscaler_remove_booting(autoscaler_t *autoscaler, const char *machine);
-/* Judges each zone by its machine summaries. Where several machines stand and all have been silent
- * for so long, it is probably cut off: it is unreachable until one is heard again, or for a while
- * after its machines are gone. Nothing is scaled out there meanwhile, since it could not report.
- * Returns the names of the zones that became unreachable just now. */
+
+/** Forgets the booting instances that the partitions know by now, and those that were interrupted
+ * while they booted: requested more than @p listing_lag_ms before @p now and not listed.
+ * @p known_machines and @p listed_machines are sets of machine ids; transfer none. */
+void autoscaler_prune_booting(autoscaler_t *autoscaler, GHashTable *known_machines,
+                              GHashTable *listed_machines, msec_t listing_lag_ms, msec_t now);
+
+/** Returns the number of booting instances. */
+guint autoscaler_booting_count(const autoscaler_t *autoscaler);
+
+/** Returns the ids of the instances whose boot took too long; transfer full, with the strings. */
+GPtrArray *autoscaler_stuck_instances(const autoscaler_t *autoscaler, const GArray *machine_types,
+                                      msec_t now);
+
+/** Records that the cloud had fewer machines than the request asked for: such machines are not
+ * asked for again before @p until. */
+void autoscaler_record_refusal(autoscaler_t *autoscaler, const scale_out_request_t *request,
+                               msec_t until);
+
+/** Judges each zone by its machine summaries. A zone in which several machines exist, all of them
+ * silent for more than @p silent_ms, is probably cut off: it is unreachable until one of them sends
+ * a heartbeat, or until some time after its machines are gone. Nothing is scaled out there
+ * meanwhile, since a new machine's heartbeats would not arrive either. Returns the names of the
+ * zones that became unreachable just now; transfer full, with the strings. */
 GPtrArray *autoscaler_update_zones(autoscaler_t *autoscaler, const leader_t *leader,
                                    msec_t silent_ms, msec_t now);
+
+/** Returns whether the zone is unreachable. */
 bool autoscaler_is_zone_unreachable(const autoscaler_t *autoscaler, const char *zone, msec_t now);
-/* Whether a silent machine of the zone is waited for: the zone is unreachable, or was less than
- * `patience` ago, so that its machines are only just coming back. */
+
+/** Returns whether a machine of the zone that has been silent for @p silent_ms is kept in spite of
+ * it: the zone is unreachable, or was at most @p patience ms ago, so that its machines are only
+ * just coming back. */
 bool autoscaler_awaits_zone(const autoscaler_t *autoscaler, const char *zone, msec_t silent_ms,
                             msec_t patience, msec_t now);
-void autoscaler_record_refusal(autoscaler_t *autoscaler, const scale_out_request_t *request,
-                               msec_t until);
 
-/* Resources asked for, in cpus and memory, against what stands and boots. */
-typedef struct autoscaler_balance {
-    resources_t wanted;
-    resources_t standing;
-    resources_t booting;
-    double on_demand_cpus;  /* cpus that stand or boot on on-demand machines */
-    double guaranteed_cpus; /* cpus guaranteed and asked for */
-    double waiting_cpu_s;   /* cpu seconds of tasks that have no machine */
-} autoscaler_balance_t;
-autoscaler_balance_t autoscaler_balance(const autoscaler_t *autoscaler, const leader_t *leader,
-                                        const GArray *machine_types, msec_t now, int64_t day_ms);
-/* The next autoscaler to ask for; false: none. */
+/** Chooses the next machines to scale out. Returns false, and leaves @p request undefined, if there
+ * are none. */
 bool autoscaler_next_scale_out(const autoscaler_t *autoscaler, const leader_t *leader,
                                const GArray *machine_types, msec_t now, int64_t day_ms,
                                scale_out_request_t *request);
-/* A machine to drain and return because less has been wanted for a while; NULL: none. Borrowed from
- * the summaries. Least-loaded placement leaves few machines empty, so it need not be idle. */
+
+/** Chooses a machine to drain and terminate, because the demand has been lower than the capacity
+ * for as long as the policy's scale-in delay. Least-loaded placement leaves few machines empty, so
+ * it need not be idle. Returns its summary in the leader; transfer none; NULL: there is none. */
 machine_summary_t *autoscaler_next_scale_in(autoscaler_t *autoscaler, const leader_t *leader,
                                             const GArray *machine_types, msec_t now,
                                             int64_t day_ms);
-/* Ids of boots that took too long. Strings owned by the array. */
-GPtrArray *autoscaler_stuck_instances(const autoscaler_t *autoscaler, const GArray *machine_types,
-                                      msec_t now);
+
+/** Lets the scale-in delay begin anew with the next surplus that is seen. */
+void autoscaler_reset_scale_in_delay(autoscaler_t *autoscaler);
 
 #endif
--- a/src/core/autoscaler/demand_balance.c
+++ b/src/core/autoscaler/demand_balance.c
@@ -1,16 +1,17 @@
-/* The balance: what is wanted against what stands and boots. */
+/* The balance: the demand against the running capacity and the booting instances. */
 #include "core/autoscaler/autoscaler_internal.h"
+#include "core/autoscaler/machine_summary_iter.h"
 
-/* Seconds within which the waiting work of a job should be under way: the sooner it is due, the
- * more machines it deserves at once. */
-static double patience(const leader_t *leader, const job_t *job, int64_t day_ms)
+/* Seconds within which the pending work of a job should begin: the sooner its deadline, the more
+ * machines it justifies at once. */
+static double job_patience_s(const leader_t *leader, const job_t *job, int64_t day_ms)
 {
-    double most = tunable_for_job(leader->policy, TUNABLE_SCALE_OUT_PATIENCE, &job->spec);
+    double longest_s = tunable_for_job(leader->policy, TUNABLE_SCALE_OUT_PATIENCE, &job->spec);
     if (job->spec.deadline_s <= 0)
-        return most;
-    double due = (double)(job->spec.submitted_ms - day_ms) / MS_PER_S + job->spec.deadline_s -
-                 job->spec.estimate_s;
-    return CLAMP(due, MIN(most, RENT_PATIENCE_MIN_S), most);
+        return longest_s;
+    double latest_start_in_s = (double)(job->spec.submitted_ms - day_ms) / MS_PER_S +
+                               job->spec.deadline_s - job->spec.estimate_s;
+    return CLAMP(latest_start_in_s, MIN(longest_s, RENT_PATIENCE_MIN_S), longest_s);
 }
 
 static resources_t wanted_resources(const leader_t *leader, msec_t now, int64_t day_ms)
@@ -21,55 +22,53 @@
     g_hash_table_iter_init(&iter, leader->outstanding);
     while (g_hash_table_iter_next(&iter, NULL, &value))
         resources_add(&wanted, ((outstanding_t *)value)->need, 1);
-    GArray *demand = leader_demand(leader, now);
+    g_autoptr(GArray) demand = leader_demand(leader, now); /* demand_t */
     for (guint i = 0; i < demand->len; i++) {
         const demand_t *entry = &g_array_index(demand, demand_t, i);
         const job_spec_t *spec = &entry->job->spec;
-        /* Tasks that one machine's resources can run one after the other in time need it once. */
-        double rounds = MAX(1, patience(leader, entry->job, day_ms) / MAX(spec->estimate_s, 1));
+        /* Tasks that can run one after the other within the patience need their resources once. */
+        double rounds =
+            MAX(1, job_patience_s(leader, entry->job, day_ms) / MAX(spec->estimate_s, 1));
         resources_add(&wanted, spec->need, MAX(entry->tasks / rounds, MIN(entry->tasks, 1.0)));
     }
-    g_array_unref(demand);
     return wanted;
 }
 
-/* What the teams ask for within their guarantees; *waiting: cpu seconds of all that waits. */
-static double guaranteed_cpus_asked(const leader_t *leader, msec_t now, double *waiting)
+/* Fills in what the teams ask for within their guarantees, and the cpu seconds of all pending
+ * tasks. */
+static void measure_team_demand(const leader_t *leader, msec_t now, autoscaler_balance_t *balance)
 {
-    double *asked = g_new0(double, leader->teams->len + 1);
-    double promised = 0;
-    *waiting = 0;
-    GArray *demand = leader_demand(leader, now);
+    double *pending_cpus = g_new0(double, leader->teams->len + 1); /* by team */
+    g_autoptr(GArray) demand = leader_demand(leader, now);         /* demand_t */
     for (guint i = 0; i < demand->len; i++) {
         const demand_t *entry = &g_array_index(demand, demand_t, i);
         double cpus = entry->tasks * entry->job->spec.need.cpus;
-        asked[entry->team] += cpus;
-        *waiting += cpus * MAX(entry->job->spec.estimate_s, 1);
+        pending_cpus[entry->team] += cpus;
+        balance->pending_cpu_s += cpus * MAX(entry->job->spec.estimate_s, 1);
     }
     for (guint i = 0; i < leader->teams->len; i++) {
         const team_state_t *state = &g_array_index(leader->teams, team_state_t, i);
-        promised += MIN(state->outstanding_cpus + asked[i], state->team.guaranteed_cpus);
+        balance->guaranteed_demand_cpus +=
+            MIN(state->outstanding_cpus + pending_cpus[i], state->team.guaranteed_cpus);
     }
-    g_array_unref(demand);
-    g_free(asked);
-    return promised;
+    g_free(pending_cpus);
 }
 
-autoscaler_balance_t autoscaler_balance(const autoscaler_t *autoscaler, const leader_t *leader,
-                                        const GArray *machine_types, msec_t now, int64_t day_ms)
+static void add_running(autoscaler_balance_t *balance, const leader_t *leader)
 {
-    autoscaler_balance_t balance = {.wanted = wanted_resources(leader, now, day_ms)};
-    balance.guaranteed_cpus = guaranteed_cpus_asked(leader, now, &balance.waiting_cpu_s);
-    for (guint i = 0; i < leader->summaries->len; i++) {
-        const GArray *summaries = g_ptr_array_index(leader->summaries, i);
-        for (guint k = 0; summaries && k < summaries->len; k++) {
-            const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
-            if (!summary->open)
-                continue;
-            resources_add(&balance.standing, summary->total, 1);
-            balance.on_demand_cpus += summary->spot ? 0 : summary->total.cpus;
-        }
+    machine_summary_iter_t iter = {.leader = leader};
+    for (const machine_summary_t *summary = machine_summary_iter_next(&iter); summary;
+         summary = machine_summary_iter_next(&iter)) {
+        if (!summary->open)
+            continue;
+        resources_add(&balance->running, summary->total, 1);
+        balance->on_demand_cpus += summary->spot ? 0 : summary->total.cpus;
     }
+}
+
+static void add_booting(autoscaler_balance_t *balance, const autoscaler_t *autoscaler,
+                        const GArray *machine_types)
+{
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, autoscaler->booting_instances);
@@ -79,19 +78,33 @@
             autoscaler_find_machine_type(machine_types, booting->type);
         if (!machine_type)
             continue;
-        resources_add(&balance.booting, machine_type->capacity, 1);
-        balance.on_demand_cpus += booting->spot ? 0 : machine_type->capacity.cpus;
+        resources_add(&balance->booting, machine_type->capacity, 1);
+        balance->on_demand_cpus += booting->spot ? 0 : machine_type->capacity.cpus;
     }
+}
+
+autoscaler_balance_t autoscaler_balance(const autoscaler_t *autoscaler, const leader_t *leader,
+                                        const GArray *machine_types, msec_t now, int64_t day_ms)
+{
+    autoscaler_balance_t balance = {.wanted = wanted_resources(leader, now, day_ms)};
+    measure_team_demand(leader, now, &balance);
+    add_running(&balance, leader);
+    add_booting(&balance, autoscaler, machine_types);
     return balance;
 }
 
-double autoscaler_extra_on_demand_cpus(const leader_t *leader, const autoscaler_balance_t *balance,
-                                       double patience_s)
+double autoscaler_extra_on_demand_cpus(const autoscaler_balance_t *balance)
+{
+    return MAX(balance->on_demand_cpus - balance->guaranteed_demand_cpus, 0);
+}
+
+double autoscaler_justified_on_demand_cpus(const leader_t *leader,
+                                           const autoscaler_balance_t *balance, double patience_s)
 {
-    double there = balance->standing.cpus + balance->booting.cpus;
-    double extra = MAX(balance->on_demand_cpus - balance->guaranteed_cpus, 0);
-    double spot = MAX(there - extra, 0);
-    double needed = balance->waiting_cpu_s / MAX(patience_s, 1);
-    double most = tunable_value(leader->policy, TUNABLE_ON_DEMAND_SHARE) * MAX(spot, needed);
-    return CLAMP(needed - spot, 0, most);
+    double capacity_cpus = balance->running.cpus + balance->booting.cpus;
+    double other_cpus = MAX(capacity_cpus - autoscaler_extra_on_demand_cpus(balance), 0);
+    double needed_cpus = balance->pending_cpu_s / MAX(patience_s, 1);
+    double most_cpus =
+        tunable_value(leader->policy, TUNABLE_ON_DEMAND_SHARE) * MAX(other_cpus, needed_cpus);
+    return CLAMP(needed_cpus - other_cpus, 0, most_cpus);
 }
--- /dev/null
+++ b/src/core/autoscaler/scale_in_choice.c
@@ -0,0 +1,92 @@
+/* The choice of the next machine to scale in. */
+#include "core/autoscaler/autoscaler_internal.h"
+#include "core/autoscaler/machine_summary_iter.h"
+
+/* What a machine is chosen by. */
+typedef struct scale_in_choice {
+    const GArray *machine_types; /* machine_type_t, borrowed */
+    autoscaler_balance_t balance;
+    double headroom;             /* the capacity to keep, in multiples of the demand */
+    double extra_on_demand_cpus; /* beyond the guaranteed demand */
+    bool is_extra_unjustified;   /* the pending work is too little for them */
+} scale_in_choice_t;
+
+static scale_in_choice_t prepare_choice(const autoscaler_t *autoscaler, const leader_t *leader,
+                                        const GArray *machine_types, msec_t now, int64_t day_ms)
+{
+    scale_in_choice_t choice = {
+        .machine_types = machine_types,
+        .balance = autoscaler_balance(autoscaler, leader, machine_types, now, day_ms)};
+    choice.headroom = tunable_value(leader->policy, TUNABLE_SCALE_IN_HEADROOM);
+    choice.extra_on_demand_cpus = autoscaler_extra_on_demand_cpus(&choice.balance);
+    /* Scale-in begins at less pending work than scale-out stops at, lest machines come and go. */
+    double patience_s =
+        tunable_value(leader->policy, TUNABLE_ON_DEMAND_PATIENCE) / ORDINARY_EASED_FACTOR;
+    choice.is_extra_unjustified =
+        choice.extra_on_demand_cpus >
+        autoscaler_justified_on_demand_cpus(leader, &choice.balance, patience_s);
+    return choice;
+}
+
+/* Whether the other machines would be too few for the demand without this one. */
+static bool is_needed(const scale_in_choice_t *choice, const machine_summary_t *summary)
+{
+    const autoscaler_balance_t *balance = &choice->balance;
+    return balance->running.cpus - summary->total.cpus < balance->wanted.cpus * choice->headroom ||
+           balance->running.memory - summary->total.memory <
+               balance->wanted.memory * choice->headroom;
+}
+
+static bool may_scale_in(const scale_in_choice_t *choice, const machine_summary_t *summary)
+{
+    if (!summary->open)
+        return false;
+    bool is_unjustified = choice->is_extra_unjustified && !summary->spot &&
+                          choice->extra_on_demand_cpus >= summary->total.cpus;
+    return is_unjustified || !is_needed(choice, summary);
+}
+
+/* Expensive machines go first; of equals the emptiest, which is free soonest. */
+static double scale_in_rank(const scale_in_choice_t *choice, const machine_summary_t *summary)
+{
+    const machine_type_t *machine_type =
+        autoscaler_find_machine_type(choice->machine_types, summary->type);
+    double price = machine_type ? autoscaler_price_per_cpu(machine_type, summary->spot) : 0;
+    double load = (summary->total.cpus - summary->free.cpus) / MAX(summary->total.cpus, EPSILON);
+    return price * (2 - load);
+}
+
+static machine_summary_t *choose_machine(const scale_in_choice_t *choice, const leader_t *leader)
+{
+    machine_summary_t *chosen = NULL;
+    double highest_rank = 0;
+    machine_summary_iter_t iter = {.leader = leader};
+    for (machine_summary_t *summary = machine_summary_iter_next(&iter); summary;
+         summary = machine_summary_iter_next(&iter)) {
+        if (!may_scale_in(choice, summary))
+            continue;
+        double rank = scale_in_rank(choice, summary);
+        if (!chosen || rank > highest_rank) {
+            chosen = summary;
+            highest_rank = rank;
+        }
+    }
+    return chosen;
+}
+
+machine_summary_t *autoscaler_next_scale_in(autoscaler_t *autoscaler, const leader_t *leader,
+                                            const GArray *machine_types, msec_t now, int64_t day_ms)
+{
+    scale_in_choice_t choice = prepare_choice(autoscaler, leader, machine_types, now, day_ms);
+    machine_summary_t *machine = choose_machine(&choice, leader);
+    if (!machine) {
+        autoscaler->surplus_since = 0;
+        return NULL;
+    }
+    if (autoscaler->surplus_since == 0)
+        autoscaler->surplus_since = now;
+    double delay_s = tunable_for_machine(leader->policy, TUNABLE_SCALE_IN_DELAY, machine->type,
+                                         machine->zone, machine->spot, machine->total);
+    bool has_delay_passed = (double)(now - autoscaler->surplus_since) >= delay_s * MS_PER_S;
+    return has_delay_passed ? machine : NULL;
+}
--- /dev/null
+++ b/src/core/autoscaler/scale_out_choice.c
@@ -0,0 +1,175 @@
+/* The choice of the next scale-out request. */
+#include "core/autoscaler/autoscaler_internal.h"
+#include "core/autoscaler/machine_summary_iter.h"
+
+#include <math.h>
+#include <string.h>
+
+/* Machines of one kind that might be scaled out. */
+typedef struct machine_candidate {
+    const machine_type_t *machine_type; /* borrowed */
+    const char *zone;                   /* borrowed */
+    bool spot;
+    guint count;               /* machines that cover the missing resources */
+    bool is_within_guarantees; /* an on-demand machine of this size is for guaranteed demand */
+} machine_candidate_t;
+
+/* What a request is chosen by, and the best one so far. */
+typedef struct scale_out_choice {
+    const autoscaler_t *autoscaler;
+    const leader_t *leader;
+    const autoscaler_balance_t *balance;
+    const GArray *demand;          /* demand_t, borrowed */
+    double missing_on_demand_cpus; /* beyond the guaranteed demand, justified by pending work */
+    msec_t now;
+    double best_cost; /* of the request; infinite: there is none yet */
+    scale_out_request_t *request;
+} scale_out_choice_t;
+
+static bool is_same_kind(const machine_candidate_t *candidate, const char *type, const char *zone,
+                         bool spot)
+{
+    return spot == candidate->spot && strcmp(type, candidate->machine_type->name) == 0 &&
+           strcmp(zone, candidate->zone) == 0;
+}
+
+/* Machines of the candidate's kind that run or boot. */
+static guint count_same_kind(const scale_out_choice_t *choice, const machine_candidate_t *candidate)
+{
+    guint count = 0;
+    machine_summary_iter_t summaries = {.leader = choice->leader};
+    for (const machine_summary_t *summary = machine_summary_iter_next(&summaries); summary;
+         summary = machine_summary_iter_next(&summaries))
+        count += is_same_kind(candidate, summary->type, summary->zone, summary->spot);
+    GHashTableIter iter;
+    gpointer value;
+    g_hash_table_iter_init(&iter, choice->autoscaler->booting_instances);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
+        const booting_instance_t *booting = value;
+        count += is_same_kind(candidate, booting->type, booting->zone, booting->spot);
+    }
+    return count;
+}
+
+static bool may_use_on_demand(const scale_out_choice_t *choice,
+                              const machine_candidate_t *candidate, const job_spec_t *spec)
+{
+    if (candidate->is_within_guarantees || !spec->spot)
+        return true;
+    return choice->missing_on_demand_cpus >= candidate->machine_type->capacity.cpus &&
+           tunable_for_job(choice->leader->policy, TUNABLE_USE_ON_DEMAND, spec) != 0;
+}
+
+/* Whether some pending job can use such a machine. */
+static bool is_useful(const scale_out_choice_t *choice, const machine_candidate_t *candidate)
+{
+    const machine_type_t *machine_type = candidate->machine_type;
+    for (guint i = 0; i < choice->demand->len; i++) {
+        const job_spec_t *spec = &g_array_index(choice->demand, demand_t, i).job->spec;
+        if (job_spec_allows(spec, machine_type->name, candidate->zone, candidate->spot) &&
+            resources_fit(spec->need, machine_type->capacity) &&
+            (candidate->spot || may_use_on_demand(choice, candidate, spec)))
+            return true;
+    }
+    return false;
+}
+
+/* Machines of the type that cover the missing resources; 0: the type is too large. Larger ones are
+ * cheaper by the cpu and cache more images, but one that is larger than all that is wanted would
+ * mostly be idle. */
+static guint machines_to_cover(const machine_type_t *machine_type, resources_t missing,
+                               double wanted_cpus)
+{
+    double machines = MAX(missing.cpus / MAX(machine_type->capacity.cpus, EPSILON),
+                          missing.memory / MAX(machine_type->capacity.memory, EPSILON));
+    if (machine_type->capacity.cpus > wanted_cpus * RENT_LARGEST_FRACTION && machines < 1)
+        return 0;
+    return (guint)CLAMP(ceil(machines - RENT_ROUND_FRACTION), 1, (double)SCALE_OUT_MAX_COUNT);
+}
+
+static bool is_available(const scale_out_choice_t *choice, const machine_candidate_t *candidate)
+{
+    return !autoscaler_is_zone_unreachable(choice->autoscaler, candidate->zone, choice->now) &&
+           !autoscaler_is_refused(choice->autoscaler, candidate->machine_type->name,
+                                  candidate->zone, candidate->spot, choice->now);
+}
+
+/* Takes the candidate for the request if it may be had, is of use and costs least so far. */
+static void consider(scale_out_choice_t *choice, machine_candidate_t candidate)
+{
+    const machine_type_t *machine_type = candidate.machine_type;
+    double cpus = machine_type->capacity.cpus;
+    candidate.is_within_guarantees =
+        choice->balance->on_demand_cpus + cpus <= choice->balance->guaranteed_demand_cpus;
+    if (!is_available(choice, &candidate) || !is_useful(choice, &candidate))
+        return;
+    /* Of equals the type and zone with the fewest, so that a wave of interruptions or the loss of a
+     * zone takes fewer machines at once. */
+    double cost = autoscaler_price_per_cpu(machine_type, candidate.spot) *
+                  (1 + RENT_SPREAD_FRACTION * count_same_kind(choice, &candidate));
+    if (cost >= choice->best_cost)
+        return;
+    if (!candidate.spot && !candidate.is_within_guarantees)
+        candidate.count =
+            (guint)CLAMP(choice->missing_on_demand_cpus / cpus, 1, (double)candidate.count);
+    choice->best_cost = cost;
+    *choice->request = (scale_out_request_t){.spot = candidate.spot, .count = candidate.count};
+    g_strlcpy(choice->request->type, machine_type->name, sizeof choice->request->type);
+    g_strlcpy(choice->request->zone, candidate.zone, sizeof choice->request->zone);
+}
+
+/* Considers each type in each zone, on-demand and spot; wanted_cpus bounds how large a type may be.
+ */
+static void consider_all(scale_out_choice_t *choice, const GArray *machine_types,
+                         resources_t missing, double wanted_cpus)
+{
+    for (guint i = 0; i < machine_types->len; i++) {
+        const machine_type_t *machine_type = &g_array_index(machine_types, machine_type_t, i);
+        guint count = machines_to_cover(machine_type, missing, wanted_cpus);
+        for (char **zone = machine_type->zones; count > 0 && *zone; zone++) {
+            machine_candidate_t candidate = {
+                .machine_type = machine_type, .zone = *zone, .spot = false, .count = count};
+            consider(choice, candidate);
+            candidate.spot = true;
+            consider(choice, candidate);
+        }
+    }
+}
+
+static resources_t missing_resources(const leader_t *leader, const autoscaler_balance_t *balance)
+{
+    resources_t missing = {0};
+    resources_add(&missing, balance->wanted,
+                  tunable_value(leader->policy, TUNABLE_SCALE_OUT_HEADROOM));
+    resources_add(&missing, balance->running, -1);
+    resources_add(&missing, balance->booting, -1);
+    return missing;
+}
+
+bool autoscaler_next_scale_out(const autoscaler_t *autoscaler, const leader_t *leader,
+                               const GArray *machine_types, msec_t now, int64_t day_ms,
+                               scale_out_request_t *request)
+{
+    autoscaler_balance_t balance =
+        autoscaler_balance(autoscaler, leader, machine_types, now, day_ms);
+    resources_t missing = missing_resources(leader, &balance);
+    if (missing.cpus <= 0 && missing.memory <= 0)
+        return false;
+    double patience_s = tunable_value(leader->policy, TUNABLE_ON_DEMAND_PATIENCE);
+    g_autoptr(GArray) demand = leader_demand(leader, now); /* demand_t */
+    scale_out_choice_t choice = {
+        .autoscaler = autoscaler,
+        .leader = leader,
+        .balance = &balance,
+        .demand = demand,
+        .missing_on_demand_cpus =
+            autoscaler_justified_on_demand_cpus(leader, &balance, patience_s) -
+            autoscaler_extra_on_demand_cpus(&balance),
+        .now = now,
+        .best_cost = INFINITY,
+        .request = request};
+    consider_all(&choice, machine_types, missing, balance.wanted.cpus);
+    if (isinf(choice.best_cost))
+        consider_all(&choice, machine_types, missing, INFINITY);
+    return isfinite(choice.best_cost);
+}
--- /dev/null
+++ b/src/core/autoscaler/zone_reachability.c
@@ -0,0 +1,72 @@
+/* Which zones can't be reached, judged by the silence of their machines. */
+#include "core/autoscaler/autoscaler_internal.h"
+#include "core/autoscaler/machine_summary_iter.h"
+
+/* The machines of one zone. */
+typedef struct zone_machines {
+    guint open;   /* take starts */
+    guint silent; /* sent no heartbeat for too long */
+} zone_machines_t;
+
+/* Zone (borrowed from the summaries) -> zone_machines_t, owned. */
+static GHashTable *count_machines_by_zone(const leader_t *leader, msec_t silent_ms)
+{
+    GHashTable *zones = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+    machine_summary_iter_t iter = {.leader = leader};
+    for (machine_summary_t *summary = machine_summary_iter_next(&iter); summary;
+         summary = machine_summary_iter_next(&iter)) {
+        zone_machines_t *machines = g_hash_table_lookup(zones, summary->zone);
+        if (!machines) {
+            machines = g_new0(zone_machines_t, 1);
+            g_hash_table_insert(zones, summary->zone, machines);
+        }
+        machines->open += summary->open;
+        machines->silent += summary->silent_ms > silent_ms;
+    }
+    return zones;
+}
+
+static void set_zone_time(GHashTable *times, const char *zone, msec_t time)
+{
+    g_hash_table_insert(times, g_strdup(zone), g_memdup2(&time, sizeof time));
+}
+
+GPtrArray *autoscaler_update_zones(autoscaler_t *autoscaler, const leader_t *leader,
+                                   msec_t silent_ms, msec_t now)
+{
+    GPtrArray *newly_unreachable = g_ptr_array_new_with_free_func(g_free); /* zones, owned */
+    g_autoptr(GHashTable) zones = count_machines_by_zone(leader, silent_ms);
+    GHashTableIter iter;
+    gpointer zone;
+    gpointer value;
+    g_hash_table_iter_init(&iter, zones);
+    while (g_hash_table_iter_next(&iter, &zone, &value)) {
+        const zone_machines_t *machines = value;
+        if (machines->open > 0) {
+            if (g_hash_table_remove(autoscaler->unreachable_zones, zone))
+                set_zone_time(autoscaler->recovered_zones, zone, now);
+        } else if (machines->silent >= LOST_MACHINES_MIN_COUNT) {
+            if (!autoscaler_is_zone_unreachable(autoscaler, zone, now))
+                g_ptr_array_add(newly_unreachable, g_strdup(zone));
+            set_zone_time(autoscaler->unreachable_zones, zone, now + UNREACHABLE_ZONE_MS);
+        }
+    }
+    return newly_unreachable;
+}
+
+bool autoscaler_is_zone_unreachable(const autoscaler_t *autoscaler, const char *zone, msec_t now)
+{
+    const msec_t *until = g_hash_table_lookup(autoscaler->unreachable_zones, zone);
+    return until && now < *until;
+}
+
+bool autoscaler_awaits_zone(const autoscaler_t *autoscaler, const char *zone, msec_t silent_ms,
+                            msec_t patience, msec_t now)
+{
+    if (silent_ms > UNREACHABLE_WAIT_MS + patience)
+        return false;
+    if (silent_ms <= UNREACHABLE_WAIT_MS && autoscaler_is_zone_unreachable(autoscaler, zone, now))
+        return true;
+    const msec_t *recovered_at = g_hash_table_lookup(autoscaler->recovered_zones, zone);
+    return recovered_at && now - *recovered_at <= patience;
+}
--- a/tests/controller/test_controller.c
+++ b/tests/controller/test_controller.c
@@ -761,7 +761,7 @@
     own.number = 2;
     own.revision = 20;
     membership_install_view(controller, &own); /* the same leadership: it boots on */
-    assert_int_equal(g_hash_table_size(controller->autoscaler->booting_instances), 1);
+    assert_int_equal(autoscaler_booting_count(controller->autoscaler), 1);
     membership_install_view(controller, &other);
     own.number = 4;
     own.revision = 40;
