--- /dev/null
+++ b/tests/controller/test_controller_timing.c
@@ -0,0 +1,180 @@
+/* Tests of a controller without threads: the test chooses its time. */
+#include "controller/peer/peer_exchange.h"
+#include "controller/peer/peer_heartbeat.h"
+#include "controller/worker_lease.h"
+#include "controller_fixture.h"
+#include "io/clock.h"
+
+/* A controller leads, is replaced, and leads again minutes later. What it scaled out at first is up
+ * by then and works for other partitions, whose machine summaries it has yet to receive: taken for
+ * stuck boots, such machines were terminated, work and all. */
+static void test_a_new_leadership_knows_no_booting_instances_of_an_earlier_one(void **state)
+{
+    controller_t *controller = fixture_new_idle_controller(*state, 2);
+    controller->autoscaler = autoscaler_new();
+    view_t own = {.number = 1, .revision = 10, .incarnation = controller->incarnation};
+    view_t other = {.number = 3, .revision = 30, .incarnation = controller->incarnation + 1};
+    pthread_mutex_lock(&controller->lock);
+    membership_install_view(controller, &own);
+    autoscaler_add_booting(controller->autoscaler, "m-000001", "t16", "zone-a", true, 1000);
+    own.number = 2;
+    own.revision = 20;
+    membership_install_view(controller, &own); /* the same leadership: it still boots */
+    assert_int_equal(autoscaler_booting_count(controller->autoscaler), 1);
+    membership_install_view(controller, &other);
+    own.number = 4;
+    own.revision = 40;
+    membership_install_view(controller, &own);
+    GPtrArray *stuck = autoscaler_stuck_instances(
+        controller->autoscaler, controller->placement.machine_types, 1000 + 10 * BOOT_TIMEOUT_MS);
+    assert_int_equal(stuck->len, 0);
+    g_ptr_array_unref(stuck);
+    pthread_mutex_unlock(&controller->lock);
+}
+
+/* The only controller of its fleet, with one machine. */
+static controller_t *new_owner_of_one_machine(const fixture_t *fixture, fake_worker_t *worker,
+                                              msec_t now)
+{
+    controller_t *controller = fixture_new_idle_controller(fixture, 1);
+    machine_type_t machine_type = {.name = "t16", .capacity = {16, 0, 64}};
+    g_array_append_val(controller->placement.machine_types, machine_type);
+    controller->placement.partition =
+        partition_new(controller->placement.machine_types, controller->settings->teams, 30000);
+    partition_set_view(controller->placement.partition, 1);
+    controller->placement.is_loaded = true;
+    controller->jobs.is_synced = true;
+    controller->jobs.complete_until = now;
+    controller->stalls.last_observed_at = now;
+    worker->fencing_token = 1;
+    worker_heartbeat_t heartbeat = fake_worker_heartbeat(worker);
+    GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
+    assert_int_equal(partition_handle_heartbeat(controller->placement.partition, &heartbeat, false,
+                                                now, commands),
+                     HEARTBEAT_ACCEPTED);
+    worker_heartbeat_clear(&heartbeat);
+    g_array_unref(commands);
+    return controller;
+}
+
+static void place_and_record(controller_t *controller, const char *job, uint64_t attempt,
+                             msec_t now)
+{
+    placement_request_t request = {
+        .need = {2, 0, 4}, .attempt = attempt, .job_revision = 5, .team = "team-a"};
+    g_strlcpy(request.job, job, sizeof request.job);
+    assert_non_null(partition_place(controller->placement.partition, &request, now));
+    partition_batch_t *batch =
+        partition_batch_take(controller->placement.partition,
+                             &(partition_limits_t){20, 80, 16384, KV_TXN_VALUES_BYTES}, now);
+    partition_batch_commit(controller->placement.partition, batch, attempt, now);
+    partition_batch_free(batch);
+}
+
+/* What a dispatcher would take now. */
+static machine_t *take_push(controller_t *controller, GArray *commands, msec_t now)
+{
+    g_array_set_size(commands, 0);
+    partition_pause_starts(controller->placement.partition,
+                           !worker_lease_may_start(controller, now));
+    return partition_take_push(controller->placement.partition, G_MAXUINT32, now, commands);
+}
+
+/* A dispatcher has taken a start; the process stalls, and a job is cancelled elsewhere. After the
+ * stall the start is not pushed: it is judged anew, and no start is pushed before it is known what
+ * was cancelled meanwhile. */
+static void test_a_start_taken_before_a_stall_is_not_pushed_after_it(void **state)
+{
+    msec_t begun_at = clock_steady();
+    msec_t after_stall = begun_at + 3 * (msec_t)STALL_MS;
+    fake_worker_t *worker = fake_worker_new("m-000001");
+    controller_t *controller = new_owner_of_one_machine(*state, worker, begun_at);
+    GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
+    pthread_mutex_lock(&controller->lock);
+    place_and_record(controller, "j-000001", 100, begun_at);
+    place_and_record(controller, "j-000002", 101, begun_at);
+    assert_non_null(take_push(controller, commands, begun_at));
+    assert_int_equal(commands->len, 2);
+    assert_true(worker_lease_may_push(controller, "m-000001", controller->placement.generation,
+                                      commands, begun_at, begun_at + 5));
+    assert_false(worker_lease_may_push(controller, "m-000001", controller->placement.generation,
+                                       commands, begun_at, after_stall));
+    assert_null(take_push(controller, commands, after_stall)); /* it does not know yet */
+    assert_null(take_push(controller, commands, after_stall + 100));
+    job_directory_remove(controller, "j-000001");
+    /* The watch that began after the stall was answered. */
+    controller->jobs.complete_until = after_stall + 50;
+    assert_non_null(take_push(controller, commands, after_stall + 200));
+    assert_int_equal(commands->len, 1);
+    assert_string_equal(g_array_index(commands, worker_command_t, 0).job, "j-000002");
+    pthread_mutex_unlock(&controller->lock);
+    g_array_unref(commands);
+    fake_worker_free(worker);
+}
+
+/* A controller that begins in an outage has had no answer of the key-value store. The others took
+ * its start for one, each believed to be refused alone, and all redirected their users away. */
+static void test_a_controller_that_has_just_begun_vouches_for_no_answer(void **state)
+{
+    msec_t now = clock_steady();
+    const controller_t *new_controller = fixture_new_idle_controller(*state, 2);
+    msec_t age = clock_steady() - atomic_load(&new_controller->kv_store.answered_at);
+    connectivity_t other = {.kv_answered_at = now - 2 * (msec_t)ISOLATED_AFTER_MS,
+                            .peer_message_at = now,
+                            .siblings_kv_answered_at = now - age};
+    assert_int_equal(connectivity_judge(&other, now), CONNECTIVITY_OUTAGE);
+    connectivity_t own = worker_lease_connectivity(new_controller);
+    assert_int_not_equal(connectivity_judge(&own, now), CONNECTIVITY_GOOD);
+}
+
+/* The answer to a peer heartbeat of a controller that has read this one's log up to that index. */
+static peer_message_t answer_heartbeat(controller_t *controller, uint64_t incarnation,
+                                       uint64_t index)
+{
+    peer_message_t call = {.sender = "controller-1",
+                           .is_heartbeat = true,
+                           .acknowledged_incarnation = incarnation,
+                           .acknowledged_index = index};
+    peer_message_t answer;
+    GByteArray *frame = peer_heartbeat_answer(controller, &call);
+    assert_true(peer_decode(frame->data, frame->len, &answer));
+    g_byte_array_unref(frame);
+    return answer;
+}
+
+/* An answer to a peer heartbeat waits for an entry of the log, and says for how long it waited: the
+ * caller counts what it learned from then on. With an entry it is sent at once. */
+static void test_a_peer_heartbeat_is_answered_at_once_where_the_log_has_grown(void **state)
+{
+    controller_t *controller = fixture_new_idle_controller(*state, 2);
+    peer_message_t first = answer_heartbeat(controller, 0, 0);
+    assert_int_equal(first.hold_ms, 0);
+    peer_message_t second =
+        answer_heartbeat(controller, first.update.incarnation, first.update.last_index);
+    assert_true(second.hold_ms >= PEER_HEARTBEAT_HOLD_MS);
+    pthread_mutex_lock(&controller->lock);
+    job_directory_record_terminal(controller, "j-000001", false);
+    pthread_mutex_unlock(&controller->lock);
+    peer_message_t third =
+        answer_heartbeat(controller, second.update.incarnation, second.update.last_index);
+    assert_int_equal(third.hold_ms, 0);
+    assert_int_equal(third.update.jobs->len, 1);
+    peer_message_clear(&first);
+    peer_message_clear(&second);
+    peer_message_clear(&third);
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test_setup(test_a_new_leadership_knows_no_booting_instances_of_an_earlier_one,
+                               setup_fakes),
+        cmocka_unit_test_setup(test_a_start_taken_before_a_stall_is_not_pushed_after_it,
+                               setup_fakes),
+        cmocka_unit_test_setup(test_a_controller_that_has_just_begun_vouches_for_no_answer,
+                               setup_fakes),
+        cmocka_unit_test_setup(test_a_peer_heartbeat_is_answered_at_once_where_the_log_has_grown,
+                               setup_fakes),
+    };
+    fixture_run_tests("controller_timing", tests, G_N_ELEMENTS(tests));
+}
--- /dev/null
+++ b/tests/fakes/fake_http_server.h
@@ -0,0 +1,33 @@
+/* An HTTP server with JSON bodies on a loopback port, a thread for each connection. It never ends.
+ */
+#ifndef PEPPERPULLEY_FAKE_HTTP_SERVER_H
+#define PEPPERPULLEY_FAKE_HTTP_SERVER_H
+
+#include <stdint.h>
+
+#include <jansson.h>
+
+struct MHD_Connection;
+
+typedef struct fake_http_request {
+    struct MHD_Connection *connection;
+    const char *method;
+    const char *path;
+    const json_t *body; /* NULL: it is not JSON */
+} fake_http_request_t;
+
+typedef struct fake_http_answer {
+    unsigned status; /* 0: the connection is closed without an answer */
+    json_t *body;    /* owned */
+} fake_http_answer_t;
+
+/* Called on the connection's thread. */
+typedef fake_http_answer_t (*fake_http_handler_t)(void *data, const fake_http_request_t *request);
+
+/* Starts a server on a port that the system chooses, and returns the port. data is borrowed for the
+ * life of the process. */
+uint16_t fake_http_server_start(fake_http_handler_t handler, void *data);
+/* The value of a query parameter; empty: the request has none. Borrowed from the request. */
+const char *fake_http_query(const fake_http_request_t *request, const char *name);
+
+#endif
--- a/tools/load.c
+++ b/tools/load.c
@@ -12,9 +12,12 @@
 #include <unistd.h>
 
 #include "controller/threads.h"
+#include "fake_cloud.h"
+#include "fake_kv_server.h"
+#include "fake_machine.h"
+#include "free_port.h"
 #include "io/clock.h"
 #include "io/http_client.h"
-#include "services.h"
 
 enum {
     TICK_MS_LOAD = 250,  /* between looks of a worker at what changed */
@@ -76,7 +79,8 @@
     return json_sprintf("127.0.0.1:%u", port);
 }
 
-static json_t *build_settings(const services_t *services, guint index)
+static json_t *build_settings(const fake_kv_server_t *kv_server, const fake_cloud_t *cloud,
+                              guint index)
 {
     json_t *siblings = json_array();
     for (guint i = 0; i < (guint)load.options.controllers; i++)
@@ -98,14 +102,15 @@
     return json_pack("{s:o,s:s,s:o,s:o,s:o,s:{s:o,s:o},s:o}", "host_name",
                      json_sprintf("controller-%u", index), "location", "zone-a", "client_listen",
                      endpoint(load.ports[index]), "mesh_addr", endpoint(load.peer_ports[index]),
-                     "siblings", siblings, "endpoints", "cloud", endpoint(services->cloud_port),
-                     "state", endpoint(services->state_ports[index]), "settings", settings);
+                     "siblings", siblings, "endpoints", "cloud", endpoint(cloud->port), "state",
+                     endpoint(kv_server->ports[index]), "settings", settings);
 }
 
-static void start_controller(const services_t *services, guint index, const char *folder)
+static void start_controller(const fake_kv_server_t *kv_server, const fake_cloud_t *cloud,
+                             guint index, const char *folder)
 {
     char *path = g_strdup_printf("%s/controller-%u.json", folder, index);
-    json_t *settings = build_settings(services, index);
+    json_t *settings = build_settings(kv_server, cloud, index);
     json_dump_file(settings, path, JSON_INDENT(2));
     json_decref(settings);
     char *arguments[] = {load.options.program, "--config", path, NULL};
@@ -145,7 +150,7 @@
         const char *owner = json_string_value(json_object_get(answer, "Bosun"));
         reported = clock_steady();
         if (status == HTTP_OK)
-            fake_machine_answer(machine, answer);
+            fake_machine_handle_answer(machine, answer);
         else if (status == HTTP_MISDIRECTED && owner)
             controller = (guint)(owner[strlen("controller-")] - '0');
         else
@@ -287,16 +292,17 @@
     g_strfreev(fragments);
 }
 
-static void start_all(const services_t *services, const char *folder)
+static void start_all(const fake_kv_server_t *kv_server, const fake_cloud_t *cloud,
+                      const char *folder)
 {
     guint controllers = (guint)load.options.controllers;
     for (guint i = 0; i < controllers; i++) {
-        load.ports[i] = services_free_port();
-        load.peer_ports[i] = services_free_port();
+        load.ports[i] = free_port();
+        load.peer_ports[i] = free_port();
     }
     http_client_t *client = http_client_new(2);
     for (guint i = 0; i < controllers; i++) { /* the first one leads */
-        start_controller(services, i, folder);
+        start_controller(kv_server, cloud, i, folder);
         while (call(client, i, "GET", "/ready", NULL, NULL) != HTTP_OK)
             sleep_ms(TICK_MS_LOAD);
     }
@@ -323,10 +329,11 @@
     signal(SIGPIPE, SIG_IGN);
     allow_many_sockets();
     http_start();
-    services_t *services = services_new();
-    services_publish_types(services);
+    fake_kv_server_t *kv_server = fake_kv_server_new();
+    fake_cloud_t *cloud = fake_cloud_new();
+    fake_cloud_publish_machine_types(cloud);
     char *folder = g_dir_make_tmp("load-XXXXXX", NULL);
-    start_all(services, folder);
+    start_all(kv_server, cloud, folder);
     sleep((guint)load.options.warmup);
     http_client_t *client = http_client_new(1);
     GHashTable *before[CONTROLLERS_MAX] = {NULL};
