--- a/tests/controller/test_threads.c
+++ b/tests/controller/test_threads.c
@@ -1,12 +1,12 @@
-/* Tests of the registry of threads: what each role has taken stays told when its threads have
- * ended. */
+/* Tests of the registry of threads: the processor time that the threads of a role have taken is
+ * still reported when they have ended. */
 #include "controller/threads.h"
 
 #include <string.h>
 
 #include "unit_test.h"
 
-static void *work(void *data)
+static void *use_processor(void *data)
 {
     volatile double sum = 0;
     const int *rounds = data;
@@ -15,14 +15,15 @@
     return NULL;
 }
 
-/* The value that a line of the text has; -1: there is none. */
-static gint64 value_of(const char *text, const char *name)
+/* The value of a metric in the report; -1: it has no such metric. */
+static gint64 read_value(const char *text, const char *name)
 {
     const char *line = strstr(text, name);
     return line ? g_ascii_strtoll(line + strlen(name), NULL, 10) : -1;
 }
 
-static char *read_text(void)
+/* The metrics of all roles; the caller's. */
+static char *read_report(void)
 {
     GString *text = g_string_new(NULL);
     threads_write(text);
@@ -33,16 +34,16 @@
 {
     (void)state;
     int rounds = 5000000;
-    pthread_join(threads_start("worker", work, &rounds), NULL);
-    char *once = read_text();
-    gint64 first = value_of(once, "thread_time_us{role=\"worker\"} ");
-    assert_int_equal(value_of(once, "threads{role=\"worker\"} "), 0);
-    assert_true(first > 0);
-    pthread_join(threads_start("worker", work, &rounds), NULL);
-    char *twice = read_text();
-    assert_true(value_of(twice, "thread_time_us{role=\"worker\"} ") > first);
-    g_free(once);
-    g_free(twice);
+    pthread_join(threads_start("worker", use_processor, &rounds), NULL);
+    char *first_report = read_report();
+    gint64 first_us = read_value(first_report, "thread_time_us{role=\"worker\"} ");
+    assert_int_equal(read_value(first_report, "threads{role=\"worker\"} "), 0);
+    assert_true(first_us > 0);
+    pthread_join(threads_start("worker", use_processor, &rounds), NULL);
+    char *second_report = read_report();
+    assert_true(read_value(second_report, "thread_time_us{role=\"worker\"} ") > first_us);
+    g_free(first_report);
+    g_free(second_report);
 }
 
 static void test_a_thread_of_a_library_is_counted_once(void **state)
@@ -50,9 +51,9 @@
     (void)state;
     threads_adopt("http");
     threads_adopt("http");
-    char *text = read_text();
-    assert_int_equal(value_of(text, "threads{role=\"http\"} "), 1);
-    assert_true(value_of(text, "thread_time_us{role=\"http\"} ") > 0);
+    char *text = read_report();
+    assert_int_equal(read_value(text, "threads{role=\"http\"} "), 1);
+    assert_true(read_value(text, "thread_time_us{role=\"http\"} ") > 0);
     g_free(text);
 }
 
--- a/tests/fakes/fake_kv_store.c
+++ b/tests/fakes/fake_kv_store.c
@@ -32,7 +32,7 @@
     return entry ? entry->revision : 0;
 }
 
-static bool holds(const fake_kv_store_t *store, const json_t *conditions)
+static bool do_conditions_hold(const fake_kv_store_t *store, const json_t *conditions)
 {
     size_t i;
     json_t *condition;
@@ -46,28 +46,37 @@
     return true;
 }
 
-kv_result_t fake_kv_store_apply(fake_kv_store_t *store, kv_txn_t txn)
+static void put(fake_kv_store_t *store, const char *key, json_t *value)
+{
+    kv_entry_t *entry = g_new0(kv_entry_t, 1);
+    entry->key = g_strdup(key);
+    entry->value = json_incref(value);
+    entry->revision = store->revision;
+    g_hash_table_replace(store->keys, entry->key, entry);
+}
+
+static void apply_changes(fake_kv_store_t *store, const json_t *changes)
 {
-    bool applies = holds(store, txn.conditions);
     size_t i;
     json_t *change;
-    store->revision += applies;
-    if (applies) {
-        json_array_foreach(txn.changes, i, change)
-        {
-            const char *set = json_string_value(json_object_get(change, "Set"));
-            if (!set) {
-                g_hash_table_remove(store->keys,
-                                    json_string_value(json_object_get(change, "Delete")));
-                continue;
-            }
-            kv_entry_t *entry = g_new0(kv_entry_t, 1);
-            entry->key = g_strdup(set);
-            entry->value = json_incref(json_object_get(change, "Value"));
-            entry->revision = store->revision;
-            g_hash_table_replace(store->keys, entry->key, entry);
-        }
+    store->revision++;
+    json_array_foreach(changes, i, change)
+    {
+        const char *key = json_string_value(json_object_get(change, "Set"));
+        if (key)
+            put(store, key, json_object_get(change, "Value"));
+        else
+            g_hash_table_remove(store->keys, json_string_value(json_object_get(change, "Delete")));
+    }
+}
+
+kv_result_t fake_kv_store_apply(fake_kv_store_t *store, kv_txn_t txn)
+{
+    kv_result_t result = KV_CONFLICT;
+    if (do_conditions_hold(store, txn.conditions)) {
+        apply_changes(store, txn.changes);
+        result = KV_OK;
     }
     kv_txn_free(&txn);
-    return applies ? KV_OK : KV_CONFLICT;
+    return result;
 }
--- a/tests/fakes/sample_files.h
+++ b/tests/fakes/sample_files.h
@@ -1,7 +1,7 @@
-/* Samples of exact bytes, in tests/samples: JSON as it is written, XDR as hex text.
+/* Samples of exact bytes, in tests/samples: JSON as the service writes it, XDR as hex text.
  *
- * With SAMPLES_WRITE=DIRECTORY, what is written goes into that directory too. The comparison is
- * made all the same, so that run fails where a sample differs. */
+ * With SAMPLES_WRITE=DIRECTORY in the environment, what the code under test writes is stored in
+ * that directory too. It is compared all the same, so such a run fails where a sample differs. */
 #ifndef PEPPERPULLEY_SAMPLE_FILES_H
 #define PEPPERPULLEY_SAMPLE_FILES_H
 
@@ -12,7 +12,8 @@
 
 enum { HEX_LINE_BYTES = 48 };
 
-/* Without the newline at its end. Its name is printed, so that it stands above whatever fails. */
+/* The sample without the newline at its end; the caller's. Its name is printed, so that it stands
+ * above whatever fails. */
 static inline char *read_sample(const char *name)
 {
     char *text = NULL;
@@ -78,7 +79,7 @@
     g_free(sample);
 }
 
-/* As io/http.c and app/api.c send it. Consumes the value. */
+/* Expects the value as the service sends JSON to be the sample. Consumes the value. */
 static inline void assert_json_is_sample(const char *name, json_t *value)
 {
     char *text = json_dumps(value, JSON_COMPACT | JSON_REAL_PRECISION(9));
--- a/tests/fakes/worker.c
+++ b/tests/fakes/worker.c
@@ -31,41 +31,42 @@
     return heartbeat;
 }
 
-static reported_attempt_t *find(fake_worker_t *worker, const worker_command_t *command, guint *at)
+/* The index of the command's attempt; the number of attempts: the worker does not have it. */
+static guint find_attempt(const fake_worker_t *worker, const worker_command_t *command)
 {
-    for (guint i = 0; i < worker->attempts->len; i++) {
-        reported_attempt_t *reported_attempt =
-            &g_array_index(worker->attempts, reported_attempt_t, i);
-        if (strcmp(reported_attempt->job, command->job) == 0 &&
-            reported_attempt->task == command->task &&
-            reported_attempt->attempt == command->attempt) {
-            *at = i;
-            return reported_attempt;
-        }
+    guint i = 0;
+    for (; i < worker->attempts->len; i++) {
+        const reported_attempt_t *attempt = &g_array_index(worker->attempts, reported_attempt_t, i);
+        if (strcmp(attempt->job, command->job) == 0 && attempt->task == command->task &&
+            attempt->attempt == command->attempt)
+            break;
     }
-    return NULL;
+    return i;
 }
 
-static void execute(fake_worker_t *worker, const GArray *commands)
+static void start_attempt(fake_worker_t *worker, const worker_command_t *command)
 {
-    for (guint i = 0; i < commands->len; i++) {
-        const worker_command_t *command = &g_array_index(commands, worker_command_t, i);
-        guint at = 0;
-        reported_attempt_t *reported_attempt = find(worker, command, &at);
-        if (command->op == COMMAND_RUN && !reported_attempt) {
-            reported_attempt_t fresh = {
-                .task = command->task, .attempt = command->attempt, .state = TASK_RUNNING};
-            g_strlcpy(fresh.job, command->job, sizeof fresh.job);
-            g_array_append_val(worker->attempts, fresh);
-            worker->runs++;
-        } else if (command->op == COMMAND_STOP && reported_attempt &&
-                   reported_attempt->state != TASK_EXITED) {
-            reported_attempt->state = TASK_EXITED;
-            reported_attempt->cause = CAUSE_STOPPED;
-        } else if (command->op == COMMAND_FORGET && reported_attempt &&
-                   reported_attempt->state == TASK_EXITED) {
-            g_array_remove_index(worker->attempts, at);
-        }
+    reported_attempt_t attempt = {
+        .task = command->task, .attempt = command->attempt, .state = TASK_RUNNING};
+    g_strlcpy(attempt.job, command->job, sizeof attempt.job);
+    g_array_append_val(worker->attempts, attempt);
+    worker->runs++;
+}
+
+static void execute_command(fake_worker_t *worker, const worker_command_t *command)
+{
+    guint index = find_attempt(worker, command);
+    if (index == worker->attempts->len) {
+        if (command->op == COMMAND_RUN)
+            start_attempt(worker, command);
+        return;
+    }
+    reported_attempt_t *attempt = &g_array_index(worker->attempts, reported_attempt_t, index);
+    if (command->op == COMMAND_STOP && attempt->state != TASK_EXITED) {
+        attempt->state = TASK_EXITED;
+        attempt->cause = CAUSE_STOPPED;
+    } else if (command->op == COMMAND_FORGET && attempt->state == TASK_EXITED) {
+        g_array_remove_index(worker->attempts, index);
     }
 }
 
@@ -74,7 +75,8 @@
     if (fencing_token < worker->fencing_token)
         return false;
     worker->fencing_token = fencing_token;
-    execute(worker, commands);
+    for (guint i = 0; i < commands->len; i++)
+        execute_command(worker, &g_array_index(commands, worker_command_t, i));
     return true;
 }
 
@@ -88,11 +90,10 @@
 void fake_worker_exit(fake_worker_t *worker, const char *job, uint32_t task, cause_t cause)
 {
     for (guint i = 0; i < worker->attempts->len; i++) {
-        reported_attempt_t *reported_attempt =
-            &g_array_index(worker->attempts, reported_attempt_t, i);
-        if (strcmp(reported_attempt->job, job) == 0 && reported_attempt->task == task) {
-            reported_attempt->state = TASK_EXITED;
-            reported_attempt->cause = cause;
+        reported_attempt_t *attempt = &g_array_index(worker->attempts, reported_attempt_t, i);
+        if (strcmp(attempt->job, job) == 0 && attempt->task == task) {
+            attempt->state = TASK_EXITED;
+            attempt->cause = cause;
         }
     }
 }
