--- a/tests/controller/controller_fixture.c
+++ b/tests/controller/controller_fixture.c
@@ -2,6 +2,7 @@
 
 #include <signal.h>
 #include <stdio.h>
+#include <stdlib.h>
 #include <unistd.h>
 
 #include "controller/startup.h"
@@ -107,10 +108,12 @@
 
 void fixture_run_tests(const char *name, const struct CMUnitTest *tests, size_t count)
 {
-    signal(SIGPIPE, SIG_IGN);
+    if (signal(SIGPIPE, SIG_IGN) == SIG_ERR)
+        abort();
     http_start();
     int failed = _cmocka_run_group_tests(name, tests, count, NULL, NULL);
-    fflush(NULL);
+    if (fflush(NULL) != 0)
+        abort();
     _exit(failed);
 }
 
