--- a/tests/core/partition/partition_fixture.h
+++ b/tests/core/partition/partition_fixture.h
@@ -4,7 +4,7 @@
 
 #include "core/partition/partition.h"
 #include "core/partition/partition_internal.h"
-#include "worker.h"
+#include "fake_worker.h"
 
 typedef struct partition_fixture {
     GArray *machine_types; /* machine_type_t */
--- a/tests/fakes/fake_machine.h
+++ b/tests/fakes/fake_machine.h
@@ -7,7 +7,7 @@
 
 #include <jansson.h>
 
-#include "worker.h"
+#include "fake_worker.h"
 
 typedef struct fake_machine {
     pthread_mutex_t lock;  /* guards the worker */
--- a/tests/fakes/worker.c
+++ b/tests/fakes/fake_worker.c
@@ -1,4 +1,4 @@
-#include "worker.h"
+#include "fake_worker.h"
 
 #include <string.h>
 
