--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -63,7 +63,7 @@
                                       msec_t now);
 
 /** Records that the cloud had fewer machines than the request asked for: such machines are not
- * asked for again before @p until. */
+ * requested again before @p until. */
 void autoscaler_record_refusal(autoscaler_t *autoscaler, const scale_out_request_t *request,
                                msec_t until);
 
--- a/src/core/autoscaler/autoscaler_internal.h
+++ b/src/core/autoscaler/autoscaler_internal.h
@@ -23,7 +23,7 @@
     GHashTable *booting_instances;
     /** Since when there has been a machine to scale in at every look; 0: there is none. */
     msec_t surplus_since;
-    /** Type, zone and kind (refusal_key) -> msec_t *: when they may be asked for again; keys and
+    /** Type, zone and kind (refusal_key) -> msec_t *: when they may be requested again; keys and
      * values owned. */
     GHashTable *refused_until;
     /** Zone -> msec_t *: when the zone is no longer taken for unreachable; keys and values owned.
@@ -35,11 +35,11 @@
 
 /** The demand, in cpus and memory, against the running capacity and the booting instances. */
 typedef struct autoscaler_balance {
-    resources_t wanted;            /**< Asked for by outstanding and pending tasks. */
+    resources_t wanted;            /**< Requested by outstanding and pending tasks. */
     resources_t running;           /**< Of the machines that take starts. */
     resources_t booting;           /**< Of the booting instances. */
     double on_demand_cpus;         /**< Running and booting on on-demand machines. */
-    double guaranteed_demand_cpus; /**< Asked for within the teams' guarantees. */
+    double guaranteed_demand_cpus; /**< Requested within the teams' guarantees. */
     double pending_cpu_s;          /**< Cpu seconds of the tasks that have no machine. */
 } autoscaler_balance_t;
 
@@ -63,7 +63,7 @@
 /** Returns the price of a machine of this type for each of its cpus. */
 double autoscaler_price_per_cpu(const machine_type_t *machine_type, bool spot);
 
-/** Returns whether such a machine was refused so lately that it is not asked for again. */
+/** Returns whether such a machine was refused so lately that it is not requested again. */
 bool autoscaler_is_refused(const autoscaler_t *autoscaler, const char *type, const char *zone,
                            bool spot, msec_t now);
 
--- a/src/core/autoscaler/demand_balance.c
+++ b/src/core/autoscaler/demand_balance.c
@@ -34,7 +34,7 @@
     return wanted;
 }
 
-/* Fills in what the teams ask for within their guarantees, and the cpu seconds of all pending
+/* Fills in what the teams request within their guarantees, and the cpu seconds of all pending
  * tasks. */
 static void measure_team_demand(const leader_t *leader, msec_t now, autoscaler_balance_t *balance)
 {
