--- a/src/controller/autoscaler/scale_out.c
+++ b/src/controller/autoscaler/scale_out.c
@@ -98,9 +98,10 @@
     }
     pthread_mutex_unlock(&controller->lock);
     metrics_count(controller->metrics, COUNT_SCALED_OUT, json_array_size(machines));
-    log_info("event=scaled_out idempotency_key=%s type=%s zone=%s spot=%d asked=%u got=%zu",
-             context->pending_scale_out.idempotency_key, request->type, request->zone,
-             request->spot, request->count, json_array_size(machines));
+    log_info(
+        "event=scaled_out idempotency_key=%s type=%s zone=%s spot=%d requested=%u accepted=%zu",
+        context->pending_scale_out.idempotency_key, request->type, request->zone, request->spot,
+        request->count, json_array_size(machines));
 }
 
 static void handle_refused(cloud_context_t *context, int status)
--- a/src/core/partition/preemption.c
+++ b/src/core/partition/preemption.c
@@ -39,16 +39,16 @@
 }
 
 /* An attempt that may be preempted, with the work that this would lose. */
-typedef struct victim {
+typedef struct preemptible_attempt {
     attempt_t *attempt; /* transfer none */
     double lost_work;   /* cpu seconds */
-} victim_t;
+} preemptible_attempt_t;
 
 /* Lowest priority first; then least lost work. */
-static gint compare_victims(gconstpointer left, gconstpointer right)
+static gint compare_lost_work(gconstpointer left, gconstpointer right)
 {
-    const victim_t *first = left;
-    const victim_t *second = right;
+    const preemptible_attempt_t *first = left;
+    const preemptible_attempt_t *second = right;
     if (first->attempt->entry.priority != second->attempt->entry.priority)
         return first->attempt->entry.priority < second->attempt->entry.priority ? -1 : 1;
     if (first->lost_work < second->lost_work)
@@ -56,50 +56,52 @@
     return first->lost_work > second->lost_work;
 }
 
-/* The attempts of the machine that may be preempted, cheapest first: array of victim_t (transfer
- * full). */
+/* The attempts of the machine that may be preempted, cheapest first: array of preemptible_attempt_t
+ * (transfer full). */
 static GArray *preemptible_attempts(const partition_t *partition, const machine_t *machine,
                                     const placement_request_t *request, msec_t now)
 {
-    GArray *victims = g_array_new(FALSE, FALSE, sizeof(victim_t));
+    GArray *chosen_attempts = g_array_new(FALSE, FALSE, sizeof(preemptible_attempt_t));
     for (guint i = 0; i < machine->attempts->len; i++) {
-        victim_t victim = {.attempt = machine_attempt(machine, i)};
-        if (!is_preemptible(partition, victim.attempt, request, now))
+        preemptible_attempt_t candidate = {.attempt = machine_attempt(machine, i)};
+        if (!is_preemptible(partition, candidate.attempt, request, now))
             continue;
-        victim.lost_work = lost_work(victim.attempt, now);
-        g_array_append_val(victims, victim);
+        candidate.lost_work = lost_work(candidate.attempt, now);
+        g_array_append_val(chosen_attempts, candidate);
     }
-    g_array_sort(victims, compare_victims);
-    return victims;
+    g_array_sort(chosen_attempts, compare_lost_work);
+    return chosen_attempts;
 }
 
-/* The attempts that make room for the request on the machine, cheapest first: array of victim_t
- * (transfer full); NULL: stopping all that may be preempted does not make room. *lost: the work
- * that it loses, in cpu seconds. */
-static GArray *choose_victims(const partition_t *partition, const machine_t *machine,
-                              const placement_request_t *request, msec_t now, double *lost)
+/* The attempts that make room for the request on the machine, cheapest first: array of
+ * preemptible_attempt_t (transfer full); NULL: stopping all that may be preempted does not make
+ * room. *lost: the work that it loses, in cpu seconds. */
+static GArray *choose_attempts_to_preempt(const partition_t *partition, const machine_t *machine,
+                                          const placement_request_t *request, msec_t now,
+                                          double *lost)
 {
-    g_autoptr(GArray) victims = preemptible_attempts(partition, machine, request, now);
+    g_autoptr(GArray) chosen_attempts = preemptible_attempts(partition, machine, request, now);
     resources_t resources = machine_free_resources(machine);
     guint taken = 0;
     *lost = 0;
-    while (!resources_fit(request->need, resources) && taken < victims->len) {
-        const victim_t *victim = &g_array_index(victims, victim_t, taken);
+    while (!resources_fit(request->need, resources) && taken < chosen_attempts->len) {
+        const preemptible_attempt_t *candidate =
+            &g_array_index(chosen_attempts, preemptible_attempt_t, taken);
         taken++;
-        resources_add(&resources, victim->attempt->entry.need, 1);
-        *lost += victim->lost_work;
+        resources_add(&resources, candidate->attempt->entry.need, 1);
+        *lost += candidate->lost_work;
     }
     if (!resources_fit(request->need, resources))
         return NULL;
-    g_array_set_size(victims, taken);
-    return g_steal_pointer(&victims);
+    g_array_set_size(chosen_attempts, taken);
+    return g_steal_pointer(&chosen_attempts);
 }
 
 /* A machine, and the attempts on it to preempt. */
 typedef struct preemption {
-    machine_t *machine; /* transfer none; NULL: there is none */
-    GArray *victims;    /* victim_t, owned; NULL: there is none */
-    double lost_work;   /* cpu seconds, and the cost of a fetch of the image */
+    machine_t *machine;      /* transfer none; NULL: there is none */
+    GArray *chosen_attempts; /* preemptible_attempt_t, owned; NULL: there is none */
+    double lost_work;        /* cpu seconds, and the cost of a fetch of the image */
 } preemption_t;
 
 static preemption_t choose_preemption(const partition_t *partition,
@@ -111,13 +113,14 @@
     for (machine_t *machine = candidates_next(&candidates); machine;
          machine = candidates_next(&candidates)) {
         double lost;
-        g_autoptr(GArray) victims = choose_victims(partition, machine, request, now, &lost);
+        g_autoptr(GArray) chosen_attempts =
+            choose_attempts_to_preempt(partition, machine, request, now, &lost);
         lost += candidates_has_image(machine, request) ? 0 : PREEMPT_COLD_S * request->need.cpus;
-        if (!victims || (best.machine && lost >= best.lost_work))
+        if (!chosen_attempts || (best.machine && lost >= best.lost_work))
             continue;
-        g_clear_pointer(&best.victims, g_array_unref);
+        g_clear_pointer(&best.chosen_attempts, g_array_unref);
         best.machine = machine;
-        best.victims = g_steal_pointer(&victims);
+        best.chosen_attempts = g_steal_pointer(&chosen_attempts);
         best.lost_work = lost;
     }
     return best;
@@ -139,9 +142,10 @@
     preemption_t best = choose_preemption(partition, request, now);
     if (!best.machine)
         return NULL;
-    for (guint i = 0; i < best.victims->len; i++)
-        preempt(partition, g_array_index(best.victims, victim_t, i).attempt, request, now);
-    g_array_unref(best.victims);
+    for (guint i = 0; i < best.chosen_attempts->len; i++)
+        preempt(partition, g_array_index(best.chosen_attempts, preemptible_attempt_t, i).attempt,
+                request, now);
+    g_array_unref(best.chosen_attempts);
     return best.machine;
 }
 
--- a/src/core/request_queue.c
+++ b/src/core/request_queue.c
@@ -21,11 +21,11 @@
     return true;
 }
 
-static void *remove_entry(request_queue_t *queue, GList *node)
+static void *remove_entry(request_queue_t *queue, GList *element)
 {
-    waiting_request_t *entry = node->data;
+    waiting_request_t *entry = element->data;
     void *request = entry->request;
-    g_queue_delete_link(&queue->waiting, node);
+    g_queue_delete_link(&queue->waiting, element);
     g_free(entry);
     return request;
 }
@@ -37,10 +37,10 @@
 
 void *request_queue_pop_expired(request_queue_t *queue, msec_t now)
 {
-    for (GList *node = queue->waiting.head; node; node = node->next) {
-        const waiting_request_t *entry = node->data;
+    for (GList *element = queue->waiting.head; element; element = element->next) {
+        const waiting_request_t *entry = element->data;
         if (entry->wait_deadline_at <= now)
-            return remove_entry(queue, node);
+            return remove_entry(queue, element);
     }
     return NULL;
 }
@@ -48,8 +48,8 @@
 msec_t request_queue_next(const request_queue_t *queue)
 {
     msec_t next_at = G_MAXINT64;
-    for (const GList *node = queue->waiting.head; node; node = node->next) {
-        const waiting_request_t *entry = node->data;
+    for (const GList *element = queue->waiting.head; element; element = element->next) {
+        const waiting_request_t *entry = element->data;
         next_at = MIN(next_at, entry->wait_deadline_at);
     }
     return next_at;
--- a/tests/core/membership/test_connectivity.c
+++ b/tests/core/membership/test_connectivity.c
@@ -25,7 +25,7 @@
 /* A controller that reaches its workers, and neither the key-value store nor siblings, may have
  * been replaced, and the others treat its workers as lost soon after. It stops renewing their
  * leases before that, and answers no users. */
-static void test_cut_off_node_lets_its_workers_go(void **state)
+static void test_isolated_controller_lets_its_workers_go(void **state)
 {
     (void)state;
     connectivity_t connectivity = {
@@ -51,7 +51,7 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_outage_of_all_is_waited_for),
         cmocka_unit_test(test_refused_alone_is_recognized_by_a_sibling),
-        cmocka_unit_test(test_cut_off_node_lets_its_workers_go),
+        cmocka_unit_test(test_isolated_controller_lets_its_workers_go),
         cmocka_unit_test(test_a_controller_without_siblings_is_not_isolated_by_their_silence),
     };
     return cmocka_run_group_tests_name("connectivity", tests, NULL, NULL);
--- a/tests/core/membership/test_redirection.c
+++ b/tests/core/membership/test_redirection.c
@@ -291,7 +291,7 @@
 
 /* The leader terminated a machine that it retained itself: it read its own list from the key-value
  * store, which holds it seconds late. */
-static void test_retained_workers_are_known_to_their_node_at_once(void **state)
+static void test_retained_workers_are_known_to_their_controller_at_once(void **state)
 {
     redirection_t *redirection = *state;
     GHashTable *ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -327,7 +327,7 @@
                                         tear_down),
         cmocka_unit_test_setup_teardown(test_one_that_was_turned_away_tries_again_soon, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(test_retained_workers_are_known_to_their_node_at_once,
+        cmocka_unit_test_setup_teardown(test_retained_workers_are_known_to_their_controller_at_once,
                                         set_up, tear_down),
         cmocka_unit_test_setup_teardown(test_an_answer_without_the_partition_stops_what_is_over,
                                         set_up, tear_down),
--- a/tests/core/partition/test_partition_records.c
+++ b/tests/core/partition/test_partition_records.c
@@ -167,8 +167,8 @@
     place_task(fixture, "j-000001", 0, 101);
     commit_batch(fixture);
     exchange_heartbeat(fixture);
-    reported_attempt_t superseded = {.job = "j-000001", .attempt = 100, .state = TASK_RUNNING};
-    g_array_append_val(fixture->worker->attempts, superseded);
+    reported_attempt_t outdated = {.job = "j-000001", .attempt = 100, .state = TASK_RUNNING};
+    g_array_append_val(fixture->worker->attempts, outdated);
     exchange_heartbeat(fixture);
     assert_int_equal(count_commands(fixture, COMMAND_STOP), 1);
     assert_int_equal(g_array_index(fixture->commands, worker_command_t, 0).attempt, 100);
--- a/tests/core/replication/test_cancellation_log.c
+++ b/tests/core/replication/test_cancellation_log.c
@@ -112,7 +112,7 @@
 }
 
 /* A cancellation that is confirmed while the answer is on its way is not in it. */
-static void test_an_answer_counts_from_when_it_was_asked_for(void **state)
+static void test_an_answer_counts_from_when_its_request_was_sent(void **state)
 {
     fixture_t *fixture = *state;
     exchange(fixture, 0, 900, 910);
@@ -217,8 +217,8 @@
         cmocka_unit_test_setup_teardown(test_entries_of_a_sibling_are_known_before_the_moment_moves,
                                         set_up, tear_down),
         cmocka_unit_test_setup_teardown(test_a_silent_sibling_stops_the_moment, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_an_answer_counts_from_when_it_was_asked_for, set_up,
-                                        tear_down),
+        cmocka_unit_test_setup_teardown(test_an_answer_counts_from_when_its_request_was_sent,
+                                        set_up, tear_down),
         cmocka_unit_test_setup_teardown(test_a_late_or_doubled_answer_takes_nothing_back, set_up,
                                         tear_down),
         cmocka_unit_test_setup_teardown(test_one_that_began_anew_counts_from_a_followed_moment,
--- a/tests/io/test_records.c
+++ b/tests/io/test_records.c
@@ -95,12 +95,12 @@
 static void test_late_entry_of_a_member_fails(void **state)
 {
     (void)state;
-    member_t self = {.name = "node-1", .zone = "zone-a", .incarnation = 5};
+    member_t self = {.name = "controller-1", .zone = "zone-a", .incarnation = 5};
     kv_txn_t late = records_member(&self, 0, 1);
     assert_int_equal(fake_kv_store_apply(store, records_member(&self, 0, 2)), KV_OK);
-    uint64_t revision = fake_kv_store_revision(store, "view/members/node-1");
+    uint64_t revision = fake_kv_store_revision(store, "view/members/controller-1");
     assert_int_equal(fake_kv_store_apply(store, late), KV_CONFLICT);
-    assert_int_equal(fake_kv_store_revision(store, "view/members/node-1"), revision);
+    assert_int_equal(fake_kv_store_revision(store, "view/members/controller-1"), revision);
     assert_int_equal(fake_kv_store_apply(store, records_member(&self, revision, 3)), KV_OK);
 }
 
