--- a/src/controller/api/worker_heartbeats.c
+++ b/src/controller/api/worker_heartbeats.c
@@ -54,7 +54,7 @@
 {
     switch (judge_redirection_locked(controller, heartbeat, owner, now)) {
     case REDIRECTION_DUPLICATE:
-        return api_refuse(HTTP_UNAVAILABLE, "an old heartbeat", 0);
+        return api_refuse(HTTP_UNAVAILABLE, "an old report", 0);
     case REDIRECTION_TO_OWNER:
         return api_reply_json(HTTP_MISDIRECTED, json_pack("{s:s}", "Bosun", owner->name));
     case REDIRECTION_RETAINED:
@@ -92,7 +92,7 @@
                                        heartbeat_verdict_t verdict, GArray *commands)
 {
     if (verdict == HEARTBEAT_DUPLICATE)
-        return api_refuse(HTTP_UNAVAILABLE, "an old heartbeat", 0);
+        return api_refuse(HTTP_UNAVAILABLE, "an old report", 0);
     if (verdict != HEARTBEAT_ACCEPTED)
         redirection_stop_ended(heartbeat, controller->jobs.live, commands);
     return commands_reply_locked(controller, commands);
