--- a/src/controller/autoscaler/machine_listing.c
+++ b/src/controller/autoscaler/machine_listing.c
@@ -80,7 +80,7 @@
         return;
     msec_t started_at = now - (msec_t)(machine->age_s * MS_PER_S);
     autoscaler_add_booting(controller->autoscaler, machine->machine, machine->type, machine->zone,
-                           machine->spot, MAX(started_at, controller->placement.loaded_at));
+                           machine->is_spot, MAX(started_at, controller->placement.loaded_at));
 }
 
 /* Called with the lock held. */
--- a/src/controller/autoscaler/scale_in.c
+++ b/src/controller/autoscaler/scale_in.c
@@ -61,7 +61,7 @@
         log_info("event=scale_in_selected machine=%s", surplus->machine);
         /* It gets no more placement requests. It counts as draining only when the summaries of its
          * partition say so. */
-        surplus->open = false;
+        surplus->is_open = false;
         cloud_context_send_item(controller, partition, CHANNEL_DRAIN, surplus->machine);
     }
 }
@@ -79,10 +79,10 @@
     machine_summary_iter_t iter = {.leader = leader};
     for (const machine_summary_t *summary = machine_summary_iter_next(&iter); summary;
          summary = machine_summary_iter_next(&iter)) {
-        if (summary->draining && summary->attempts == 0 &&
+        if (summary->is_draining && summary->attempts == 0 &&
             !cloud_context_is_recently_terminated(context, summary->machine, now))
             add_once(machines, summary->machine);
-        if (!summary->draining && leader_is_quarantined(leader, summary->machine)) {
+        if (!summary->is_draining && leader_is_quarantined(leader, summary->machine)) {
             log_info("event=machine_quarantined machine=%s", summary->machine);
             cloud_context_send_item(controller, iter.partition, CHANNEL_DRAIN, summary->machine);
         }
--- a/src/controller/autoscaler/scale_out.c
+++ b/src/controller/autoscaler/scale_out.c
@@ -14,7 +14,7 @@
     machine_summary_iter_t iter = {.leader = leader};
     for (const machine_summary_t *summary = machine_summary_iter_next(&iter); summary;
          summary = machine_summary_iter_next(&iter)) {
-        if (!summary->draining || summary->attempts == 0 ||
+        if (!summary->is_draining || summary->attempts == 0 ||
             leader_is_quarantined(leader, summary->machine))
             continue;
         log_info("event=drain_cancelled machine=%s", summary->machine);
@@ -73,7 +73,7 @@
     const pending_scale_out_t *pending = &context->pending_scale_out;
     const scale_out_request_t *request = &pending->request;
     json_auto_t *body = codec_build_scale_out(pending->idempotency_key, request->type,
-                                              request->zone, request->spot, request->count);
+                                              request->zone, request->is_spot, request->count);
     return cloud_context_call(context, "POST", "/hosts", body, answer);
 }
 
@@ -91,7 +91,7 @@
         {
             if (json_is_string(machine))
                 autoscaler_add_booting(controller->autoscaler, json_string_value(machine),
-                                       request->type, request->zone, request->spot, now);
+                                       request->type, request->zone, request->is_spot, now);
         }
         if (json_array_size(machines) < request->count)
             autoscaler_record_refusal(controller->autoscaler, request, now + CAPACITY_RETRY_MS);
@@ -100,7 +100,7 @@
     metrics_count(controller->metrics, COUNT_SCALED_OUT, json_array_size(machines));
     log_info(
         "event=scaled_out idempotency_key=%s type=%s zone=%s spot=%d requested=%u accepted=%zu",
-        context->pending_scale_out.idempotency_key, request->type, request->zone, request->spot,
+        context->pending_scale_out.idempotency_key, request->type, request->zone, request->is_spot,
         request->count, json_array_size(machines));
 }
 
@@ -114,7 +114,7 @@
                                   clock_steady() + CAPACITY_RETRY_MS);
     pthread_mutex_unlock(&controller->lock);
     log_info("event=no_capacity type=%s zone=%s spot=%d status=%d", request->type, request->zone,
-             request->spot, status);
+             request->is_spot, status);
 }
 
 static bool is_refusal(int status, const json_t *answer)
--- a/src/core/autoscaler/autoscaler.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -43,7 +43,7 @@
     g_strlcpy(booting->machine, machine, sizeof booting->machine);
     g_strlcpy(booting->type, type, sizeof booting->type);
     g_strlcpy(booting->zone, zone, sizeof booting->zone);
-    booting->spot = spot;
+    booting->is_spot = spot;
     booting->requested_at = requested_at;
     g_hash_table_insert(autoscaler->booting_instances, booting->machine, booting);
 }
@@ -101,7 +101,7 @@
                                msec_t until)
 {
     g_hash_table_insert(autoscaler->refused_until,
-                        refusal_key(request->type, request->zone, request->spot),
+                        refusal_key(request->type, request->zone, request->is_spot),
                         g_memdup2(&until, sizeof until));
 }
 
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -23,7 +23,7 @@
 typedef struct scale_out_request {
     char type[LABEL_BYTES]; /**< The machine type's name. */
     char zone[LABEL_BYTES]; /**< The zone. */
-    bool spot;              /**< Spot machines; false: on-demand ones. */
+    bool is_spot;           /**< Spot machines; false: on-demand ones. */
     guint count;            /**< How many. */
 } scale_out_request_t;
 
--- a/src/core/autoscaler/autoscaler_internal.h
+++ b/src/core/autoscaler/autoscaler_internal.h
@@ -13,7 +13,7 @@
     char machine[ID_BYTES]; /**< The machine's id. */
     char type[LABEL_BYTES]; /**< The machine type's name. */
     char zone[LABEL_BYTES]; /**< The zone. */
-    bool spot;              /**< A spot machine; false: an on-demand one. */
+    bool is_spot;           /**< A spot machine; false: an on-demand one. */
     msec_t requested_at;    /**< When it was scaled out. */
 } booting_instance_t;
 
--- a/src/core/autoscaler/demand_balance.c
+++ b/src/core/autoscaler/demand_balance.c
@@ -59,10 +59,10 @@
     machine_summary_iter_t iter = {.leader = leader};
     for (const machine_summary_t *summary = machine_summary_iter_next(&iter); summary;
          summary = machine_summary_iter_next(&iter)) {
-        if (!summary->open)
+        if (!summary->is_open)
             continue;
         resources_add(&balance->running, summary->total, 1);
-        balance->on_demand_cpus += summary->spot ? 0 : summary->total.cpus;
+        balance->on_demand_cpus += summary->is_spot ? 0 : summary->total.cpus;
     }
 }
 
@@ -79,7 +79,7 @@
         if (!machine_type)
             continue;
         resources_add(&balance->booting, machine_type->capacity, 1);
-        balance->on_demand_cpus += booting->spot ? 0 : machine_type->capacity.cpus;
+        balance->on_demand_cpus += booting->is_spot ? 0 : machine_type->capacity.cpus;
     }
 }
 
--- a/src/core/autoscaler/scale_in_choice.c
+++ b/src/core/autoscaler/scale_in_choice.c
@@ -39,9 +39,9 @@
 
 static bool may_scale_in(const scale_in_choice_t *choice, const machine_summary_t *summary)
 {
-    if (!summary->open)
+    if (!summary->is_open)
         return false;
-    bool is_unjustified = choice->is_extra_unjustified && !summary->spot &&
+    bool is_unjustified = choice->is_extra_unjustified && !summary->is_spot &&
                           choice->extra_on_demand_cpus >= summary->total.cpus;
     return is_unjustified || !is_needed(choice, summary);
 }
@@ -51,7 +51,7 @@
 {
     const machine_type_t *machine_type =
         autoscaler_find_machine_type(choice->machine_types, summary->type);
-    double price = machine_type ? autoscaler_price_per_cpu(machine_type, summary->spot) : 0;
+    double price = machine_type ? autoscaler_price_per_cpu(machine_type, summary->is_spot) : 0;
     double load = (summary->total.cpus - summary->free.cpus) / MAX(summary->total.cpus, EPSILON);
     return price * (2 - load);
 }
@@ -86,7 +86,7 @@
     if (autoscaler->surplus_since == 0)
         autoscaler->surplus_since = now;
     double delay_s = tunable_for_machine(leader->policy, TUNABLE_SCALE_IN_DELAY, machine->type,
-                                         machine->zone, machine->spot, machine->total);
+                                         machine->zone, machine->is_spot, machine->total);
     bool has_delay_passed = (double)(now - autoscaler->surplus_since) >= delay_s * MS_PER_S;
     return has_delay_passed ? machine : NULL;
 }
--- a/src/core/autoscaler/scale_out_choice.c
+++ b/src/core/autoscaler/scale_out_choice.c
@@ -40,13 +40,13 @@
     machine_summary_iter_t summaries = {.leader = choice->leader};
     for (const machine_summary_t *summary = machine_summary_iter_next(&summaries); summary;
          summary = machine_summary_iter_next(&summaries))
-        count += is_same_kind(candidate, summary->type, summary->zone, summary->spot);
+        count += is_same_kind(candidate, summary->type, summary->zone, summary->is_spot);
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, choice->autoscaler->booting_instances);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const booting_instance_t *booting = value;
-        count += is_same_kind(candidate, booting->type, booting->zone, booting->spot);
+        count += is_same_kind(candidate, booting->type, booting->zone, booting->is_spot);
     }
     return count;
 }
@@ -54,7 +54,7 @@
 static bool may_use_on_demand(const scale_out_choice_t *choice,
                               const machine_candidate_t *candidate, const job_spec_t *spec)
 {
-    if (candidate->is_within_guarantees || !spec->spot)
+    if (candidate->is_within_guarantees || !spec->may_use_spot)
         return true;
     return choice->missing_on_demand_cpus >= candidate->machine_type->capacity.cpus &&
            tunable_for_job(choice->leader->policy, TUNABLE_USE_ON_DEMAND, spec) != 0;
@@ -114,7 +114,7 @@
         candidate.count =
             (guint)CLAMP(choice->missing_on_demand_cpus / cpus, 1, (double)candidate.count);
     choice->best_cost = cost;
-    *choice->request = (scale_out_request_t){.spot = candidate.spot, .count = candidate.count};
+    *choice->request = (scale_out_request_t){.is_spot = candidate.spot, .count = candidate.count};
     g_strlcpy(choice->request->type, machine_type->name, sizeof choice->request->type);
     g_strlcpy(choice->request->zone, candidate.zone, sizeof choice->request->zone);
 }
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -79,7 +79,8 @@
     job_t *job = g_new0(job_t, 1);
     job->spec = *spec;
     job->spec.types = g_strdupv(spec->types);
-    job->spec.spot = spec->spot && tunable_for_job(leader->policy, TUNABLE_USE_SPOT, spec) != 0;
+    job->spec.may_use_spot =
+        spec->may_use_spot && tunable_for_job(leader->policy, TUNABLE_USE_SPOT, spec) != 0;
     job->revision = revision;
     job->done_bits = g_malloc0(task_bitmap_bytes(spec->tasks));
     job->outstanding_bits = g_malloc0(task_bitmap_bytes(spec->tasks));
--- a/src/core/leader/machine_claims.c
+++ b/src/core/leader/machine_claims.c
@@ -28,9 +28,9 @@
 static bool is_claimable(const leader_t *leader, const machine_summary_t *summary,
                          const job_spec_t *spec, msec_t now)
 {
-    return summary->claim_priority <= PRIORITY_LOW && summary->open &&
+    return summary->claim_priority <= PRIORITY_LOW && summary->is_open &&
            resources_fit(spec->need, summary->total) &&
-           job_spec_allows(spec, summary->type, summary->zone, summary->spot) &&
+           job_spec_allows(spec, summary->type, summary->zone, summary->is_spot) &&
            !is_claim_exhausted(leader, summary->machine, now);
 }
 
@@ -91,7 +91,7 @@
 static void add_machine(leader_round_t *round, const machine_summary_t *summary)
 {
     round->machine_count++;
-    if (!summary->open)
+    if (!summary->is_open)
         return;
     round->most_free.cpus = MAX(round->most_free.cpus, summary->free.cpus);
     round->most_free.gpus = MAX(round->most_free.gpus, summary->free.gpus);
--- a/src/core/leader/machine_summary.h
+++ b/src/core/leader/machine_summary.h
@@ -12,9 +12,9 @@
     char machine[ID_BYTES]; /**< The machine's id. */
     char type[LABEL_BYTES]; /**< The machine type's name. */
     char zone[LABEL_BYTES]; /**< Its zone. */
-    bool spot;              /**< It is a spot machine. */
-    bool open;              /**< It accepts starts. */
-    bool draining;          /**< It is being emptied. */
+    bool is_spot;           /**< It is a spot machine. */
+    bool is_open;           /**< It accepts starts. */
+    bool is_draining;       /**< It is being emptied. */
     int claim_priority;     /**< The leader's mark for one round: work below this priority_t is not
                                placed here, because the machine is claimed for larger work. */
     resources_t total;      /**< Its capacity. */
--- a/src/core/leader/partition_choice.c
+++ b/src/core/leader/partition_choice.c
@@ -7,8 +7,8 @@
 /* Whether the machine takes one task of the job now, the job's other tasks aside. */
 static bool is_eligible(const machine_summary_t *summary, const job_spec_t *spec)
 {
-    return summary->open && (int)spec->priority >= summary->claim_priority &&
-           job_spec_allows(spec, summary->type, summary->zone, summary->spot) &&
+    return summary->is_open && (int)spec->priority >= summary->claim_priority &&
+           job_spec_allows(spec, summary->type, summary->zone, summary->is_spot) &&
            resources_fit(spec->need, summary->free);
 }
 
@@ -27,9 +27,9 @@
 /* Whether the job's other outstanding tasks admit one more in the zone. */
 static bool zone_admits(const job_t *job, const char *zone)
 {
-    if (job->spec.same_zone && has_outstanding_outside(job, zone))
+    if (job->spec.needs_same_zone && has_outstanding_outside(job, zone))
         return false;
-    if (!job->spec.spread)
+    if (!job->spec.needs_spread)
         return true;
     int count = GPOINTER_TO_INT(g_hash_table_lookup(job->zone_outstanding, zone));
     return count + 1 <= (int)((job->spec.tasks + 1) / 2);
@@ -50,7 +50,7 @@
 static machine_summary_t *choose_in_partition(const job_t *job, GArray *summaries,
                                               double *free_cpus)
 {
-    bool is_zone_bound = job->spec.same_zone || job->spec.spread;
+    bool is_zone_bound = job->spec.needs_same_zone || job->spec.needs_spread;
     double lowest = INFINITY;
     machine_summary_t *best = NULL;
     *free_cpus = 0;
@@ -96,7 +96,8 @@
     double cpus = 0;
     for (guint i = 0; summaries && i < summaries->len; i++) {
         const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, i);
-        if (summary->open && job_spec_allows(spec, summary->type, summary->zone, summary->spot))
+        if (summary->is_open &&
+            job_spec_allows(spec, summary->type, summary->zone, summary->is_spot))
             cpus += summary->total.cpus;
     }
     return cpus;
--- a/src/core/leader/placement_requests.c
+++ b/src/core/leader/placement_requests.c
@@ -36,7 +36,7 @@
 {
     if (leader->preempting_request_count >=
             tunable_value(leader->policy, TUNABLE_PREEMPTIONS_PER_ROUND) ||
-        job->spec.same_zone || job->spec.spread || job->spec.kind == KIND_GANG)
+        job->spec.needs_same_zone || job->spec.needs_spread || job->spec.kind == KIND_GANG)
         return false;
     request->preemptible_teams = preemptible_teams(leader, state);
     request->claims_guarantee =
@@ -60,7 +60,7 @@
     machine_summary_t *summary = leader_choose_summary(leader, job, &made->partition);
     if (summary) {
         resources_add(&summary->free, job->spec.need, -1);
-        if (job->spec.same_zone || job->spec.spread)
+        if (job->spec.needs_same_zone || job->spec.needs_spread)
             zone = summary->zone;
     } else {
         if (!allow_preemption(leader, state, job, &made->request))
@@ -82,8 +82,8 @@
     g_strlcpy(request->image, spec->image, sizeof request->image);
     request->types = spec->types;
     request->need = spec->need;
-    request->spot = spec->spot; /* as the operators' settings left it */
-    request->gang = spec->kind == KIND_GANG;
+    request->may_use_spot = spec->may_use_spot; /* as the operators' settings left it */
+    request->is_gang = spec->kind == KIND_GANG;
     request->priority = spec->priority;
     request->save_s = spec->save_s;
     request->checkpoint_s = spec->checkpoint_s;
--- a/src/core/membership/redirection.c
+++ b/src/core/membership/redirection.c
@@ -94,7 +94,8 @@
 {
     /* Had the answer that retained it not arrived, the worker would have waited for it and then
      * turned to another controller. */
-    if (now < worker->retained_until && now - worker->heartbeat_received_at < HEARTBEAT_ANSWERED_WITHIN_MS)
+    if (now < worker->retained_until &&
+        now - worker->heartbeat_received_at < HEARTBEAT_ANSWERED_WITHIN_MS)
         worker->answer_delivered_at = now;
     worker->worker_epoch = heartbeat->worker_epoch;
     worker->heartbeat_sequence = heartbeat->heartbeat_sequence;
--- a/src/core/partition/candidates.c
+++ b/src/core/partition/candidates.c
@@ -23,7 +23,7 @@
         return false;
     if (request->zone[0] && strcmp(request->zone, machine->zone) != 0)
         return false;
-    if (machine->is_spot && !request->spot)
+    if (machine->is_spot && !request->may_use_spot)
         return false;
     return !request->types || g_strv_contains((const char *const *)request->types, machine->type);
 }
--- a/src/core/partition/heartbeats.c
+++ b/src/core/partition/heartbeats.c
@@ -30,7 +30,7 @@
         return;
     g_strlcpy(machine->address, heartbeat->address, sizeof machine->address);
     g_strlcpy(machine->type, heartbeat->type, sizeof machine->type);
-    machine->is_spot = heartbeat->spot;
+    machine->is_spot = heartbeat->is_spot;
     partition_look_up_capacity(partition, machine);
 }
 
--- a/src/core/partition/page_record.h
+++ b/src/core/partition/page_record.h
@@ -26,7 +26,7 @@
     char address[ADDRESS_BYTES]; /**< Host and port at which its worker takes pushed commands. */
     char type[LABEL_BYTES];      /**< Name of its machine type. */
     char zone[LABEL_BYTES];      /**< Its zone. */
-    bool spot;                   /**< Whether it is a spot machine. */
+    bool is_spot;                /**< Whether it is a spot machine. */
     uint64_t worker_epoch;       /**< The worker epoch under which its attempts are recorded. */
     GArray *entries;             /**< record_entry_t; owned. */
 } machine_record_t;
--- a/src/core/partition/partition.c
+++ b/src/core/partition/partition.c
@@ -106,7 +106,7 @@
     machine_t *machine = partition_add_machine(partition, record->machine, record->zone, page, now);
     g_strlcpy(machine->address, record->address, sizeof machine->address);
     g_strlcpy(machine->type, record->type, sizeof machine->type);
-    machine->is_spot = record->spot;
+    machine->is_spot = record->is_spot;
     machine->worker_epoch = record->worker_epoch;
     partition_look_up_capacity(partition, machine);
     machine->needs_probe = true;
--- a/src/core/partition/placement_request.h
+++ b/src/core/partition/placement_request.h
@@ -15,9 +15,9 @@
     char **types;            /**< Names of the machine types that will do, null-terminated; NULL:
                                 any. Borrowed for the call. */
     resources_t need;        /**< Resources that the task takes. */
-    bool spot;               /**< Whether a spot machine will do. */
-    bool gang;               /**< Whether the job is a gang: its tasks start together or not at
-                                all. */
+    bool may_use_spot;       /**< Whether a spot machine will do. */
+    bool is_gang;            /**< Whether the job is a gang: its tasks start together or not at
+                             all. */
     priority_t priority;     /**< Priority of the job. */
     double save_s;           /**< Time that the task takes to save a checkpoint, in seconds. */
     double checkpoint_s;     /**< Interval between its checkpoints, in seconds; 0: it has none. */
--- a/src/core/partition/record_writer.c
+++ b/src/core/partition/record_writer.c
@@ -105,7 +105,7 @@
 /* The machine's record, without attempts. */
 static machine_record_t machine_record_of(const machine_t *machine)
 {
-    machine_record_t record = {.spot = machine->is_spot,
+    machine_record_t record = {.is_spot = machine->is_spot,
                                .worker_epoch = machine->worker_epoch,
                                .entries = g_array_new(FALSE, FALSE, sizeof(record_entry_t))};
     g_strlcpy(record.machine, machine->id, sizeof record.machine);
--- a/src/core/replication/summary_update.c
+++ b/src/core/replication/summary_update.c
@@ -70,8 +70,9 @@
 /* Whether the values that do not grow with the time are equal. */
 static bool are_values_equal(const machine_summary_t *expected, const machine_summary_t *current)
 {
-    return expected->spot == current->spot && expected->open == current->open &&
-           expected->draining == current->draining && expected->attempts == current->attempts &&
+    return expected->is_spot == current->is_spot && expected->is_open == current->is_open &&
+           expected->is_draining == current->is_draining &&
+           expected->attempts == current->attempts &&
            are_resources_equal(expected->total, current->total) &&
            are_resources_equal(expected->free, current->free) &&
            strcmp(expected->type, current->type) == 0 && strcmp(expected->zone, current->zone) == 0;
--- a/src/core/types.c
+++ b/src/core/types.c
@@ -37,7 +37,7 @@
 
 bool job_spec_allows(const job_spec_t *spec, const char *type, const char *zone, bool spot)
 {
-    if (spot && !spec->spot)
+    if (spot && !spec->may_use_spot)
         return false;
     if (spec->zone[0] && strcmp(spec->zone, zone) != 0)
         return false;
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -51,9 +51,9 @@
     priority_t priority;          /**< Its priority. */
     uint32_t tasks;               /**< Number of tasks, 1 to TASKS_MAX_COUNT. */
     resources_t need;             /**< Resources of one task. */
-    bool same_zone;               /**< All tasks that run at a time are in one zone. */
-    bool spread;                  /**< At most half of the tasks, rounded up, are in one zone. */
-    bool spot;                    /**< Its tasks may run on spot machines. */
+    bool needs_same_zone;         /**< All tasks that run at a time are in one zone. */
+    bool needs_spread;            /**< At most half of the tasks, rounded up, are in one zone. */
+    bool may_use_spot;            /**< Its tasks may run on spot machines. */
     double image_gb;              /**< Size of the image in GB. */
     double estimate_s;            /**< Expected run time of a task in seconds. */
     double checkpoint_s;          /**< Seconds between a task's checkpoints; 0: it makes none. */
@@ -98,7 +98,7 @@
     char address[ADDRESS_BYTES]; /**< Where the worker takes commands, "host:port". */
     char type[LABEL_BYTES];      /**< The machine type's name. */
     char zone[LABEL_BYTES];      /**< The machine's zone. */
-    bool spot;                   /**< It is a spot machine. */
+    bool is_spot;                /**< It is a spot machine. */
     uint64_t worker_epoch;       /**< Grows each time the worker starts anew. */
     uint64_t heartbeat_sequence; /**< Number of the heartbeat within the worker epoch. */
     uint64_t fencing_token;      /**< The highest view number that the worker has received. */
--- a/src/io/codec/cloud.c
+++ b/src/io/codec/cloud.c
@@ -61,7 +61,7 @@
         return false;
     codec_get_text(value, "Hull", host->type, sizeof host->type, NULL);
     codec_get_text(value, "Dock", host->zone, sizeof host->zone, NULL);
-    codec_get_flag(value, "Driftwood", &host->spot, NULL);
+    codec_get_flag(value, "Driftwood", &host->is_spot, NULL);
     codec_get_choice(value, "Trim", states, G_N_ELEMENTS(states), &state, NULL);
     host->state = (host_state_t)state;
     host->age_s = json_number_value(json_object_get(value, "HeldS"));
--- a/src/io/codec/codec.h
+++ b/src/io/codec/codec.h
@@ -84,7 +84,7 @@
     char machine[ID_BYTES]; /**< The machine's id. */
     char type[LABEL_BYTES]; /**< Name of its machine type. */
     char zone[LABEL_BYTES]; /**< Its zone. */
-    bool spot;              /**< Whether it is a spot machine. */
+    bool is_spot;           /**< Whether it is a spot machine. */
     host_state_t state;     /**< Its state. */
     double age_s;           /**< Seconds since it was requested. */
 } host_t;
--- a/src/io/codec/jobs.c
+++ b/src/io/codec/jobs.c
@@ -108,9 +108,9 @@
 static bool get_constraints(const json_t *body, job_spec_t *spec, GError **error)
 {
     return codec_get_optional_text(body, "Dock", spec->zone, sizeof spec->zone, error) &&
-           codec_get_flag(body, "SamePlace", &spec->same_zone, error) &&
-           codec_get_flag(body, "Apart", &spec->spread, error) &&
-           codec_get_flag(body, "Driftwood", &spec->spot, error);
+           codec_get_flag(body, "SamePlace", &spec->needs_same_zone, error) &&
+           codec_get_flag(body, "Apart", &spec->needs_spread, error) &&
+           codec_get_flag(body, "Driftwood", &spec->may_use_spot, error);
 }
 
 static bool get_times(const json_t *body, job_spec_t *spec, GError **error)
@@ -179,10 +179,11 @@
         kind_names[spec->kind], "Urgency", priority_names[spec->priority], "Pieces",
         (json_int_t)spec->tasks, "Cpus", spec->need.cpus, "Accelerators", spec->need.gpus, "MemGb",
         spec->need.memory, "Cargo", spec->image, "ImageGb", spec->image_gb, "Hulls", types, "Dock",
-        spec->zone[0] ? spec->zone : NULL, "SamePlace", spec->same_zone, "Apart", spec->spread,
-        "Driftwood", spec->spot, "HaulS", spec->estimate_s, "KnotS", spec->checkpoint_s, "StowS",
-        spec->save_s, "TideS", spec->deadline_s > 0 ? json_real(spec->deadline_s) : json_null(),
-        "At", (json_int_t)spec->submitted_ms);
+        spec->zone[0] ? spec->zone : NULL, "SamePlace", spec->needs_same_zone, "Apart",
+        spec->needs_spread, "Driftwood", spec->may_use_spot, "HaulS", spec->estimate_s, "KnotS",
+        spec->checkpoint_s, "StowS", spec->save_s, "TideS",
+        spec->deadline_s > 0 ? json_real(spec->deadline_s) : json_null(), "At",
+        (json_int_t)spec->submitted_ms);
 }
 
 json_t *codec_build_status(const char *id, const char *state, uint32_t done, uint32_t running)
--- a/src/io/codec/stored_values.c
+++ b/src/io/codec/stored_values.c
@@ -36,7 +36,7 @@
     }
     return json_pack("{s:s,s:I,s:s,s:s,s:s,s:b,s:o}", "Id", record->machine, "Session",
                      (json_int_t)record->worker_epoch, "Address", record->address, "Type",
-                     record->type, "Zone", record->zone, "Spot", record->spot, "Tasks", tasks);
+                     record->type, "Zone", record->zone, "Spot", record->is_spot, "Tasks", tasks);
 }
 
 json_t *codec_build_record(const page_record_t *record)
@@ -116,7 +116,7 @@
            codec_get_text(value, "Address", record->address, sizeof record->address, error) &&
            codec_get_text(value, "Type", record->type, sizeof record->type, error) &&
            codec_get_text(value, "Zone", record->zone, sizeof record->zone, error) &&
-           codec_get_flag(value, "Spot", &record->spot, error) &&
+           codec_get_flag(value, "Spot", &record->is_spot, error) &&
            codec_get_count(value, "Session", 0, G_MAXINT64, &record->worker_epoch, error);
 }
 
--- a/src/io/codec/worker_heartbeats.c
+++ b/src/io/codec/worker_heartbeats.c
@@ -104,7 +104,7 @@
     case FIELD_ZONE:
         return value_read_text(value, name, heartbeat->zone, sizeof heartbeat->zone, error);
     case FIELD_SPOT:
-        return value_read_flag(value, name, &heartbeat->spot, error);
+        return value_read_flag(value, name, &heartbeat->is_spot, error);
     case FIELD_WORKER_EPOCH:
         return value_read_count(value, name, &heartbeat->worker_epoch, error);
     case FIELD_HEARTBEAT_SEQUENCE:
--- a/src/io/peer_wire.c
+++ b/src/io/peer_wire.c
@@ -40,8 +40,8 @@
         .zone = (char *)request->zone,
         .any_type = request->types == NULL,
         .need = encode_resources(request->need),
-        .spot = request->spot,
-        .gang = request->gang,
+        .spot = request->may_use_spot,
+        .gang = request->is_gang,
         .priority = request->priority,
         .save_s = request->save_s,
         .checkpoint_s = request->checkpoint_s,
@@ -67,8 +67,8 @@
 {
     *request = (placement_request_t){
         .need = decode_resources(&from->need),
-        .spot = from->spot,
-        .gang = from->gang,
+        .may_use_spot = from->spot,
+        .is_gang = from->gang,
         .priority = (priority_t)MIN(from->priority, PRIORITY_CRITICAL),
         .save_s = from->save_s,
         .checkpoint_s = from->checkpoint_s,
@@ -152,9 +152,9 @@
         .machine = (char *)summary->machine,
         .type = (char *)summary->type,
         .zone = (char *)summary->zone,
-        .spot = summary->spot,
-        .open = summary->open,
-        .draining = summary->draining,
+        .spot = summary->is_spot,
+        .open = summary->is_open,
+        .draining = summary->is_draining,
         .total = encode_resources(summary->total),
         .free = encode_resources(summary->free),
         .attempts = summary->attempts,
@@ -167,9 +167,9 @@
 void peer_wire_decode_summary(const wire_machine_summary *from, machine_summary_t *summary)
 {
     *summary = (machine_summary_t){
-        .spot = from->spot,
-        .open = from->open,
-        .draining = from->draining,
+        .is_spot = from->spot,
+        .is_open = from->open,
+        .is_draining = from->draining,
         .total = decode_resources(&from->total),
         .free = decode_resources(&from->free),
         .attempts = from->attempts,
--- a/tests/core/autoscaler/test_autoscaler.c
+++ b/tests/core/autoscaler/test_autoscaler.c
@@ -18,7 +18,7 @@
 /* The cloud has no spot machines. */
 static void record_spot_refusal(autoscaler_t *autoscaler)
 {
-    scale_out_request_t refused = {.type = "t", .zone = "zone-a", .spot = true};
+    scale_out_request_t refused = {.type = "t", .zone = "zone-a", .is_spot = true};
     autoscaler_record_refusal(autoscaler, &refused, G_MAXINT64);
 }
 
@@ -27,7 +27,7 @@
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
     for (guint i = 0; i < machines; i++) {
         machine_summary_t summary = {
-            .type = "t", .zone = "zone-a", .open = open, .silent_ms = silent_ms};
+            .type = "t", .zone = "zone-a", .is_open = open, .silent_ms = silent_ms};
         g_snprintf(summary.machine, sizeof summary.machine, "m-%06u", i);
         g_array_append_val(summaries, summary);
     }
@@ -49,7 +49,7 @@
 {
     g_autoptr(GArray) machine_types = machine_types_new();
     job_spec_t spec = make_job("j-000001", "team-c", 50);
-    spec.spot = may_use_spot;
+    spec.may_use_spot = may_use_spot;
     lead_with_unguaranteed_team(fixture);
     add_job(fixture, &spec);
     autoscaler_t *autoscaler = autoscaler_new();
@@ -75,7 +75,7 @@
 {
     scale_out_request_t request;
     assert_true(next_scale_out(*state, false, 0, 0, &request));
-    assert_false(request.spot);
+    assert_false(request.is_spot);
 }
 
 /* Ten spot machines exist, no more are to be had, and so many tasks wait: the number of on-demand
@@ -84,21 +84,21 @@
 {
     g_autoptr(GArray) machine_types = machine_types_new();
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
-    machine_summary_t summary = {.type = "t", .zone = "zone-a", .open = true, .spot = true};
+    machine_summary_t summary = {.type = "t", .zone = "zone-a", .is_open = true, .is_spot = true};
     summary.total = machine_type.capacity;
     for (guint i = 0; i < 10; i++)
         g_array_append_val(summaries, summary);
     replace_leader(fixture, 1, 0);
     leader_set_summaries(fixture->leader, 0, summaries);
     job_spec_t spec = make_job("j-000001", "team-c", tasks);
-    spec.spot = true;
+    spec.may_use_spot = true;
     add_job(fixture, &spec);
     autoscaler_t *autoscaler = autoscaler_new();
     record_spot_refusal(autoscaler);
     scale_out_request_t request;
     bool is_scaling_out =
         autoscaler_next_scale_out(autoscaler, fixture->leader, machine_types, 1000, 2000, &request);
-    assert_true(!is_scaling_out || !request.spot);
+    assert_true(!is_scaling_out || !request.is_spot);
     autoscaler_free(autoscaler);
     return is_scaling_out ? request.count : 0;
 }
--- a/tests/core/leader/test_placement_requests.c
+++ b/tests/core/leader/test_placement_requests.c
@@ -33,7 +33,7 @@
 {
     leader_fixture_t *fixture = *state;
     job_spec_t spec = make_job("j-000001", "team-b", 3);
-    spec.same_zone = true;
+    spec.needs_same_zone = true;
     set_idle_machine(fixture, 0, "zone-a", 2);
     set_idle_machine(fixture, 1, "zone-b", 3);
     add_job(fixture, &spec);
@@ -46,7 +46,7 @@
 {
     leader_fixture_t *fixture = *state;
     job_spec_t spec = make_job("j-000001", "team-b", 5);
-    spec.spread = true;
+    spec.needs_spread = true;
     set_idle_machine(fixture, 0, "zone-a", 100);
     add_job(fixture, &spec);
     assert_int_equal(schedule_count(fixture), 3);
@@ -59,8 +59,8 @@
     leader_fixture_t *fixture = *state;
     job_spec_t same_zone = make_job("j-000001", "team-b", 2);
     job_spec_t spread = make_job("j-000002", "team-b", 3);
-    same_zone.same_zone = true;
-    spread.spread = true;
+    same_zone.needs_same_zone = true;
+    spread.needs_spread = true;
     add_job(fixture, &same_zone);
     add_job(fixture, &spread);
     record_entry_t bound = make_record_entry("j-000001", "team-b", 0, 9);
--- a/tests/core/replication/test_summary_update.c
+++ b/tests/core/replication/test_summary_update.c
@@ -15,7 +15,7 @@
 
 static machine_summary_t summary_of(guint number)
 {
-    machine_summary_t summary = {.open = true, .total = {16, 0, 64}, .free = {16, 0, 64}};
+    machine_summary_t summary = {.is_open = true, .total = {16, 0, 64}, .free = {16, 0, 64}};
     g_snprintf(summary.machine, sizeof summary.machine, "m-%06u", number);
     g_strlcpy(summary.type, "t16", sizeof summary.type);
     g_strlcpy(summary.zone, "zone-a", sizeof summary.zone);
@@ -48,7 +48,7 @@
         machine_summary_t *summary = &g_array_index(fixture->current, machine_summary_t, i);
         summary->known_ms += ms;
         summary->idle_ms = summary->attempts ? 0 : summary->idle_ms + ms;
-        summary->silent_ms += summary->open ? 0 : ms;
+        summary->silent_ms += summary->is_open ? 0 : ms;
     }
 }
 
@@ -95,8 +95,8 @@
         const machine_summary_t *summary = machine_at(fixture, i);
         const machine_summary_t *known = find_summary(fixture->replica.summaries, summary->machine);
         assert_non_null(known);
-        assert_int_equal(known->open, summary->open);
-        assert_int_equal(known->draining, summary->draining);
+        assert_int_equal(known->is_open, summary->is_open);
+        assert_int_equal(known->is_draining, summary->is_draining);
         assert_int_equal(known->attempts, summary->attempts);
         assert_true(known->free.cpus == summary->free.cpus);
         assert_true(known->free.memory == summary->free.memory);
@@ -147,13 +147,13 @@
     (void)state;
     fixture_t fixture = fixture_new(5);
     exchange(&fixture, true, true);
-    machine_at(&fixture, 2)->open = false;
+    machine_at(&fixture, 2)->is_open = false;
     for (guint i = 0; i < 30; i++) {
         advance(&fixture, 700);
         exchange(&fixture, true, true);
         assert_replica_is_current(&fixture);
     }
-    machine_at(&fixture, 2)->open = true;
+    machine_at(&fixture, 2)->is_open = true;
     machine_at(&fixture, 2)->silent_ms = 0;
     assert_int_equal(exchange(&fixture, true, true), 1);
     assert_replica_is_current(&fixture);
@@ -171,7 +171,7 @@
         g_array_remove_index(fixture->current, at);
     } else if (at < fixture->current->len) {
         machine_summary_t *summary = machine_at(fixture, at);
-        summary->open = kind != 2;
+        summary->is_open = kind != 2;
         summary->silent_ms = 0;
         summary->attempts = (guint)g_rand_int_range(random, 0, 3);
         summary->free.cpus = g_rand_int_range(random, 0, 16);
--- a/tests/io/codec/test_codec.c
+++ b/tests/io/codec/test_codec.c
@@ -97,7 +97,7 @@
     assert_string_equal(again.types[1], "g4");
     assert_int_equal(again.submitted_ms, 1234567);
     assert_int_equal(again.priority, PRIORITY_HIGH);
-    assert_true(again.deadline_s > 899 && again.same_zone && !again.spread);
+    assert_true(again.deadline_s > 899 && again.needs_same_zone && !again.needs_spread);
     job_spec_clear(&spec);
     job_spec_clear(&again);
     json_decref(stored);
--- a/tests/io/codec/test_encoding_samples.c
+++ b/tests/io/codec/test_encoding_samples.c
@@ -38,7 +38,7 @@
     assert_int_equal(spec->priority, PRIORITY_HIGH);
     assert_int_equal(spec->tasks, 16);
     assert_true(spec->need.cpus == 8.5 && spec->need.gpus == 1 && spec->need.memory == 64);
-    assert_true(spec->same_zone && !spec->spread && spec->spot);
+    assert_true(spec->needs_same_zone && !spec->needs_spread && spec->may_use_spot);
     assert_true(spec->image_gb == 6.25 && spec->estimate_s == 240.5 && spec->checkpoint_s == 30);
     assert_true(spec->save_s == 4 && spec->deadline_s == 900);
 }
@@ -85,7 +85,7 @@
                            .priority = (priority_t)priority,
                            .tasks = 1,
                            .need = {1, 0, 0.123456789},
-                           .spread = true};
+                           .needs_spread = true};
         json_array_append_new(jobs, codec_build_job(&spec));
     }
     assert_json_is_sample("jobs_stored.json", jobs);
@@ -101,7 +101,7 @@
         assert_true(codec_parse_job(json_array_get(jobs, (size_t)priority), true, &spec, NULL));
         assert_int_equal(spec.priority, priority);
         assert_int_equal(spec.kind, priority % (KIND_SERVICE + 1));
-        assert_true(spec.spread && !spec.types && !spec.zone[0] && spec.deadline_s == 0);
+        assert_true(spec.needs_spread && !spec.types && !spec.zone[0] && spec.deadline_s == 0);
         job_spec_clear(&spec);
     }
     json_decref(jobs);
@@ -126,7 +126,7 @@
     assert_string_equal(heartbeat.address, "10.1.0.232:9000");
     assert_string_equal(heartbeat.type, "g8");
     assert_string_equal(heartbeat.zone, "north");
-    assert_true(heartbeat.spot && heartbeat.interruption_in_s == 12.5);
+    assert_true(heartbeat.is_spot && heartbeat.interruption_in_s == 12.5);
     assert_int_equal(heartbeat.worker_epoch, 31);
     assert_int_equal(heartbeat.heartbeat_sequence, 88);
     assert_int_equal(heartbeat.fencing_token, 41);
@@ -207,7 +207,7 @@
         assert_string_equal(host->machine, expected[i].machine);
         assert_string_equal(host->type, expected[i].type);
         assert_string_equal(host->zone, expected[i].zone);
-        assert_int_equal(host->spot, expected[i].spot);
+        assert_int_equal(host->spot, expected[i].is_spot);
         assert_int_equal(host->state, expected[i].state);
         assert_true(host->age_s == expected[i].age_s);
     }
@@ -258,7 +258,7 @@
     assert_string_equal(machines[1].machine, "m-000063");
     assert_string_equal(machines[0].address, "10.1.0.1:9000");
     assert_string_equal(machines[0].type, "g8");
-    assert_true(machines[0].spot && !machines[1].spot && machines[0].worker_epoch == 31);
+    assert_true(machines[0].is_spot && !machines[1].is_spot && machines[0].worker_epoch == 31);
     assert_int_equal(machines[0].entries->len, 3);
     const record_entry_t *entries = &g_array_index(machines[0].entries, record_entry_t, 0);
     assert_string_equal(entries[0].job, "j-000412");
--- a/tests/io/test_message_samples.c
+++ b/tests/io/test_message_samples.c
@@ -48,8 +48,8 @@
                                        .image = "img-07",
                                        .zone = "north",
                                        .need = {8.5, 1, 64},
-                                       .spot = true,
-                                       .gang = any_type,
+                                       .may_use_spot = true,
+                                       .is_gang = any_type,
                                        .priority = PRIORITY_HIGH,
                                        .save_s = 4,
                                        .checkpoint_s = 30,
@@ -131,7 +131,7 @@
     assert_null(request->types[2]);
     assert_null(items[1].request.types);
     assert_true(request->need.cpus == 8.5 && request->need.gpus == 1 && request->need.memory == 64);
-    assert_true(request->spot && !request->gang && items[1].request.gang);
+    assert_true(request->may_use_spot && !request->is_gang && items[1].request.is_gang);
     assert_int_equal(request->priority, PRIORITY_HIGH);
     assert_true(request->save_s == 4 && request->checkpoint_s == 30);
     assert_int_equal(request->job_revision, 61);
@@ -263,8 +263,8 @@
     assert_string_equal(summaries[0].machine, "m-000001");
     assert_string_equal(summaries[0].type, "g8");
     assert_string_equal(summaries[0].zone, "north");
-    assert_true(summaries[0].spot && !summaries[0].open && summaries[0].draining);
-    assert_true(!summaries[1].spot && summaries[1].open && !summaries[1].draining);
+    assert_true(summaries[0].is_spot && !summaries[0].is_open && summaries[0].is_draining);
+    assert_true(!summaries[1].is_spot && summaries[1].is_open && !summaries[1].is_draining);
     assert_true(summaries[0].total.cpus == 8.5 && summaries[0].free.cpus == 4.5);
     assert_true(summaries[0].total.gpus == 1 && summaries[0].free.gpus == 0.5);
     assert_true(summaries[0].total.memory == 64 && summaries[0].free.memory == 32);
