--- a/tests/io/codec/test_encoding_samples.c
+++ b/tests/io/codec/test_encoding_samples.c
@@ -207,7 +207,7 @@
         assert_string_equal(host->machine, expected[i].machine);
         assert_string_equal(host->type, expected[i].type);
         assert_string_equal(host->zone, expected[i].zone);
-        assert_int_equal(host->spot, expected[i].is_spot);
+        assert_int_equal(host->is_spot, expected[i].is_spot);
         assert_int_equal(host->state, expected[i].state);
         assert_true(host->age_s == expected[i].age_s);
     }
