--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -83,7 +83,7 @@
 static int serve(const arguments_t *arguments)
 {
     g_autoptr(GError) error = NULL;
-    if (!log_set_level(g_getenv("LOG_LEVEL"))) {
+    if (!log_start(g_getenv("LOG_LEVEL"))) {
         fputs("pepperpulley: LOG_LEVEL: error, info or debug is expected\n", stderr);
         return EXIT_USAGE;
     }
--- a/src/io/log.c
+++ b/src/io/log.c
@@ -1,24 +1,44 @@
-/* Events on standard error. */
+/* Events on standard error, through GLib's structured logging. */
 #include "io/log.h"
 
 #include <stdarg.h>
 #include <stdio.h>
 #include <string.h>
 
+#include <glib.h>
+
 #include "constants.h"
 
 static const char *const level_names[] = {
     [LOG_LEVEL_ERROR] = "error", [LOG_LEVEL_INFO] = "info", [LOG_LEVEL_DEBUG] = "debug"};
 
+/* An error is critical to GLib: its own G_LOG_LEVEL_ERROR ends the process. */
+static const GLogLevelFlags glib_levels[] = {[LOG_LEVEL_ERROR] = G_LOG_LEVEL_CRITICAL,
+                                             [LOG_LEVEL_INFO] = G_LOG_LEVEL_INFO,
+                                             [LOG_LEVEL_DEBUG] = G_LOG_LEVEL_DEBUG};
+
 /* Set before any other thread starts, only read afterwards. */
 static log_level_t enabled_level = LOG_LEVEL_INFO;
 
-bool log_set_level(const char *word)
+/* Writes a line of ours, whose only field is the finished text. What GLib and other libraries log
+ * themselves has more fields, and goes where it goes without us. */
+static GLogWriterOutput write_line(GLogLevelFlags level, const GLogField *fields, gsize count,
+                                   gpointer data)
 {
-    if (!word || !*word)
+    if (count != 1 || strcmp(fields[0].key, "MESSAGE") != 0)
+        return g_log_writer_default(level, fields, count, data);
+    /* A single call, so that lines of several threads are not interleaved. */
+    fprintf(stderr, "%s\n", (const char *)fields[0].value);
+    return G_LOG_WRITER_HANDLED;
+}
+
+bool log_start(const char *level_name)
+{
+    g_log_set_writer_func(write_line, NULL, NULL);
+    if (!level_name || !*level_name)
         return true;
     for (int i = LOG_LEVEL_ERROR; i <= LOG_LEVEL_DEBUG; i++) {
-        if (strcmp(word, level_names[i]) == 0) {
+        if (strcmp(level_name, level_names[i]) == 0) {
             enabled_level = (log_level_t)i;
             return true;
         }
@@ -36,6 +56,6 @@
     va_start(args, format);
     vsnprintf(line + used, sizeof line - (size_t)used - 1, format, args);
     va_end(args);
-    /* A single call, so that lines of several threads are not interleaved. */
-    fprintf(stderr, "%s\n", line);
+    const GLogField field = {"MESSAGE", line, -1};
+    g_log_structured_array(glib_levels[level], &field, 1);
 }
--- a/src/io/log.h
+++ b/src/io/log.h
@@ -1,10 +1,10 @@
 /** @file
- * The log: events on standard error, one a line, as key=value pairs. The level is set once, before
- * other threads start; writing is thread-safe and lines are not interleaved.
+ * The log: events on standard error, one a line, as key=value pairs, through GLib's structured
+ * logging. The level is set once, before other threads start; writing is thread-safe and lines are
+ * not interleaved.
  *
- * GLib's structured logging (g_log_structured) is not used: it formats a message before its writer
- * can drop it. In a trial a line at a level that is not enabled took 0.5 us with it and 0.002 us
- * here; a line that is written took 0.5 us with either.
+ * The level is checked before GLib is called, since g_log_structured() formats a message before its
+ * writer can drop it.
  */
 #ifndef PEPPERPULLEY_LOG_H
 #define PEPPERPULLEY_LOG_H
@@ -18,9 +18,11 @@
     LOG_LEVEL_DEBUG  /**< Details, for the search for a fault. */
 } log_level_t;
 
-/** Sets the level from the value of LOG_LEVEL: error, info or debug. NULL and the empty text leave
- * it as it is (info). Returns false for an unknown word. */
-bool log_set_level(const char *word);
+/** Starts the log at a level: error, info or debug, as the variable LOG_LEVEL names it. NULL and
+ * the empty text mean info. Called once, before other threads start. Returns false for an unknown
+ * word.
+ */
+bool log_start(const char *level_name);
 
 /** Writes a line, if @p level is enabled; a line above LOG_LINE_BYTES is truncated. */
 void log_write(log_level_t level, const char *format, ...) __attribute__((format(printf, 2, 3)));
