--- a/tests/controller/controller_fixture.c
+++ b/tests/controller/controller_fixture.c
@@ -7,6 +7,7 @@
 
 #include "controller/startup.h"
 #include "free_port.h"
+#include "io/log.h"
 
 enum { REQUEST_TIMEOUT_MS = 10000, POLLS_BETWEEN_HEARTBEATS = 10 };
 
@@ -111,6 +112,7 @@
     if (signal(SIGPIPE, SIG_IGN) == SIG_ERR)
         abort();
     http_start();
+    log_start(NULL);
     int failed = _cmocka_run_group_tests(name, tests, count, NULL, NULL);
     if (fflush(NULL) != 0)
         abort();
--- a/tests/core/partition/test_partition_placement.c
+++ b/tests/core/partition/test_partition_placement.c
@@ -172,8 +172,9 @@
     exchange_heartbeat(fixture);
     partition_set_draining(fixture->partition, "m-000001", true);
     partition_t *earlier = fixture->partition;
-    fixture->partition = partition_fixture_partition(fixture, 8);
+    fixture->partition = partition_fixture_partition(fixture, 0);
     partition_inherit_drains(fixture->partition, earlier);
+    partition_set_view(fixture->partition, 8);
     partition_free(earlier);
     load_page_record(fixture);
     fixture->worker->fencing_token = 8;
