--- a/src/controller/api/health.c
+++ b/src/controller/api/health.c
@@ -4,6 +4,7 @@
 #include "controller/controller.h"
 #include "controller/worker_lease.h"
 #include "io/clock.h"
+#include "io/codec/codec.h"
 
 static bool is_isolated_locked(const controller_t *controller)
 {
@@ -31,5 +32,5 @@
     pthread_mutex_unlock(&controller->lock);
     if (!is_ready)
         return api_refuse(HTTP_UNAVAILABLE, "starting", 1);
-    return api_reply_json(HTTP_OK, json_pack("{s:b}", "ready", 1));
+    return api_reply_json(HTTP_OK, codec_build_ready());
 }
--- a/src/controller/api/reply.c
+++ b/src/controller/api/reply.c
@@ -3,6 +3,7 @@
 
 #include <stdlib.h>
 
+#include "io/codec/codec.h"
 #include "io/http_client.h"
 
 reply_t api_reply_json(unsigned status, json_t *body)
@@ -23,7 +24,7 @@
 
 reply_t api_refuse(unsigned status, const char *why, unsigned retry_after_s)
 {
-    reply_t reply = api_reply_json(status, json_pack("{s:s}", "error", why));
+    reply_t reply = api_reply_json(status, codec_build_error(why));
     reply.retry_after_s = retry_after_s;
     return reply;
 }
--- a/src/controller/api/worker_heartbeats.c
+++ b/src/controller/api/worker_heartbeats.c
@@ -56,7 +56,7 @@
     case REDIRECTION_DUPLICATE:
         return api_refuse(HTTP_UNAVAILABLE, "an old report", 0);
     case REDIRECTION_TO_OWNER:
-        return api_reply_json(HTTP_MISDIRECTED, json_pack("{s:s}", "Bosun", owner->name));
+        return api_reply_json(HTTP_MISDIRECTED, codec_build_redirect(owner->name));
     case REDIRECTION_RETAINED:
     case REDIRECTION_UNVERIFIED:
         break;
--- a/src/controller/autoscaler/retained_workers.c
+++ b/src/controller/autoscaler/retained_workers.c
@@ -2,16 +2,15 @@
 #include "controller/autoscaler/retained_workers.h"
 
 #include "io/clock.h"
+#include "io/codec/codec.h"
 
-static void add_machines(GHashTable *retained, const json_t *machines)
+/* Adds to `retained` the machines of one controller's list, the value of its key. */
+static void add_machines(GHashTable *retained, const json_t *value)
 {
-    size_t i;
-    json_t *machine;
-    json_array_foreach(machines, i, machine)
-    {
-        if (json_is_string(machine))
-            g_hash_table_add(retained, g_strdup(json_string_value(machine)));
-    }
+    /* of const char *, borrowed from the value */
+    g_autoptr(GPtrArray) machines = codec_parse_retained(value);
+    for (guint i = 0; i < machines->len; i++)
+        g_hash_table_add(retained, g_strdup(g_ptr_array_index(machines, i)));
 }
 
 GHashTable *retained_workers_read(cloud_context_t *context)
@@ -25,8 +24,8 @@
     int64_t day_ms = clock_day();
     for (guint i = 0; i < entries->len; i++) {
         const json_t *value = g_array_index(entries, kv_entry_t, i).value;
-        if (day_ms - json_integer_value(json_object_get(value, "At")) <= RETAINED_FRESH_MS)
-            add_machines(retained, json_object_get(value, "Machines"));
+        if (day_ms - codec_get_retained_at(value) <= RETAINED_FRESH_MS)
+            add_machines(retained, value);
     }
     /* Our own entry there is seconds old. */
     pthread_mutex_lock(&controller->lock);
@@ -35,23 +34,20 @@
     return g_steal_pointer(&retained);
 }
 
-/* The ids of this controller's retained workers; transfer full. */
-static json_t *own_retained_machines(controller_t *controller, msec_t now)
+/* The machines of this controller's retained workers: array of char *; transfer full. */
+static GPtrArray *own_retained_machines(controller_t *controller, msec_t now)
 {
-    json_t *machines = json_array();
     pthread_mutex_lock(&controller->lock);
-    g_autoptr(GPtrArray) retained = redirection_retained(controller->membership.redirection, now);
+    GPtrArray *machines = redirection_retained(controller->membership.redirection, now);
     pthread_mutex_unlock(&controller->lock);
-    for (guint i = 0; i < retained->len; i++)
-        json_array_append_new(machines, json_string(g_ptr_array_index(retained, i)));
     return machines;
 }
 
 void retained_workers_publish(cloud_context_t *context, msec_t now)
 {
     controller_t *controller = context->controller;
-    json_auto_t *machines = own_retained_machines(controller, now);
-    guint count = (guint)json_array_size(machines);
+    g_autoptr(GPtrArray) machines = own_retained_machines(controller, now);
+    guint count = machines->len;
     bool has_grown = count > context->retained_count;
     msec_t gap_ms = has_grown ? RETAINED_GROWN_GAP_MS : RETAINED_WRITE_GAP_MS;
     if (count == 0 || now - context->retained_written_at <= gap_ms)
@@ -60,8 +56,7 @@
     char key[URL_BYTES];
     kv_txn_t txn = kv_txn_new();
     g_snprintf(key, sizeof key, "kept/%s", controller->settings->name);
-    kv_txn_put(&txn, key,
-               json_pack("{s:I,s:O}", "At", (json_int_t)clock_day(), "Machines", machines), 0);
+    kv_txn_put(&txn, key, codec_build_retained(clock_day(), machines), 0);
     rate_limiter_charge(&controller->core_request_limiter, 1, now);
     kv_commit(&controller->kv_store, context->http_client, &txn, KV_TIMEOUT_MS, NULL, NULL);
     kv_txn_free(&txn);
--- a/src/controller/autoscaler/scale_out.c
+++ b/src/controller/autoscaler/scale_out.c
@@ -81,27 +81,24 @@
 {
     controller_t *controller = context->controller;
     const scale_out_request_t *request = &context->pending_scale_out.request;
-    const json_t *machines = json_object_get(answer, "Winches");
-    size_t i;
-    json_t *machine;
+    gsize accepted_count;
+    /* of const char *, borrowed from the answer */
+    g_autoptr(GPtrArray) machines = codec_parse_scale_out_answer(answer, &accepted_count);
     pthread_mutex_lock(&controller->lock);
     msec_t now = clock_steady();
     if (cloud_context_may_act(controller)) {
-        json_array_foreach(machines, i, machine)
-        {
-            if (json_is_string(machine))
-                autoscaler_add_booting(controller->autoscaler, json_string_value(machine),
-                                       request->type, request->zone, request->is_spot, now);
-        }
-        if (json_array_size(machines) < request->count)
+        for (guint i = 0; i < machines->len; i++)
+            autoscaler_add_booting(controller->autoscaler, g_ptr_array_index(machines, i),
+                                   request->type, request->zone, request->is_spot, now);
+        if (accepted_count < request->count)
             autoscaler_record_refusal(controller->autoscaler, request, now + CAPACITY_RETRY_MS);
     }
     pthread_mutex_unlock(&controller->lock);
-    metrics_count(controller->metrics, COUNT_SCALED_OUT, json_array_size(machines));
+    metrics_count(controller->metrics, COUNT_SCALED_OUT, accepted_count);
     log_info(
         "event=scaled_out idempotency_key=%s type=%s zone=%s spot=%d requested=%u accepted=%zu",
         context->pending_scale_out.idempotency_key, request->type, request->zone, request->is_spot,
-        request->count, json_array_size(machines));
+        request->count, accepted_count);
 }
 
 static void handle_refused(cloud_context_t *context, int status)
@@ -119,9 +116,8 @@
 
 static bool is_refusal(int status, const json_t *answer)
 {
-    const char *error = json_string_value(json_object_get(answer, "error"));
     return status == HTTP_BAD_REQUEST ||
-           (status == HTTP_UNAVAILABLE && g_strcmp0(error, "no capacity") == 0);
+           (status == HTTP_UNAVAILABLE && codec_is_no_capacity(answer));
 }
 
 bool scale_out_run(cloud_context_t *context)
--- a/src/controller/membership/view_store.c
+++ b/src/controller/membership/view_store.c
@@ -1,6 +1,5 @@
 #include "controller/membership/view_store.h"
 
-#include "controller/membership/view_codec.h"
 #include "io/clock.h"
 #include "io/codec/codec.h"
 
@@ -11,7 +10,7 @@
     rate_limiter_charge(&controller->core_request_limiter, 1, clock_steady());
     kv_result_t result =
         kv_get(&controller->kv_store, client, "view/number", KV_TIMEOUT_MS, &entry);
-    if (result == KV_OK && view_parse(entry.value, entry.revision, &view)) {
+    if (result == KV_OK && codec_parse_view(entry.value, entry.revision, &view)) {
         pthread_mutex_lock(&controller->lock);
         membership_install_view(controller, &view);
         pthread_mutex_unlock(&controller->lock);
@@ -25,7 +24,7 @@
 {
     kv_txn_t txn = kv_txn_new();
     kv_txn_require_revision(&txn, "view/number", revision);
-    kv_txn_put(&txn, "view/number", view_build(next), 0);
+    kv_txn_put(&txn, "view/number", codec_build_view(next), 0);
     if (lease) {
         member_t holder = {.incarnation = next->incarnation};
         g_strlcpy(holder.name, next->leader, sizeof holder.name);
--- a/src/controller/membership/view_watch.c
+++ b/src/controller/membership/view_watch.c
@@ -4,31 +4,30 @@
 
 #include "controller/controller.h"
 #include "controller/kv_watch_loop.h"
-#include "controller/membership/view_codec.h"
 #include "io/clock.h"
+#include "io/codec/codec.h"
 
 static const char members_prefix[] = "view/members/";
 
 static void apply_view(controller_t *controller, const kv_entry_t *entry)
 {
     view_t view;
-    if (entry->value && view_parse(entry->value, entry->revision, &view))
+    if (entry->value && codec_parse_view(entry->value, entry->revision, &view))
         membership_install_view(controller, &view);
 }
 
 static void apply_lease(controller_t *controller, const kv_entry_t *entry)
 {
-    const char *holder = json_string_value(json_object_get(entry->value, "Name"));
-    json_int_t incarnation = json_integer_value(json_object_get(entry->value, "Incarnation"));
-    election_record_lease(&controller->membership.election, holder, (uint64_t)incarnation,
-                          entry->revision);
+    uint64_t incarnation;
+    const char *holder = codec_parse_lease(entry->value, &incarnation);
+    election_record_lease(&controller->membership.election, holder, incarnation, entry->revision);
 }
 
 static void apply_member(controller_t *controller, const kv_entry_t *entry)
 {
     member_t member = {0};
     const char *name = entry->key + strlen(members_prefix);
-    bool is_present = entry->value && view_parse_member(entry->value, &member);
+    bool is_present = entry->value && codec_parse_member(entry->value, &member);
     election_record_member(&controller->membership.election, name, is_present ? &member : NULL,
                            clock_steady());
 }
--- /dev/null
+++ b/src/io/codec/answers.c
@@ -0,0 +1,17 @@
+/* Answers to users and workers that carry no values of the core: errors, readiness, redirects. */
+#include "io/codec/codec.h"
+
+json_t *codec_build_error(const char *why)
+{
+    return json_pack("{s:s}", "error", why);
+}
+
+json_t *codec_build_ready(void)
+{
+    return json_pack("{s:b}", "ready", 1);
+}
+
+json_t *codec_build_redirect(const char *owner)
+{
+    return json_pack("{s:s}", "Bosun", owner);
+}
--- a/src/io/codec/cloud.c
+++ b/src/io/codec/cloud.c
@@ -100,3 +100,15 @@
         json_array_append_new(names, json_string(g_ptr_array_index(machines, i)));
     return json_pack("{s:o}", "Winches", names);
 }
+
+GPtrArray *codec_parse_scale_out_answer(const json_t *answer, gsize *accepted_count)
+{
+    const json_t *machines = json_object_get(answer, "Winches");
+    *accepted_count = json_array_size(machines);
+    return codec_get_strings(machines);
+}
+
+bool codec_is_no_capacity(const json_t *answer)
+{
+    return g_strcmp0(json_string_value(json_object_get(answer, "error")), "no capacity") == 0;
+}
--- a/src/io/codec/codec.h
+++ b/src/io/codec/codec.h
@@ -13,8 +13,8 @@
 
 #include <jansson.h>
 
-#include "core/leader/leader.h"
-#include "core/partition/partition.h"
+#include "core/membership/election.h"
+#include "core/partition/page_record.h"
 #include "core/types.h"
 
 /** Error domain of the parsers. A message has the form "field: what is expected", on one line. */
@@ -53,6 +53,16 @@
 /** Builds the answer to a user's status request. */
 json_t *codec_build_status(const char *id, const char *state, uint32_t done, uint32_t running);
 
+/** Builds the body of a refused request. @p why: its reason. Returns NULL if that is not UTF-8. */
+json_t *codec_build_error(const char *why);
+
+/** Builds the answer of a controller that is ready for users' requests. */
+json_t *codec_build_ready(void);
+
+/** Builds the answer to a worker heartbeat that sends the worker to its owner, the controller
+ * named @p owner. */
+json_t *codec_build_redirect(const char *owner);
+
 /** Parses a worker heartbeat without building a tree: heartbeats are most of the traffic. Returns
  * false and sets @p error (CODEC_ERROR; may be NULL) if it is malformed; on success nothing is
  * allocated for errors, and worker_heartbeat_clear frees what @p heartbeat holds. */
@@ -99,6 +109,14 @@
 json_t *codec_build_scale_out(const char *idempotency_key, const char *type, const char *zone,
                               bool spot, guint count);
 
+/** Parses the answer to a scale-out request that was executed. Returns the new machines' ids:
+ * GPtrArray of const char *, borrowed from @p answer (transfer container), which may be NULL.
+ * *accepted_count is the number of listed machines, those without a valid id included. */
+GPtrArray *codec_parse_scale_out_answer(const json_t *answer, gsize *accepted_count);
+
+/** Returns whether the cloud's error answer, which may be NULL, says that it has no capacity. */
+bool codec_is_no_capacity(const json_t *answer);
+
 /** Builds a scale-in request. @p machines: GPtrArray of char *, the machines' ids. */
 json_t *codec_build_scale_in(const GPtrArray *machines);
 
@@ -127,6 +145,50 @@
 /** Returns whether the value of ended/JOB says that the job is done; otherwise it was cancelled. */
 bool codec_is_ended_done(const json_t *value);
 
+/** Builds the value of kept/NAME: the workers that a controller retains. @p day_ms: the time of
+ * the day clock at which it is written. @p machines: GPtrArray of char *, the machines' ids. */
+json_t *codec_build_retained(int64_t day_ms, const GPtrArray *machines);
+
+/** Returns the time of the day clock, in milliseconds, at which the value of kept/NAME was written;
+ * 0 if it has none. */
+int64_t codec_get_retained_at(const json_t *value);
+
+/** Parses the value of kept/NAME. Returns the retained machines' ids: GPtrArray of const char *,
+ * borrowed from @p value (transfer container). */
+GPtrArray *codec_parse_retained(const json_t *value);
+
+/** A page of a relayed message, the value of mail/INBOX/NAME.PAGE. A reader must check the
+ * numbers: they are as the value has them. */
+typedef struct relay_page {
+    int64_t pages;       /**< Number of the message's pages; 0 if the value has none. */
+    int64_t frame_bytes; /**< Size of the uncompressed message; 0 if the value has none. */
+    const char *text;    /**< This page's part of the message's text; borrowed; NULL: it has none.
+                            To be built, it needs no terminating zero. */
+    gsize text_length;   /**< Length of the text in bytes. */
+} relay_page_t;
+
+/** Builds the value of mail/INBOX/NAME.PAGE. */
+json_t *codec_build_relay_page(const relay_page_t *page);
+
+/** Parses the value of mail/INBOX/NAME.PAGE; the page's text is borrowed from @p value. */
+void codec_parse_relay_page(const json_t *value, relay_page_t *page);
+
+/** Builds the value of view/number for a view. */
+json_t *codec_build_view(const view_t *view);
+
+/** Parses the value of view/number at a revision of that key into @p view. Returns false, and
+ * leaves @p view as it was, if it is not a view. */
+bool codec_parse_view(const json_t *value, uint64_t revision, view_t *view);
+
+/** Parses the value of a key below view/members/, or of an entry in a view, into @p member. Returns
+ * false, and clears @p member, if it is not a member. */
+bool codec_parse_member(const json_t *value, member_t *member);
+
+/** Parses the value of view/lease. Returns the holder's name, borrowed from @p value (transfer
+ * none), or NULL if it has none; *incarnation is the holder's, 0 if it has none. @p value may be
+ * NULL: there is no lease. */
+const char *codec_parse_lease(const json_t *value, uint64_t *incarnation);
+
 /** Builds a member of the view: the value of view/members/NAME and of view/lease, and an item of
  * the view's list of members. */
 json_t *codec_build_member(const member_t *member);
--- a/src/io/codec/codec_internal.h
+++ b/src/io/codec/codec_internal.h
@@ -17,6 +17,10 @@
  * character, which C would truncate. */
 const char *codec_text(const json_t *value);
 
+/** Returns the strings of @p list, which may be NULL: GPtrArray of const char *, borrowed from the
+ * list (transfer container). Items that are not strings are skipped. */
+GPtrArray *codec_get_strings(const json_t *list);
+
 /** Gets a string that is not empty and, with its terminating zero, fits @p size bytes. */
 bool codec_get_text(const json_t *body, const char *name, char *to, gsize size, GError **error);
 
--- a/src/io/codec/fields.c
+++ b/src/io/codec/fields.c
@@ -98,3 +98,16 @@
     }
     return codec_fail(error, CODEC_ERROR_VALUE, "%s: not one of the known words", name);
 }
+
+GPtrArray *codec_get_strings(const json_t *list)
+{
+    GPtrArray *strings = g_ptr_array_new(); /* of const char *, borrowed from the list */
+    size_t i;
+    json_t *item;
+    json_array_foreach(list, i, item)
+    {
+        if (json_is_string(item))
+            g_ptr_array_add(strings, (gpointer)json_string_value(item));
+    }
+    return strings;
+}
--- a/src/io/codec/stored_values.c
+++ b/src/io/codec/stored_values.c
@@ -1,4 +1,5 @@
-/* Values in the key-value store: pages of machine records, progress and ends of jobs, members. */
+/* Values in the key-value store: pages of machine records, progress and ends of jobs,
+ * retained workers, pages of relayed messages. */
 #include "io/codec/codec_internal.h"
 
 #include <string.h>
@@ -203,8 +204,35 @@
     return g_strcmp0(json_string_value(json_object_get(value, "Trim")), "done") == 0;
 }
 
-json_t *codec_build_member(const member_t *member)
+json_t *codec_build_retained(int64_t day_ms, const GPtrArray *machines)
 {
-    return json_pack("{s:s,s:s,s:I,s:b}", "Name", member->name, "Zone", member->zone, "Incarnation",
-                     (json_int_t)member->incarnation, "Aside", member->is_excluded);
+    json_t *names = json_array();
+    for (guint i = 0; i < machines->len; i++)
+        json_array_append_new(names, json_string(g_ptr_array_index(machines, i)));
+    return json_pack("{s:I,s:o}", "At", (json_int_t)day_ms, "Machines", names);
+}
+
+int64_t codec_get_retained_at(const json_t *value)
+{
+    return json_integer_value(json_object_get(value, "At"));
+}
+
+GPtrArray *codec_parse_retained(const json_t *value)
+{
+    return codec_get_strings(json_object_get(value, "Machines"));
+}
+
+json_t *codec_build_relay_page(const relay_page_t *page)
+{
+    return json_pack("{s:i,s:i,s:s%}", "Pages", (int)page->pages, "Bytes", (int)page->frame_bytes,
+                     "Message", page->text, page->text_length);
+}
+
+void codec_parse_relay_page(const json_t *value, relay_page_t *page)
+{
+    const json_t *text = json_object_get(value, "Message");
+    *page = (relay_page_t){.pages = json_integer_value(json_object_get(value, "Pages")),
+                           .frame_bytes = json_integer_value(json_object_get(value, "Bytes")),
+                           .text = json_string_value(text),
+                           .text_length = json_string_length(text)};
 }
--- a/src/controller/membership/view_codec.c
+++ b/src/io/codec/view.c
@@ -1,8 +1,13 @@
-#include "controller/membership/view_codec.h"
-
+/* Values below view/ in the key-value store: the view, the leader's lease and the members. */
 #include "io/codec/codec.h"
 
-json_t *view_build(const view_t *view)
+json_t *codec_build_member(const member_t *member)
+{
+    return json_pack("{s:s,s:s,s:I,s:b}", "Name", member->name, "Zone", member->zone, "Incarnation",
+                     (json_int_t)member->incarnation, "Aside", member->is_excluded);
+}
+
+json_t *codec_build_view(const view_t *view)
 {
     json_t *members = json_array();
     for (guint i = 0; i < view->count; i++)
@@ -12,7 +17,7 @@
                      members);
 }
 
-bool view_parse_member(const json_t *value, member_t *member)
+bool codec_parse_member(const json_t *value, member_t *member)
 {
     const char *name = json_string_value(json_object_get(value, "Name"));
     const char *zone = json_string_value(json_object_get(value, "Zone"));
@@ -29,11 +34,11 @@
 static void parse_members(const json_t *members, view_t *view)
 {
     for (size_t i = 0; i < json_array_size(members) && view->count < MEMBERS_MAX_COUNT; i++)
-        if (view_parse_member(json_array_get(members, i), &view->members[view->count]))
+        if (codec_parse_member(json_array_get(members, i), &view->members[view->count]))
             view->count++;
 }
 
-bool view_parse(const json_t *value, uint64_t revision, view_t *view)
+bool codec_parse_view(const json_t *value, uint64_t revision, view_t *view)
 {
     const char *leader = json_string_value(json_object_get(value, "Leader"));
     if (!leader)
@@ -45,3 +50,9 @@
     parse_members(json_object_get(value, "Members"), view);
     return true;
 }
+
+const char *codec_parse_lease(const json_t *value, uint64_t *incarnation)
+{
+    *incarnation = (uint64_t)json_integer_value(json_object_get(value, "Incarnation"));
+    return json_string_value(json_object_get(value, "Name"));
+}
--- a/src/io/kv_store.c
+++ b/src/io/kv_store.c
@@ -1,4 +1,6 @@
-/* Client of the key-value store: its protocol on HTTP. */
+/* Client of the key-value store, and the codec of its protocol on HTTP: the names of that
+ * protocol's own fields (If, Then, Set, Tether, Stamp, ...) occur here only. The values that it
+ * stores are built and parsed in io/codec. */
 #include "io/kv_store.h"
 
 #include <string.h>
--- a/src/io/relay.c
+++ b/src/io/relay.c
@@ -4,6 +4,8 @@
 
 #include <zlib.h>
 
+#include "io/codec/codec.h"
+
 /* The frame compressed, as base64 text; transfer full. Machine summaries repeat each other's names
  * and resources: uncompressed, those of a zone of hundreds of machines exceed a transaction. */
 static char *pack(const GByteArray *frame)
@@ -18,7 +20,7 @@
 
 /* The reverse of pack(), for a frame of `size` bytes; transfer full. NULL: the text is not of such
  * a frame. */
-static GByteArray *unpack(const char *text, json_int_t size)
+static GByteArray *unpack(const char *text, int64_t size)
 {
     gsize packed_size = 0;
     if (size < 0 || size > PEER_FRAME_MAX_BYTES)
@@ -43,10 +45,12 @@
     guint pages = (guint)((length + page_max - 1) / page_max);
     for (guint page = 0; page < pages; page++) {
         gsize from = page * page_max;
-        json_t *value = json_pack("{s:i,s:i,s:s%}", "Pages", (int)pages, "Bytes", (int)frame->len,
-                                  "Message", text + from, MIN(page_max, length - from));
+        const relay_page_t content = {.pages = pages,
+                                      .frame_bytes = frame->len,
+                                      .text = text + from,
+                                      .text_length = MIN(page_max, length - from)};
         g_snprintf(key, sizeof key, "mail/%s/%s.%u", inbox, name, page);
-        kv_txn_put(txn, key, value, 0);
+        kv_txn_put(txn, key, codec_build_relay_page(&content), 0);
     }
     return pages;
 }
@@ -86,15 +90,17 @@
     if (entry->revision != first->revision || strncmp(entry->key, first->key, digit) != 0 ||
         entry->key[digit] != (char)('0' + page))
         return NULL;
-    return json_string_value(json_object_get(entry->value, "Message"));
+    relay_page_t content;
+    codec_parse_relay_page(entry->value, &content);
+    return content.text;
 }
 
-/* The text of the message whose first page is the entry of that index, joined from its pages, which
- * follow each other in the order of their keys; transfer full. NULL: a page is missing. */
-static GString *gather_pages(const GArray *entries, guint first_index)
+/* The text of the message of `pages` pages whose first one is the entry of that index, joined from
+ * its pages, which follow each other in the order of their keys; transfer full. NULL: a page is
+ * missing. */
+static GString *gather_pages(const GArray *entries, guint first_index, int64_t pages)
 {
     const kv_entry_t *first = &g_array_index(entries, kv_entry_t, first_index);
-    json_int_t pages = json_integer_value(json_object_get(first->value, "Pages"));
     if (pages < 1 || pages > RELAY_PAGES_COUNT || first_index + (guint)pages > entries->len)
         return NULL;
     g_autoptr(GString) text = g_string_new(NULL);
@@ -113,10 +119,12 @@
 static GByteArray *read_frame(const GArray *entries, guint first_index)
 {
     const kv_entry_t *first = &g_array_index(entries, kv_entry_t, first_index);
-    g_autoptr(GString) text = gather_pages(entries, first_index);
+    relay_page_t content;
+    codec_parse_relay_page(first->value, &content);
+    g_autoptr(GString) text = gather_pages(entries, first_index, content.pages);
     if (!text)
         return NULL;
-    return unpack(text->str, json_integer_value(json_object_get(first->value, "Bytes")));
+    return unpack(text->str, content.frame_bytes);
 }
 
 GArray *relay_read(const GArray *entries, const char *inbox)
--- a/tests/io/test_message_samples.c
+++ b/tests/io/test_message_samples.c
@@ -1,7 +1,7 @@
 /* The exact bytes of messages between controllers, as XDR and as values in the key-value store, and
  * of their view, compared with the files of tests/samples; and those files read back. Controllers
  * of both builds run side by side during an update. */
-#include "controller/membership/view_codec.h"
+#include "io/codec/codec.h"
 #include "io/peer_protocol.h"
 #include "io/relay.h"
 #include "sample_files.h"
@@ -339,7 +339,7 @@
                          .incarnation = 5,
                          .members = {{"node-1", "north", 5, false}, {"node-2", "south", 6, true}},
                          .count = 2};
-    assert_json_is_sample("view.json", view_build(&view));
+    assert_json_is_sample("view.json", codec_build_view(&view));
 }
 
 static void test_view_is_read(void **state)
@@ -347,7 +347,7 @@
     (void)state;
     view_t view;
     json_t *value = read_json_sample("view.json");
-    assert_true(view_parse(value, 77, &view));
+    assert_true(codec_parse_view(value, 77, &view));
     assert_int_equal(view.number, 41);
     assert_int_equal(view.revision, 77);
     assert_string_equal(view.leader, "node-1");
