--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -19,7 +19,9 @@
 #include "core/leader/job_progress.h"
 #include "core/leader/leader_type.h"
 #include "core/leader/machine_summary.h"
-#include "core/partition/partition.h"
+#include "core/partition/attempt_result.h"
+#include "core/partition/page_record.h"
+#include "core/partition/placement_request.h"
 #include "core/replication/job_counts.h"
 
 /** A placement request and the partition that is to serve it. */
--- a/src/core/replication/channel.h
+++ b/src/core/replication/channel.h
@@ -10,7 +10,8 @@
 #ifndef PEPPERPULLEY_CHANNEL_H
 #define PEPPERPULLEY_CHANNEL_H
 
-#include "core/partition/partition.h"
+#include "core/partition/attempt_result.h"
+#include "core/partition/placement_request.h"
 
 /** The kinds of items. */
 typedef enum {
--- a/src/io/records.h
+++ b/src/io/records.h
@@ -6,8 +6,8 @@
 #ifndef PEPPERPULLEY_RECORDS_H
 #define PEPPERPULLEY_RECORDS_H
 
-#include "core/leader/leader.h"
-#include "core/partition/partition.h"
+#include "core/leader/job_progress.h"
+#include "core/partition/partition_batch.h"
 #include "io/kv_store.h"
 
 /** Returns the commit of a partition's records and, at the leader, of progress (transfer full).
--- a/tests/io/records_fixture.h
+++ b/tests/io/records_fixture.h
@@ -3,6 +3,7 @@
 #ifndef PEPPERPULLEY_RECORDS_FIXTURE_H
 #define PEPPERPULLEY_RECORDS_FIXTURE_H
 
+#include "core/partition/partition.h"
 #include "fake_kv_store.h"
 #include "io/codec/codec.h"
 #include "io/records.h"
