--- a/src/core/replication/summary_update.c
+++ b/src/core/replication/summary_update.c
@@ -50,8 +50,8 @@
         summary->idle_ms += elapsed_ms;
 }
 
-/* Whether the silence of neither is long enough to count: for how many milliseconds a machine that
- * is not silent has not been heard decides nothing. */
+/* Whether both silences are below SUMMARY_SILENT_MS. Below it, no decision depends on how long a
+ * machine has sent no heartbeat. */
 static bool is_silence_irrelevant(const machine_summary_t *expected,
                                   const machine_summary_t *current)
 {
