--- a/src/controller/membership/membership.c
+++ b/src/controller/membership/membership.c
@@ -67,7 +67,7 @@
 {
     peer_state_t *peers = &controller->peers;
     for (guint i = 0; i < controller->membership.view.count; i++) {
-        peers->received_at[i] = clock_steady();
+        peers->last_socket_call_at[i] = clock_steady();
         g_ptr_array_add(peers->channels, controller->membership.is_leader ? channel_new() : NULL);
     }
     peers->leader_channel = channel_new();
--- a/src/controller/peer/leader_end.c
+++ b/src/controller/peer/leader_end.c
@@ -6,12 +6,13 @@
 
 #include "io/clock.h"
 
-channel_t *leader_end_channel(const controller_t *controller, guint member)
+channel_t *leader_exchange_channel(const controller_t *controller, guint member)
 {
     return g_ptr_array_index(controller->peers.channels, member);
 }
 
-/* Finds the sender among the members of the view; false: it is none. */
+/* Looks up the sender of the message among the members of the view, by name and incarnation.
+ * Returns false if it is not a member. */
 static bool find_sender_locked(const controller_t *controller, const peer_message_t *message,
                                guint *member)
 {
@@ -26,9 +27,10 @@
     return false;
 }
 
-/* Whether the message is of a partition of the view that this controller leads. */
-static bool find_partition_locked(const controller_t *controller, const peer_message_t *message,
-                                  guint *member)
+/* Looks up the partition that sent the message. Returns false unless this controller leads, has
+ * loaded its records, and the message comes from another member of the same view. */
+static bool find_sending_partition_locked(const controller_t *controller,
+                                          const peer_message_t *message, guint *member)
 {
     if (!controller->membership.is_leader || !controller->placement.is_loaded)
         return false;
@@ -38,11 +40,12 @@
            *member != controller->membership.own_index;
 }
 
-/* Handles the results of a new batch. Returns whether there was one. */
+/* Handles the attempt results in the message if they are a new batch. Returns false if the message
+ * has no batch or repeats one that was already received. */
 static bool handle_results_locked(controller_t *controller, guint member,
                                   const peer_message_t *message, msec_t now)
 {
-    channel_t *channel = leader_end_channel(controller, member);
+    channel_t *channel = leader_exchange_channel(controller, member);
     if (message->items->len == 0 || !channel_accept(channel, message->batch_number))
         return false;
     for (guint i = 0; i < message->items->len; i++) {
@@ -53,13 +56,17 @@
     return true;
 }
 
-/* Hands the partition's machine summaries to the leader's data. Returns whether they changed. Those
- * from before the last batch of placement requests would show the resources of its requests as
- * free: they are kept until a message that acknowledges the batch. */
+/* Updates the replica of the partition's machine summaries and, once the partition has
+ * acknowledged the last batch, passes them on to the leader's placement data. Returns whether it
+ * passed on any change.
+ *
+ * Summaries that the partition made before it received the last batch of placement requests would
+ * show the resources of those requests as free. They stay in the replica until a message
+ * acknowledges the batch. */
 static bool apply_summaries_locked(controller_t *controller, guint member, peer_message_t *message,
                                    msec_t now)
 {
-    const channel_t *channel = leader_end_channel(controller, member);
+    const channel_t *channel = leader_exchange_channel(controller, member);
     const summary_update_t *update = &message->summaries;
     summary_replica_t *replica = &controller->peers.summary_replicas[member];
     if (!update->summaries || !summary_replica_apply(replica, update, now))
@@ -76,13 +83,13 @@
     return has_changed;
 }
 
-bool leader_end_receive(controller_t *controller, peer_message_t *message, guint *member)
+bool leader_exchange_receive(controller_t *controller, peer_message_t *message, guint *member)
 {
     msec_t now = clock_steady();
     peer_exchange_observe_sender(controller, message);
-    if (!find_partition_locked(controller, message, member))
+    if (!find_sending_partition_locked(controller, message, member))
         return false;
-    channel_acknowledge(leader_end_channel(controller, *member), message->acknowledged_batch);
+    channel_acknowledge(leader_exchange_channel(controller, *member), message->acknowledged_batch);
     bool has_results = handle_results_locked(controller, *member, message, now);
     bool has_summaries = apply_summaries_locked(controller, *member, message, now);
     if (has_results || has_summaries)
--- a/src/controller/peer/partition_end.c
+++ b/src/controller/peer/partition_end.c
@@ -4,7 +4,7 @@
 
 #include "io/clock.h"
 
-void partition_end_receive(controller_t *controller, const peer_message_t *message)
+void partition_exchange_receive(controller_t *controller, const peer_message_t *message)
 {
     peer_exchange_observe_sender(controller, message);
     if (!controller->placement.is_loaded || !peer_exchange_is_from_leader(controller, message))
--- a/src/controller/peer/peer_client.c
+++ b/src/controller/peer/peer_client.c
@@ -9,24 +9,24 @@
 
 #include "io/clock.h"
 
-/* The loop's state. Used by its thread alone. */
+/* The state of the loop. Only its own thread uses it. */
 typedef struct peer_client {
     controller_t *controller;
-    http_client_t *http;                    /* for the relay; owned */
-    int fd;                                 /* connection to the leader; -1: none */
-    char leader_endpoint[ADDRESS_BYTES];    /* where the leader of the current view listens */
-    char connected_endpoint[ADDRESS_BYTES]; /* where fd leads */
-    msec_t last_socket_exchange_at;
-    msec_t last_connect_at; /* when a connection was last tried */
-    msec_t summaries_sent_at;
-    uint64_t summarized_batch;      /* the newest batch received when summaries were last sent */
-    uint64_t summarized_generation; /* generation of the data that those summaries were made of */
-    summary_sender_t summaries;
+    http_client_t *http;                 /* requests to the key-value store for the relay; owned */
+    int fd;                              /* connection to the leader; -1 if there is none */
+    char leader_endpoint[ADDRESS_BYTES]; /* address of the current view's leader */
+    char connected_endpoint[ADDRESS_BYTES]; /* address that fd is connected to */
+    msec_t last_socket_exchange_at;         /* when an exchange by socket last succeeded */
+    msec_t last_connect_at;                 /* when a connection was last attempted */
+    msec_t summaries_sent_at;  /* when summaries were last sent; 0 makes them due at once */
+    uint64_t summarized_batch; /* the newest batch received when summaries were last composed */
+    uint64_t summarized_generation; /* generation of the records that those summaries describe */
+    summary_sender_t summaries;     /* which summaries the leader has acknowledged */
 } peer_client_t;
 
-/* Whether machine summaries go with the next message. They are most of a message, so they follow
- * new batches and new data at once, and go at a slower pace otherwise. Called with the lock held.
- */
+/* Returns whether the next message carries machine summaries. Summaries make up most of a message,
+ * so they are sent at once only after a new batch or a reload of the records, and otherwise every
+ * PEER_SUMMARIES_GAP_MS. Called with the lock held. */
 static bool are_summaries_due_locked(const peer_client_t *client)
 {
     const controller_t *controller = client->controller;
@@ -35,8 +35,8 @@
            clock_steady() - client->summaries_sent_at > PEER_SUMMARIES_GAP_MS;
 }
 
-/* The summaries that go with the next message (transfer full); all zeros: none. Called with the
- * lock held. */
+/* Returns the summaries that the next message carries (transfer full), or all zeros if it carries
+ * none. Called with the lock held. */
 static summary_update_t next_summaries_locked(peer_client_t *client)
 {
     const controller_t *controller = client->controller;
@@ -51,7 +51,8 @@
     return summary_sender_next(&client->summaries, partition_items_summaries(controller, now), now);
 }
 
-/* Where the leader listens, transfer none; NULL: it is not among the siblings. */
+/* Returns the address of the leader (transfer none), or NULL if the leader is not one of the
+ * siblings in the settings. */
 static const char *find_leader_endpoint_locked(const controller_t *controller)
 {
     for (guint i = 0; i < controller->settings->siblings->len; i++) {
@@ -62,9 +63,10 @@
     return NULL;
 }
 
-/* Where the leader to call listens, transfer none; NULL: there is none to call, because this
- * controller leads, is not a member or has no data loaded. Called with the lock held. */
-static const char *endpoint_to_call_locked(const controller_t *controller)
+/* Returns the address of the leader to call (transfer none), or NULL if there is none to call:
+ * this controller leads, is not a member of the view or has no records loaded, or the settings do
+ * not list the leader. Called with the lock held. */
+static const char *find_endpoint_to_call_locked(const controller_t *controller)
 {
     if (controller->membership.is_leader || !controller->placement.is_loaded ||
         controller->membership.own_index == G_MAXUINT)
@@ -72,14 +74,14 @@
     return find_leader_endpoint_locked(controller);
 }
 
-/* The next message to the leader, transfer full. If there is no leader to call, waits for a while
- * and returns NULL. */
-static GByteArray *next_frame(peer_client_t *client)
+/* Returns the next message to the leader, encoded (transfer full). If there is no leader to call,
+ * waits for MEMBER_TICK_MS at most and returns NULL. Takes the lock. */
+static GByteArray *compose_next_message(peer_client_t *client)
 {
     controller_t *controller = client->controller;
     GByteArray *frame = NULL;
     pthread_mutex_lock(&controller->lock);
-    const char *endpoint = endpoint_to_call_locked(controller);
+    const char *endpoint = find_endpoint_to_call_locked(controller);
     if (endpoint) {
         g_strlcpy(client->leader_endpoint, endpoint, sizeof client->leader_endpoint);
         frame = peer_exchange_compose(controller, controller->peers.leader_channel,
@@ -106,7 +108,7 @@
     client->last_connect_at = clock_steady();
 }
 
-/* Returns whether the leader answered by socket. */
+/* Sends the message by socket and handles the answer. Returns whether the leader answered. */
 static bool exchange_by_socket(peer_client_t *client, const GByteArray *frame)
 {
     controller_t *controller = client->controller;
@@ -114,20 +116,21 @@
     if (!peer_exchange_call(client->fd, frame, &message))
         return false;
     pthread_mutex_lock(&controller->lock);
-    partition_end_receive(controller, &message);
+    partition_exchange_receive(controller, &message);
     summary_sender_acknowledge(&client->summaries, message.summaries.version);
     pthread_mutex_unlock(&controller->lock);
     return true;
 }
 
-/* One exchange: by socket or, if there was none by socket for a while, by relay. Returns whether it
- * was by socket. */
+/* Exchanges one message with the leader: by socket or, if that fails and no exchange by socket has
+ * succeeded for RELAY_AFTER_MS, by relay. Returns whether the exchange by socket succeeded. */
 static bool exchange_once(peer_client_t *client, const GByteArray *frame)
 {
     if (strcmp(client->leader_endpoint, client->connected_endpoint) != 0)
         disconnect(client);
     bool uses_relay = clock_steady() - client->last_socket_exchange_at > RELAY_AFTER_MS;
-    /* While the relay is used, sockets are tried rarely: behind a network cut each try hangs. */
+    /* While the relay is in use, connections are attempted rarely, because during a network
+     * partition each attempt blocks until it times out. */
     if (client->fd < 0 &&
         (!uses_relay || clock_steady() - client->last_connect_at > RELAY_SOCKET_GAP_MS))
         connect_to_leader(client);
@@ -137,7 +140,8 @@
     }
     if (uses_relay)
         peer_relay_exchange(client->controller, client->http, frame);
-    /* What arrived is not known: the next message has all summaries. */
+    /* The leader may or may not have received the summaries, so the next message carries all of
+     * them. */
     client->summaries_sent_at = 0;
     summary_sender_reset(&client->summaries);
     disconnect(client);
@@ -151,12 +155,12 @@
                             .fd = -1,
                             .last_socket_exchange_at = clock_steady()};
     for (;;) {
-        GByteArray *frame = next_frame(&client);
+        GByteArray *frame = compose_next_message(&client);
         if (!frame)
             continue;
-        bool is_by_socket = exchange_once(&client, frame);
+        bool used_socket = exchange_once(&client, frame);
         g_byte_array_unref(frame);
-        controller_sleep(is_by_socket ? PEER_GAP_MS : PEER_RETRY_MS);
+        controller_sleep(used_socket ? PEER_GAP_MS : PEER_RETRY_MS);
     }
     return NULL;
 }
--- a/src/controller/peer/peer_exchange.h
+++ b/src/controller/peer/peer_exchange.h
@@ -1,13 +1,14 @@
 /** @file
- * What both ends of the exchange between controllers share: composing a message, recording what
- * every message reports of its sender, and a call over a socket.
+ * What both sides of the exchange between controllers share: composing messages, recording what
+ * every message reports about its sender, and making a call over a socket.
  *
- * Each partition calls the leader over and over: what it has to send goes with the call, what the
- * leader has to send comes with the answer, which the leader delays for a moment while it has
- * nothing to send. The messages go by socket (peer_client.c, peer_server.c) or, where sockets fail,
- * as values in the key-value store (peer_relay.c), which a cut between zones leaves in reach.
- * Whatever is late or repeated by the relay is as harmless as on a socket: batches are numbered,
- * and the numbers are void with their view.
+ * Each partition calls the leader in a loop. The call carries what the partition has to send, and
+ * the answer carries what the leader has to send. A leader with nothing to send delays its answer
+ * for a moment, so that an item queued meanwhile goes with it. Messages travel by socket
+ * (peer_client.c, peer_server.c) or, while sockets fail, as values in the key-value store
+ * (peer_relay.c), which stays reachable during a network partition between zones. Messages that the
+ * relay delays or repeats do no more harm than those on a socket: batches are numbered, and the
+ * numbers are valid within one view only.
  */
 #ifndef PEPPERPULLEY_PEER_EXCHANGE_H
 #define PEPPERPULLEY_PEER_EXCHANGE_H
@@ -16,29 +17,29 @@
 #include "io/peer_protocol.h"
 #include "io/peer_socket.h"
 
-/** Returns a message with the fields that every message of this controller has, and without lists
- * (transfer full). Called with the lock held. */
+/** Returns a message with the fields set that every message from this controller has, and with no
+ * lists (transfer full). Called with the lock held. */
 peer_message_t peer_exchange_new_message(const controller_t *controller);
 
 /** Returns one message of the exchange between leader and partition, encoded (transfer full).
  *
- * @p channel: its current batch and its acknowledgement go with the message; NULL: neither does.
- * @p summaries: go with the message (transfer full); all zeros: none do. Called with the lock held.
- */
+ * The message carries the current batch of @p channel and the number of the last batch received
+ * there, or neither if @p channel is NULL. It carries @p summaries (transfer full), or none if they
+ * are all zeros. Called with the lock held. */
 GByteArray *peer_exchange_compose(const controller_t *controller, channel_t *channel,
                                   summary_update_t summaries);
 
-/** Records what @p message reports of its sender and of the newest view. That counts whoever sent
- * it and whatever view it is of. Called with the lock held. */
+/** Records what @p message reports about its sender and about the newest view. This is valid for
+ * every sender and every view, so it is called for every message. Called with the lock held. */
 void peer_exchange_observe_sender(controller_t *controller, const peer_message_t *message);
 
-/** Returns whether @p message is of the leader of the view that is installed here. Called with the
- * lock held. */
+/** Returns whether @p message comes from the leader of the view that is installed here, and was
+ * sent in that view. Called with the lock held. */
 bool peer_exchange_is_from_leader(const controller_t *controller, const peer_message_t *message);
 
-/** Sends @p frame and receives the answer into @p message, to be cleared by the caller. Returns
- * false, with @p message all zeros, if no valid answer came: the connection is of no more use then.
- * The lock must not be held. */
+/** Sends @p frame and receives the answer into @p message, which the caller clears. Returns false
+ * and leaves @p message all zeros if no valid answer arrived; the connection cannot be used
+ * again then. The lock must not be held. */
 bool peer_exchange_call(int fd, const GByteArray *frame, peer_message_t *message);
 
 #endif
--- a/src/controller/peer/peer_heartbeat.c
+++ b/src/controller/peer/peer_heartbeat.c
@@ -7,19 +7,19 @@
 #include "io/clock.h"
 #include "io/log.h"
 
-/* What a thread that sends heartbeats to one sibling works with. */
+/* The argument of a thread that sends heartbeats to one sibling. */
 typedef struct heartbeat_sender {
     controller_t *controller;
-    guint sibling; /* index among the settings' siblings */
+    guint sibling_index; /* index in the settings' list of siblings */
 } heartbeat_sender_t;
 
-/* The next heartbeat to the sibling, encoded; transfer full. Takes the lock. */
+/* Returns the next heartbeat to the sibling, encoded (transfer full). Takes the lock. */
 static GByteArray *compose_heartbeat(const heartbeat_sender_t *sender)
 {
     controller_t *controller = sender->controller;
     pthread_mutex_lock(&controller->lock);
     const cancellation_replica_t *replica =
-        &controller->jobs.cancellations.siblings[sender->sibling];
+        &controller->jobs.cancellations.siblings[sender->sibling_index];
     peer_message_t message = peer_exchange_new_message(controller);
     message.is_heartbeat = true;
     message.known_log_incarnation = replica->incarnation;
@@ -30,31 +30,32 @@
     return peer_encode(&message);
 }
 
-/* Whether the sender of the heartbeat has every entry of this controller's log. */
-static bool is_log_known_locked(const cancellation_log_t *log, const peer_message_t *message)
+/* Returns whether the heartbeat shows that its sender has every entry of this controller's
+ * cancellation log. */
+static bool has_all_entries_locked(const cancellation_log_t *log, const peer_message_t *message)
 {
     return message->known_log_incarnation == log->incarnation &&
            message->known_log_index >= log->newest;
 }
 
-/* Waits for a cancellation that the sender of the heartbeat does not have, up to
- * PEER_HEARTBEAT_HOLD_MS. Returns for how long it waited. Called with the lock held, which is
- * released meanwhile. */
+/* Waits until the log has a cancellation that the sender of the heartbeat does not have, for
+ * PEER_HEARTBEAT_HOLD_MS at most. Returns how long it waited. Called with the lock held, which is
+ * released during the wait. */
 static msec_t wait_for_cancellation_locked(controller_t *controller, const peer_message_t *message)
 {
     const cancellation_log_t *log = &controller->jobs.cancellations;
-    msec_t begun_at = clock_steady();
+    msec_t started_at = clock_steady();
     msec_t waited_ms = 0;
-    while (is_log_known_locked(log, message) && waited_ms < PEER_HEARTBEAT_HOLD_MS) {
+    while (has_all_entries_locked(log, message) && waited_ms < PEER_HEARTBEAT_HOLD_MS) {
         controller_wait(controller, &controller->jobs.cancellation_appended,
                         PEER_HEARTBEAT_HOLD_MS - waited_ms);
-        waited_ms = clock_steady() - begun_at;
+        waited_ms = clock_steady() - started_at;
     }
     return waited_ms;
 }
 
-/* The answer to a heartbeat, for which the sender has waited so long; transfer full. Called with
- * the lock held. */
+/* Returns the answer to a heartbeat (transfer full). waited_ms is how long this controller has held
+ * the answer back. Called with the lock held. */
 static peer_message_t new_answer_locked(controller_t *controller, const peer_message_t *heartbeat,
                                         msec_t waited_ms)
 {
@@ -80,7 +81,8 @@
     return peer_encode(&answer);
 }
 
-/* Stops and logs the jobs that a sibling has confirmed as cancelled. Called with the lock held. */
+/* Records the jobs that a sibling has confirmed as cancelled, so that their tasks are stopped, and
+ * logs those that are new here. Called with the lock held. */
 static void record_cancellations_locked(controller_t *controller, const peer_message_t *message)
 {
     const GPtrArray *jobs = message->cancellations.jobs;
@@ -92,8 +94,8 @@
     }
 }
 
-/* A job that is over here may still be live where it is counted: its counts are not kept. Called
- * with the lock held. */
+/* Applies the leader's job counts, except those of jobs that this controller knows to be terminal:
+ * the leader may still count such a job as live. Called with the lock held. */
 static void apply_job_counts_locked(controller_t *controller, const job_counts_update_t *update)
 {
     job_counts_replica_apply(&controller->jobs.counts, update);
@@ -104,31 +106,34 @@
     }
 }
 
-/* Handles a sibling's answer, which it made at `made_at` or later. Called with the lock held. */
-static void receive_answer_locked(controller_t *controller, guint sibling,
+/* Handles an answer that the sibling made at made_at or later. Called with the lock held. */
+static void receive_answer_locked(controller_t *controller, guint sibling_index,
                                   const peer_message_t *answer, msec_t made_at)
 {
     peer_exchange_observe_sender(controller, answer);
-    controller->peers.sibling_health[sibling] = (owner_health_t){
+    controller->peers.sibling_health[sibling_index] = (owner_health_t){
         .answered_at = made_at, .worker_heartbeat_at = made_at - answer->worker_heartbeat_age_ms};
-    /* The jobs must be stopped before the log counts as known up to then. */
+    /* The jobs must be stopped before the replica of the sibling's log counts as complete up to
+     * made_at, because worker leases are renewed on that basis. */
     record_cancellations_locked(controller, answer);
-    cancellation_log_apply(&controller->jobs.cancellations, sibling, &answer->cancellations,
+    cancellation_log_apply(&controller->jobs.cancellations, sibling_index, &answer->cancellations,
                            made_at, clock_steady());
     if (peer_exchange_is_from_leader(controller, answer))
         apply_job_counts_locked(controller, &answer->job_counts);
 }
 
-/* A moment at or before the making of the answer to a heartbeat sent at `sent_at`: the sibling held
- * the answer back for answer_delay_ms after it had received the heartbeat. Clocks drift apart, so
- * what the sibling's clock measured is shortened. */
-static msec_t answer_made_at(const peer_message_t *answer, msec_t sent_at)
+/* Returns the earliest time at which the sibling can have made the answer to a heartbeat that was
+ * sent at sent_at: the sibling held the answer back for answer_delay_ms after it had received the
+ * heartbeat. The sibling's clock measured that delay and may run faster than this one, so the delay
+ * is reduced by the possible drift. */
+static msec_t earliest_answer_time(const peer_message_t *answer, msec_t sent_at)
 {
     msec_t drift_ms = answer->answer_delay_ms / CLOCK_DRIFT_DIVISOR + 1;
     return sent_at + MAX(answer->answer_delay_ms - drift_ms, 0);
 }
 
-/* Sends a heartbeat and handles the answer. Returns whether there was one. */
+/* Sends a heartbeat and handles the answer, for which it takes the lock. Returns whether the
+ * sibling answered. */
 static bool send_heartbeat(const heartbeat_sender_t *sender, int fd)
 {
     controller_t *controller = sender->controller;
@@ -138,23 +143,24 @@
     if (!peer_exchange_call(fd, frame, &answer))
         return false;
     pthread_mutex_lock(&controller->lock);
-    receive_answer_locked(controller, sender->sibling, &answer, answer_made_at(&answer, sent_at));
+    receive_answer_locked(controller, sender->sibling_index, &answer,
+                          earliest_answer_time(&answer, sent_at));
     pthread_mutex_unlock(&controller->lock);
     return true;
 }
 
-/* Negative: failed. */
+/* Returns a socket connected to the sibling, or a negative number if connecting failed. */
 static int connect_to_sibling(const heartbeat_sender_t *sender)
 {
     const sibling_t *sibling =
-        &g_array_index(sender->controller->settings->siblings, sibling_t, sender->sibling);
+        &g_array_index(sender->controller->settings->siblings, sibling_t, sender->sibling_index);
     int fd = peer_connect(sibling->endpoint, PEER_TIMEOUT_MS);
     if (fd >= 0)
         peer_set_timeout(fd, PEER_HEARTBEAT_TIMEOUT_MS);
     return fd;
 }
 
-/* The thread's loop. Never returns. */
+/* The loop of a thread that sends heartbeats to one sibling. Never returns. */
 static void *heartbeat_sender_run(void *data)
 {
     const heartbeat_sender_t *sender = data;
@@ -180,7 +186,7 @@
 {
     for (guint i = 0; i < controller->settings->siblings->len; i++) {
         heartbeat_sender_t *sender = g_new(heartbeat_sender_t, 1);
-        *sender = (heartbeat_sender_t){.controller = controller, .sibling = i};
+        *sender = (heartbeat_sender_t){.controller = controller, .sibling_index = i};
         threads_start("peer_heartbeat", heartbeat_sender_run, sender);
     }
 }
--- a/src/controller/peer/peer_heartbeat.h
+++ b/src/controller/peer/peer_heartbeat.h
@@ -1,11 +1,13 @@
 /** @file
- * Peer heartbeats: every controller sends every sibling heartbeats, whatever the view, and receives
- * in answer the cancellations that the sibling has confirmed to users (see cancellation_log.h), the
- * job counts if the sibling leads, its health and its view number.
+ * Peer heartbeats: every controller sends heartbeats to every sibling, whether or not they are
+ * members of the same view. The answer carries the cancellations that the sibling has confirmed to
+ * users (see cancellation_log.h), its health and its view number and, if the sibling leads, the job
+ * counts.
  *
- * In an outage of the key-value store nothing else carries these cancellations. And a controller
- * that the key-value store refuses alone learns of a higher view only here: otherwise it would keep
- * the leases of its workers although it was replaced.
+ * During an outage of the key-value store nothing else carries these cancellations. If the
+ * key-value store answers all controllers but one, that one learns only from peer heartbeats that a
+ * newer view exists. Otherwise it would go on renewing the leases of its workers after it had been
+ * replaced.
  */
 #ifndef PEPPERPULLEY_PEER_HEARTBEAT_H
 #define PEPPERPULLEY_PEER_HEARTBEAT_H
@@ -13,13 +15,13 @@
 #include "controller/controller.h"
 #include "io/peer_protocol.h"
 
-/** Starts a thread for each sibling of the settings, which sends it heartbeats. The threads take
- * the lock and never end. */
+/** Starts one thread for each sibling in the settings, which sends heartbeats to that sibling. The
+ * threads take the lock and never end. */
 void peer_heartbeat_start(controller_t *controller);
 
-/** Returns the answer to a sibling's heartbeat @p message, encoded (transfer full). Waits up to
- * PEER_HEARTBEAT_HOLD_MS for a cancellation that the sibling does not have. Takes the lock, and
- * releases it while it waits. */
+/** Returns the answer to a sibling's heartbeat @p message, encoded (transfer full). If the
+ * sibling has every confirmed cancellation already, first waits for a new one, for
+ * PEER_HEARTBEAT_HOLD_MS at most. Takes the lock, and releases it during the wait. */
 GByteArray *peer_heartbeat_answer(controller_t *controller, const peer_message_t *message);
 
 #endif
--- a/src/controller/peer/peer_relay.c
+++ b/src/controller/peer/peer_relay.c
@@ -9,9 +9,11 @@
 #include "io/log.h"
 #include "io/relay.h"
 
-/* When no member may need the relay. */
+/* A due time that never comes: no member can need the relay. */
 #define NEVER G_MAXINT64
 
+/* Writes a message to the inbox under the given name, in place of the earlier one. Returns whether
+ * the key-value store confirmed the write. */
 static bool write_message(controller_t *controller, http_client_t *http, const char *inbox,
                           const char *name, const GByteArray *frame)
 {
@@ -27,8 +29,8 @@
     return result == KV_OK;
 }
 
-/* The messages of an inbox whose name begins so: array of relay_message_t, transfer full. Empty if
- * the key-value store did not answer. */
+/* Returns the messages in the inbox whose names start with name_prefix: an array of relay_message_t
+ * (transfer full), which is empty if the key-value store did not answer. */
 static GArray *read_messages(controller_t *controller, http_client_t *http, const char *inbox,
                              const char *name_prefix)
 {
@@ -41,7 +43,7 @@
     return relay_read(entries, inbox);
 }
 
-/* Handles a partition's message and writes the answer to its inbox. */
+/* Handles a partition's message and writes the answer to the partitions' inbox. Takes the lock. */
 static void answer_message(controller_t *controller, http_client_t *http,
                            const relay_message_t *relayed)
 {
@@ -51,17 +53,18 @@
     if (!peer_decode(relayed->frame->data, relayed->frame->len, &message))
         return;
     pthread_mutex_lock(&controller->lock);
-    if (leader_end_receive(controller, &message, &member))
-        answer = peer_exchange_compose(controller, leader_end_channel(controller, member),
+    if (leader_exchange_receive(controller, &message, &member))
+        answer = peer_exchange_compose(controller, leader_exchange_channel(controller, member),
                                        (summary_update_t){0});
     pthread_mutex_unlock(&controller->lock);
     if (answer)
         write_message(controller, http, RELAY_PARTITIONS_INBOX, message.sender, answer);
 }
 
-/* Whether the message was not answered before; it counts as answered then. answered_revisions: name
- * of the sender (owned) -> revision (GSIZE_TO_POINTER) of its message answered last. */
-static bool is_new(GHashTable *answered_revisions, const relay_message_t *relayed)
+/* Records that the message is answered, unless it was recorded before. Returns whether it was new.
+ * answered_revisions maps the name of each sender (owned) to the revision (GSIZE_TO_POINTER) of its
+ * message that was answered last. */
+static bool record_if_new(GHashTable *answered_revisions, const relay_message_t *relayed)
 {
     gpointer answered = g_hash_table_lookup(answered_revisions, relayed->name);
     if (GPOINTER_TO_SIZE(answered) == relayed->revision)
@@ -71,20 +74,21 @@
     return true;
 }
 
-/* Answers every new message to the leader. */
+/* Answers every new message in the leader's inbox. */
 static void answer_messages(controller_t *controller, http_client_t *http,
                             GHashTable *answered_revisions)
 {
     g_autoptr(GArray) messages = read_messages(controller, http, RELAY_LEADER_INBOX, "");
     for (guint i = 0; i < messages->len; i++) {
         const relay_message_t *relayed = &g_array_index(messages, relay_message_t, i);
-        if (is_new(answered_revisions, relayed))
+        if (record_if_new(answered_revisions, relayed))
             answer_message(controller, http, relayed);
     }
 }
 
-/* When the member that called longest ago will have been silent for so long that it may use the
- * relay; NEVER: this controller has no partitions to serve. Called with the lock held. */
+/* Returns the time from which a member may use the relay: RELAY_AFTER_MS after the longest silent
+ * member last called by socket, counted from the loading of the records at the earliest. Returns
+ * NEVER if this controller has no partitions to serve. Called with the lock held. */
 static msec_t relay_due_at_locked(const controller_t *controller)
 {
     msec_t due_at = NEVER;
@@ -94,13 +98,14 @@
         if (i == controller->membership.own_index)
             continue;
         msec_t silent_since =
-            MAX(controller->peers.received_at[i], controller->placement.loaded_at);
+            MAX(controller->peers.last_socket_call_at[i], controller->placement.loaded_at);
         due_at = MIN(due_at, silent_since + RELAY_AFTER_MS);
     }
     return due_at;
 }
 
-/* Waits until a member has not called by socket for a while. Takes the lock. */
+/* Waits until a member may use the relay, because it has not called by socket for RELAY_AFTER_MS.
+ * Takes the lock, and releases it during the wait. */
 static void wait_until_relay_is_due(controller_t *controller)
 {
     pthread_mutex_lock(&controller->lock);
@@ -121,7 +126,7 @@
 {
     controller_t *controller = data;
     http_client_t *http = http_client_new(2);
-    /* See is_new(). */
+    /* See record_if_new(). */
     GHashTable *answered_revisions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     for (;;) {
         wait_until_relay_is_due(controller);
@@ -131,14 +136,14 @@
     return NULL;
 }
 
-/* Handles the leader's answer. Takes the lock. */
+/* Handles an answer from the leader. Takes the lock. */
 static void receive_answer(controller_t *controller, const relay_message_t *relayed)
 {
     g_auto(peer_message_t) message = {0};
     if (!peer_decode(relayed->frame->data, relayed->frame->len, &message))
         return;
     pthread_mutex_lock(&controller->lock);
-    partition_end_receive(controller, &message);
+    partition_exchange_receive(controller, &message);
     pthread_mutex_unlock(&controller->lock);
 }
 
@@ -151,7 +156,7 @@
     g_autoptr(GArray) messages = read_messages(controller, http, RELAY_PARTITIONS_INBOX, own_name);
     for (guint i = 0; i < messages->len; i++) {
         const relay_message_t *relayed = &g_array_index(messages, relay_message_t, i);
-        /* The prefix matches longer names of other controllers too. */
+        /* The prefix also matches controllers whose longer names start with this one. */
         if (strcmp(relayed->name, own_name) == 0)
             receive_answer(controller, relayed);
     }
--- a/src/controller/peer/peer_server.c
+++ b/src/controller/peer/peer_server.c
@@ -10,15 +10,16 @@
 #include "io/clock.h"
 #include "io/log.h"
 
-/* A connection that a sibling made. Owned by its thread. */
+/* A connection that a sibling opened. Its thread owns it. */
 typedef struct peer_connection {
     controller_t *controller;
     int fd;
 } peer_connection_t;
 
-/* Waits for a while until the leader has something to send to the partition. Returns the channel,
- * or NULL if it was freed meanwhile with its view. Called with the lock held, which is released
- * meanwhile. */
+/* Waits until the leader has something to send to the partition, for PEER_ANSWER_DELAY_MS (paced)
+ * at most. Returns the channel, or NULL if the placement generation changed during the wait,
+ * because a new view frees the channel. Called with the lock held, which is released during the
+ * wait. */
 static channel_t *wait_for_items_locked(controller_t *controller, channel_t *channel)
 {
     uint64_t generation = controller->placement.generation;
@@ -32,17 +33,18 @@
     return channel;
 }
 
-/* The leader's answer to a partition's call, encoded; transfer full. To a call that does not count
- * the answer has no items. Takes the lock. */
+/* Returns the leader's answer to a partition's call, encoded (transfer full). The answer has no
+ * items if leader_exchange_receive() ignored the call, or if the placement generation changed
+ * during the wait. Takes the lock. */
 static GByteArray *answer_partition(controller_t *controller, peer_message_t *message)
 {
     guint member = 0;
     channel_t *channel = NULL;
     summary_update_t received_summaries = {0};
     pthread_mutex_lock(&controller->lock);
-    if (leader_end_receive(controller, message, &member)) {
-        controller->peers.received_at[member] = clock_steady();
-        channel = wait_for_items_locked(controller, leader_end_channel(controller, member));
+    if (leader_exchange_receive(controller, message, &member)) {
+        controller->peers.last_socket_call_at[member] = clock_steady();
+        channel = wait_for_items_locked(controller, leader_exchange_channel(controller, member));
     }
     if (channel)
         received_summaries.version = controller->peers.summary_replicas[member].version;
@@ -51,15 +53,17 @@
     return frame;
 }
 
-/* Receives a call. Returns false if none came in time or it is no message. */
+/* Receives a call. Returns false if none arrived before the timeout, the connection failed, or the
+ * bytes are not a valid message. */
 static bool receive_call(int fd, peer_message_t *message)
 {
     g_autoptr(GByteArray) frame = peer_receive(fd);
     return frame && peer_decode(frame->data, frame->len, message);
 }
 
-/* Receives a call. Returns the answer (transfer full), or NULL: the connection is to be closed. */
-static GByteArray *next_answer(const peer_connection_t *connection)
+/* Receives a call and handles it. Returns the answer (transfer full), or NULL if the connection is
+ * to be closed. */
+static GByteArray *handle_next_call(const peer_connection_t *connection)
 {
     g_auto(peer_message_t) message = {0};
     if (!receive_call(connection->fd, &message))
@@ -69,14 +73,14 @@
     return answer_partition(connection->controller, &message);
 }
 
-/* Answers one call. Returns whether the connection is of further use. */
+/* Receives and answers one call. Returns whether the connection is still usable. */
 static bool serve_call(const peer_connection_t *connection)
 {
-    g_autoptr(GByteArray) answer = next_answer(connection);
+    g_autoptr(GByteArray) answer = handle_next_call(connection);
     return answer && peer_send(connection->fd, answer);
 }
 
-/* The thread of a connection. */
+/* The loop of a connection's thread. Returns when the connection has ended. */
 static void *peer_connection_run(void *data)
 {
     peer_connection_t *connection = data;
