--- a/src/controller/membership/member_loop.c
+++ b/src/controller/membership/member_loop.c
@@ -8,19 +8,20 @@
 #include "io/log.h"
 #include "io/records.h"
 
+/* The state of the loop. Only its own thread uses it. */
 typedef struct member_loop {
     controller_t *controller;
-    http_client_t *client;
-    uint64_t lease;        /* of this controller in the key-value store; 0: none */
-    msec_t extended_at;    /* when the lease was last created or extended */
-    msec_t key_written_at; /* when this controller's key below view/members/ was written */
+    http_client_t *client; /* requests to the key-value store; owned */
+    uint64_t lease;     /* id of this controller's lease in the key-value store; 0 if it has none */
+    msec_t extended_at; /* when that lease was created or last extended */
+    msec_t key_written_at; /* when view/members/NAME was last written */
 } member_loop_t;
 
-/* What a round has found to be done. */
+/* What a round of the loop has to do. */
 typedef enum {
-    MEMBER_ACTION_NONE,          /* nothing */
+    MEMBER_ACTION_NONE,          /* nothing to do */
     MEMBER_ACTION_LEAD,          /* view/lease is vacant: try to lead */
-    MEMBER_ACTION_CHANGE_MEMBERS /* the view's members are to change */
+    MEMBER_ACTION_CHANGE_MEMBERS /* this controller leads: change the view's members */
 } member_action_t;
 
 static void extend_lease(member_loop_t *loop, msec_t now)
@@ -32,8 +33,8 @@
         loop->lease = 0;
 }
 
-/* Reads the revision of this controller's member key, 0 if there is no such key. False: it could
- * not be read. */
+/* Reads the revision of this controller's member key into *revision, 0 if the key does not exist.
+ * Returns false if the key could not be read. */
 static bool read_key_revision(member_loop_t *loop, msec_t now, uint64_t *revision)
 {
     controller_t *controller = loop->controller;
@@ -48,7 +49,7 @@
     return result == KV_OK || result == KV_NOT_FOUND;
 }
 
-/* Creates a lease and attaches this controller's member key to it. */
+/* Creates a lease and writes this controller's member key, view/members/NAME, attached to it. */
 static void create_lease(member_loop_t *loop, msec_t now)
 {
     controller_t *controller = loop->controller;
@@ -70,7 +71,8 @@
     kv_txn_free(&txn);
 }
 
-static void keep_lease(member_loop_t *loop, msec_t now)
+/* Extends the lease when that is due, or creates one if there is none. */
+static void maintain_lease(member_loop_t *loop, msec_t now)
 {
     if (loop->lease && now - loop->extended_at < LEASE_EXTEND_GAP_MS)
         return;
@@ -81,11 +83,12 @@
         create_lease(loop, now);
 }
 
-/* Whether this controller's member key is not what it wrote. When a controller restarts within a
- * moment, a request of its earlier incarnation may be carried out after its own: the key then names
- * that incarnation, and is deleted when that incarnation's lease expires. The key is then written
- * anew. */
-static bool is_displaced_locked(const member_loop_t *loop, msec_t now)
+/* Returns whether this controller's member key is missing or names another incarnation, so that it
+ * must be written again. When a controller restarts quickly, the key-value store may execute a
+ * request of its earlier process after those of the new one. The key then names the earlier
+ * incarnation, and is deleted when the lease of that incarnation expires. The check waits for
+ * MEMBER_RECHECK_MS after a write, until the watch has reported the written key. */
+static bool has_lost_member_key_locked(const member_loop_t *loop, msec_t now)
 {
     const controller_t *controller = loop->controller;
     return controller->membership.is_view_synced && loop->lease &&
@@ -93,7 +96,8 @@
            election_is_displaced(&controller->membership.election);
 }
 
-static guint count_in_zone(const settings_t *settings, const char *zone)
+/* Returns the number of controllers in the zone, this one included. */
+static guint count_controllers_in_zone(const settings_t *settings, const char *zone)
 {
     guint count = strcmp(settings->zone, zone) == 0;
     for (guint i = 0; i < settings->siblings->len; i++)
@@ -101,27 +105,30 @@
     return count;
 }
 
-/* Whether other controllers are better candidates. A controller alone in its zone owns all the
- * machines there, and when the zone is cut off no other controller reaches them: it should not
- * carry the leader's load as well. */
+/* Returns whether another zone has more controllers than this one, which makes its controllers
+ * better candidates. A controller that is alone in its zone owns all machines there, and no other
+ * controller can reach them when the zone is cut off, so it should not carry the leader's load as
+ * well. */
 static bool should_yield(const settings_t *settings)
 {
-    guint own = count_in_zone(settings, settings->zone);
-    guint most = own;
+    guint own_count = count_controllers_in_zone(settings, settings->zone);
+    guint largest_count = own_count;
     for (guint i = 0; i < settings->siblings->len; i++) {
         const char *zone = g_array_index(settings->siblings, sibling_t, i).zone;
-        most = MAX(most, count_in_zone(settings, zone));
+        largest_count = MAX(largest_count, count_controllers_in_zone(settings, zone));
     }
-    return own < most;
+    return own_count < largest_count;
 }
 
-/* Waits for a random time, so that few candidacies collide. */
+/* Waits for a random time, so that controllers seldom try to take view/lease at the same moment. A
+ * less suitable candidate waits longer. */
 static void wait_before_candidacy(member_loop_t *loop)
 {
     controller_t *controller = loop->controller;
     pthread_mutex_lock(&controller->lock);
-    /* A lease in this controller's name, of its earlier process: no other controller can have it
-     * now, so there is nobody to yield to. */
+    /* The election is vacant, so a lease that still exists belongs to an earlier process of this
+     * controller. Until it expires no other controller can take it, so there is no candidate to
+     * yield to. */
     bool has_own_lease = controller->membership.election.lease_revision != 0;
     pthread_mutex_unlock(&controller->lock);
     msec_t delay = arc4random_uniform(ELECT_SPREAD_MS);
@@ -130,7 +137,8 @@
     controller_sleep(delay);
 }
 
-static void try_lead(member_loop_t *loop)
+/* Tries to take view/lease and to install a view that this controller leads. */
+static void try_to_lead(member_loop_t *loop)
 {
     controller_t *controller = loop->controller;
     wait_before_candidacy(loop);
@@ -141,7 +149,7 @@
     uint64_t lease_revision = controller->membership.election.lease_revision;
     g_strlcpy(next.leader, controller->settings->name, sizeof next.leader);
     election_fill_members(&controller->membership.election, &next, clock_steady());
-    /* Another controller may have taken the lease during the wait. */
+    /* Another controller may have taken view/lease during the wait. */
     bool is_taken = election_is_taken(&controller->membership.election);
     pthread_mutex_unlock(&controller->lock);
     if (is_taken)
@@ -154,6 +162,7 @@
         controller_sleep(ELECT_SPREAD_MS);
 }
 
+/* Installs a view with the current members, under the same leader. */
 static void change_members(member_loop_t *loop)
 {
     controller_t *controller = loop->controller;
@@ -166,7 +175,7 @@
     view_change(controller, loop->client, &next, revision, 0, 0);
 }
 
-/* Whether this controller leads, and the members of the next view differ from those of this one. */
+/* Returns whether this controller leads and the members of the installed view are out of date. */
 static bool has_pending_members_locked(const controller_t *controller, msec_t now)
 {
     view_t next = controller->membership.view;
@@ -175,27 +184,29 @@
            !election_same_members(&next, &controller->membership.view);
 }
 
-/* How long there is nothing to do if nothing happens. has_pending_members: a change of members
- * waits for further ones. */
+/* Returns how long the loop waits unless membership.changed wakes it earlier: until the lease is to
+ * be extended, but only MEMBER_TICK_MS while a change of members waits for further changes
+ * (has_pending_members), a member is excluded, or the member key is lost. */
 static msec_t next_wait_locked(const member_loop_t *loop, bool has_pending_members, msec_t now)
 {
     const election_t *election = &loop->controller->membership.election;
     msec_t wait = loop->lease ? loop->extended_at + LEASE_EXTEND_GAP_MS - now : 0;
-    wait = MAX(wait, MEMBER_TICK_MS); /* a call that failed is not repeated sooner */
+    wait = MAX(wait, MEMBER_TICK_MS); /* a failed call is not retried sooner */
     bool has_excluded = g_hash_table_size(election->excluded) > 0;
-    bool is_displaced = loop->lease && election_is_displaced(election);
-    if (has_pending_members || has_excluded || is_displaced)
+    bool has_lost_member_key = loop->lease && election_is_displaced(election);
+    if (has_pending_members || has_excluded || has_lost_member_key)
         wait = MIN(wait, MEMBER_TICK_MS);
     return wait;
 }
 
-/* Finds out what is to be done; if nothing is, waits until something may be. */
+/* Returns what is to be done. If there is nothing to do, waits until that may have changed and
+ * returns MEMBER_ACTION_NONE. Takes the lock. */
 static member_action_t await_action(member_loop_t *loop, msec_t now)
 {
     controller_t *controller = loop->controller;
     const membership_t *membership = &controller->membership;
     pthread_mutex_lock(&controller->lock);
-    if (is_displaced_locked(loop, now)) {
+    if (has_lost_member_key_locked(loop, now)) {
         log_info("event=member_key_conflict host=%s", controller->settings->name);
         loop->lease = 0;
     }
@@ -218,12 +229,12 @@
     member_loop_t loop = {.controller = data, .client = http_client_new(2)};
     for (;;) {
         msec_t now = clock_steady();
-        keep_lease(&loop, now);
+        maintain_lease(&loop, now);
         switch (await_action(&loop, now)) {
         case MEMBER_ACTION_NONE:
             break;
         case MEMBER_ACTION_LEAD:
-            try_lead(&loop);
+            try_to_lead(&loop);
             break;
         case MEMBER_ACTION_CHANGE_MEMBERS:
             change_members(&loop);
--- a/src/controller/membership/membership.c
+++ b/src/controller/membership/membership.c
@@ -4,8 +4,10 @@
 #include "io/clock.h"
 #include "io/log.h"
 
-/* Workers that are retained here because they could not reach a former owner are redirected to the
- * new one: the leader takes a machine of which it receives no heartbeats for dead. */
+/* Clears the redirections if the new view changes the owners of machines. Workers that are retained
+ * here because they could not reach their former owner are then redirected to the new one. They
+ * must move there, because the leader considers a machine dead if it learns of no heartbeats from
+ * it. */
 static void clear_redirection_if_owners_change(controller_t *controller, const view_t *view)
 {
     if (view->incarnation != controller->membership.view.incarnation ||
@@ -13,15 +15,16 @@
         redirection_clear(controller->membership.redirection, view->number, clock_steady());
 }
 
-/* The counts that this controller made as the leader are shown to users until those of another
- * leader, or its own next ones, are here. */
-static void keep_own_counts(controller_t *controller)
+/* Copies the job counts that this controller made as the leader to its replica. Users are answered
+ * from there until the counts of another leader, or the next ones made here, replace them. */
+static void copy_own_counts(controller_t *controller)
 {
     job_counts_update_t all = leader_counts(controller->placement.leader, 0, 0, G_MAXUINT);
     job_counts_replica_apply(&controller->jobs.counts, &all);
     job_counts_update_clear(&all);
 }
 
+/* Sets whether this controller leads the installed view, and when its leadership began. */
 static void update_leadership(controller_t *controller)
 {
     membership_t *membership = &controller->membership;
@@ -34,6 +37,7 @@
         autoscaler_begin_leadership(controller->autoscaler);
 }
 
+/* Frees the channels of the previous view, and the summaries that were received through them. */
 static void drop_channels(peer_state_t *peers)
 {
     for (guint i = 0; i < peers->channels->len; i++)
@@ -47,8 +51,8 @@
     g_clear_pointer(&peers->leader_channel, channel_free);
 }
 
-/* Finds this controller and the leader among the members of the installed view. */
-static void find_indices(controller_t *controller)
+/* Sets the indices of this controller and of the leader among the members of the installed view. */
+static void update_member_indices(controller_t *controller)
 {
     membership_t *membership = &controller->membership;
     const view_t *view = &membership->view;
@@ -62,7 +66,7 @@
     }
 }
 
-/* New channels for the members of the installed view. */
+/* Creates the channels for the installed view. */
 static void open_channels(controller_t *controller)
 {
     peer_state_t *peers = &controller->peers;
@@ -87,12 +91,12 @@
         return;
     clear_redirection_if_owners_change(controller, view);
     if (controller->membership.is_leader && controller->placement.is_loaded)
-        keep_own_counts(controller);
+        copy_own_counts(controller);
     controller->membership.view = *view;
     update_leadership(controller);
     controller->placement.is_loaded = false;
     controller->placement.generation++;
-    find_indices(controller);
+    update_member_indices(controller);
     drop_channels(&controller->peers);
     open_channels(controller);
     controller_share_rate_limits(controller, MAX(view->count, 1));
--- a/src/controller/membership/view_store.c
+++ b/src/controller/membership/view_store.c
@@ -19,8 +19,9 @@
     json_decref(entry.value);
 }
 
-static kv_txn_t build_change(const view_t *next, uint64_t revision, uint64_t lease,
-                             uint64_t lease_revision)
+/* Returns the transaction of view_change() (transfer full). */
+static kv_txn_t build_view_txn(const view_t *next, uint64_t revision, uint64_t lease,
+                               uint64_t lease_revision)
 {
     kv_txn_t txn = kv_txn_new();
     kv_txn_require_revision(&txn, "view/number", revision);
@@ -37,8 +38,8 @@
 static void install_changed_view(controller_t *controller, const view_t *view, bool has_taken_lease)
 {
     pthread_mutex_lock(&controller->lock);
-    /* Recorded before the watch shows it: otherwise the lease would seem vacant, and the member
-     * loop would take it again. */
+    /* The lease is recorded without waiting for the watch to report it. Otherwise it would seem
+     * vacant until then, and the member loop would try to take it again. */
     if (has_taken_lease)
         election_record_lease(&controller->membership.election, view->leader, view->incarnation,
                               view->revision);
@@ -49,7 +50,7 @@
 kv_result_t view_change(controller_t *controller, http_client_t *client, view_t *next,
                         uint64_t revision, uint64_t lease, uint64_t lease_revision)
 {
-    kv_txn_t txn = build_change(next, revision, lease, lease_revision);
+    kv_txn_t txn = build_view_txn(next, revision, lease, lease_revision);
     rate_limiter_charge(&controller->core_request_limiter, 1, clock_steady());
     rate_limiter_charge(&controller->core_write_limiter, lease ? 2 : 1, clock_steady());
     kv_result_t result =
--- a/src/controller/membership/view_store.h
+++ b/src/controller/membership/view_store.h
@@ -1,30 +1,33 @@
 /** @file
  * Reads and changes the view in the key-value store.
  *
- * view/number holds the view: its number, which is the fencing token, its leader and its members.
- * view/lease is attached to the leader's lease, view/members/NAME to each controller's own lease.
- * Every change is conditional on the revision of view/number, so that a change which is carried out
- * late, after a newer one, fails.
+ * The key view/number holds the view: its number, which is the fencing token, its leader and its
+ * members. The key view/lease names the leader and is attached to the leader's lease. Each key
+ * view/members/NAME is attached to the lease of the controller with that name. Every change of
+ * the view is conditional on the revision of view/number, so it fails if the key-value store
+ * executes it late, after a newer one.
  *
- * The calling thread must not hold the controller's lock, and brings its own client.
+ * The calling thread must not hold the controller's lock, and passes an HTTP client of its own.
  */
 #ifndef PEPPERPULLEY_VIEW_STORE_H
 #define PEPPERPULLEY_VIEW_STORE_H
 
 #include "controller/controller.h"
 
-/** Sets view/number to @p next if it still has @p revision, and installs the view. On any other
- * result but KV_NOT_EXECUTED it reads the view, which then is another controller's, or this one if
- * the answer was lost.
+/** Sets view/number to @p next if the key still has @p revision, and installs the view with its new
+ * revision, which is also stored in @p next. Returns the result of the transaction. On any result
+ * other than KV_OK and KV_NOT_EXECUTED, reads view/number and installs what it holds: the view
+ * that another change made or, if only the answer was lost, this one.
  *
- * @p next gets the new revision. @p lease: also takes view/lease, if that still has
- * @p lease_revision (0: does not exist), and attaches it to this lease of the key-value store; 0:
- * leaves view/lease as it is. */
+ * If @p lease is not 0, the same transaction also takes view/lease and attaches it to @p lease, a
+ * lease id of the key-value store. That requires view/lease to have @p lease_revision still, or not
+ * to exist if @p lease_revision is 0. If @p lease is 0, view/lease stays as it is. */
 kv_result_t view_change(controller_t *controller, http_client_t *client, view_t *next,
                         uint64_t revision, uint64_t lease, uint64_t lease_revision);
 
-/** Increments the fencing token; leader and members stay. Returns whether the installed view now
- * has a higher number than before; false: try again. */
+/** Increments the fencing token by installing a view with the next number and the same leader and
+ * members. Returns whether the installed view has a higher number than before. If not, the caller
+ * may try again. */
 bool view_advance_fencing_token(controller_t *controller, http_client_t *client);
 
 /** Reads view/number and installs the view if it is newer. */
--- a/src/controller/membership/view_watch.c
+++ b/src/controller/membership/view_watch.c
@@ -61,7 +61,8 @@
         pthread_cond_broadcast(&controller->membership.changed);
 }
 
-/* Until view/ was read again, what is known of the lease may be out of date: no election. */
+/* What is known about view/lease may be out of date until view/ has been read again, so this
+ * controller does not try to lead before that. */
 static void handle_compaction(controller_t *controller)
 {
     controller->membership.is_view_synced = false;
--- a/src/controller/peer/peer_state.h
+++ b/src/controller/peer/peer_state.h
@@ -12,8 +12,8 @@
 #include "core/replication/summary_update.h"
 
 /** The state of the peer exchange. Arrays of MEMBERS_MAX_COUNT are in the order of the view's
- * members unless their comment says otherwise. Times are in ms of this controller's steady clock.
- */
+ * members, unless the comment of the field says otherwise. Times are in ms of this controller's
+ * steady clock. */
 typedef struct peer_state {
     pthread_cond_t item_available; /**< Broadcast when an item is queued for a partition, when a
                                         view is installed, and when its records are loaded. */
