--- a/src/core/leader/admission.c
+++ b/src/core/leader/admission.c
@@ -1,4 +1,4 @@
-/* Admission: what a team's quota and a job's own state admit now. */
+/* Admission: whether a team's quota and a job's own state permit another task now. */
 #include "core/leader/leader_internal.h"
 
 #include <string.h>
@@ -27,19 +27,19 @@
            is_within_limit(state->outstanding_gpus, need.gpus, state->team.max_gpus);
 }
 
-uint32_t leader_job_pending(const job_t *job)
+uint32_t leader_pending_task_count(const job_t *job)
 {
     uint32_t taken = job->done_count + job->outstanding_count;
     return taken < job->spec.tasks ? job->spec.tasks - taken : 0;
 }
 
-/* A job that fails wherever it runs must not fill the partitions with reservations, a known
- * weakness of projected least-loaded placement. After repeated failures it gets one attempt at a
- * time, with a growing back-off between them. */
+/* A job that fails on every machine must not fill the partitions with reservations, which is a
+ * known weakness of projected least-loaded placement. After repeated failures, the job gets one
+ * attempt at a time, with a growing back-off between attempts. */
 bool leader_job_admits(const job_t *job)
 {
     bool is_failing = job->consecutive_errors >= JOB_ERRORS_ALARM_COUNT;
-    return !job->is_ending && !(is_failing && job->outstanding_count > 0);
+    return !job->is_completion_in_flight && !(is_failing && job->outstanding_count > 0);
 }
 
 bool leader_is_job_blocked(const job_t *job, msec_t now)
--- a/src/core/leader/demand.c
+++ b/src/core/leader/demand.c
@@ -1,13 +1,13 @@
-/* The demand for machines. */
+/* The demand for machines, which the autoscaler serves. */
 #include "core/leader/demand.h"
 
 #include "core/leader/leader_internal.h"
 
-/* Tasks of the job for which machines are in demand: within the team's limit, and a single one for
- * a job that keeps failing. */
+/* Returns the number of pending tasks of the job that fit within the cpu limit of its team, but at
+ * most one for a job that fails repeatedly. */
 static uint32_t count_demanded_tasks(const job_t *job, const team_state_t *state)
 {
-    uint32_t tasks = leader_job_pending(job);
+    uint32_t tasks = leader_pending_task_count(job);
     if (state->team.max_cpus > 0 && job->spec.need.cpus > 0) {
         double cpus_left = MAX(state->team.max_cpus - state->outstanding_cpus, 0);
         double tasks_left = cpus_left / job->spec.need.cpus;
--- a/src/core/leader/demand.h
+++ b/src/core/leader/demand.h
@@ -1,5 +1,5 @@
 /** @file
- * The demand for machines: tasks that wait, within the limits of their teams and jobs.
+ * The demand for machines: the pending tasks, within the limits of their teams and jobs.
  */
 #ifndef PEPPERPULLEY_DEMAND_H
 #define PEPPERPULLEY_DEMAND_H
@@ -10,11 +10,12 @@
 typedef struct demand {
     job_t *job;     /**< Borrowed from the leader. */
     guint team;     /**< Index of its team in leader_t.teams. */
-    uint32_t tasks; /**< Tasks that have no machine and may get one; above 0. */
+    uint32_t tasks; /**< Number of pending tasks that may be placed; above 0. */
 } demand_t;
 
-/** Returns the demand of all live jobs that are not backed off at @p now: an array of demand_t,
- * valid until the leader is changed. Transfer full. Called with the controller's lock held. */
+/** Returns the demand of the live jobs whose tasks may be placed at @p now, which leaves out jobs
+ * that are backing off: an array of demand_t. The job pointers in it are valid until the leader is
+ * changed. Transfer full. Called with the controller's lock held. */
 GArray *leader_demand(const leader_t *leader, msec_t now);
 
 #endif
--- a/src/core/leader/failure_records.c
+++ b/src/core/leader/failure_records.c
@@ -1,9 +1,9 @@
-/* Failure records: jobs that back off, machines that are quarantined. */
+/* Failure records: back-off of jobs and quarantine of machines after failed attempts. */
 #include "core/leader/leader_internal.h"
 
 #include <string.h>
 
-/* The wait has reached JOB_BACKOFF_MAX_MS by then. */
+/* Limits the shift. After this many doublings the wait has reached JOB_BACKOFF_MAX_MS. */
 enum { BACKOFF_DOUBLINGS_MAX = 5 };
 
 static void back_off_until(job_t *job, msec_t retry_at)
@@ -11,7 +11,7 @@
     job->retry_at = MAX(job->retry_at, retry_at);
 }
 
-/* The first failures cost the job nothing: they may be the machines' fault. */
+/* The first failures cause no back-off, since a faulty machine may have caused them. */
 static void back_off_after_error(job_t *job, msec_t now)
 {
     job->consecutive_errors++;
@@ -38,7 +38,7 @@
     case CAUSE_STOPPED:
     case CAUSE_PEERS:
     case CAUSE_ALONE:
-        break; /* nothing against the job */
+        break; /* not a failure of the job */
     }
 }
 
@@ -47,16 +47,17 @@
     failure_record_t *record = g_hash_table_lookup(leader->failure_records, result->machine);
     if (!record) {
         record = g_new0(failure_record_t, 1);
-        g_strlcpy(record->job, result->ref.job, sizeof record->job);
+        g_strlcpy(record->first_failed_job, result->ref.job, sizeof record->first_failed_job);
         g_hash_table_insert(leader->failure_records, g_strdup(result->machine), record);
     }
     return record;
 }
 
-/* An error is mostly the machine's. A machine on which everything fails at once always has the
- * lowest load, so least-loaded placement would send it all work. But a job submitted with a mistake
- * fails on every machine, and must not quarantine them all. So a quarantine takes several failures
- * without a success between them, of more than one job or of a job that has finished tasks. */
+/* Most errors are caused by the machine. A machine on which every task fails at once always has the
+ * lowest load, so least-loaded placement would send all work to it. However, a job that was
+ * submitted with a mistake fails on every machine and must not cause all of them to be quarantined.
+ * A machine is therefore quarantined only after several failures without a success in between, if
+ * they concern more than one job or a job that has finished tasks. */
 void leader_record_failure(leader_t *leader, const attempt_result_t *result, const job_t *job)
 {
     if (result->cause == CAUSE_DONE) {
@@ -67,8 +68,8 @@
         return;
     failure_record_t *record = failure_record_of(leader, result);
     record->error_count++;
-    bool has_job_succeeded = job && job->done_count > 0;
-    if (has_job_succeeded || strcmp(record->job, result->ref.job) != 0)
+    bool has_finished_tasks = job && job->done_count > 0;
+    if (has_finished_tasks || strcmp(record->first_failed_job, result->ref.job) != 0)
         record->is_machine_at_fault = true;
 }
 
--- a/src/core/leader/job_progress.c
+++ b/src/core/leader/job_progress.c
@@ -1,10 +1,11 @@
-/* Job progress: the done bits of jobs, and the batches that make them durable. */
+/* Job progress: which tasks are done, and the batches that make this durable. */
 #include "core/leader/job_progress.h"
 
 #include "core/leader/leader_internal.h"
 
-/* The end of a job deletes jobs/<id> and writes ended/<id>; and it deletes each chunk. */
-enum { JOB_END_OPS = 2 };
+/* Operations of a job completion besides those that delete the job's chunks: one deletes jobs/<id>
+ * and one writes ended/<id>. */
+enum { JOB_COMPLETION_OPS = 2 };
 
 void leader_mark_task_done(job_t *job, uint32_t task)
 {
@@ -48,34 +49,34 @@
     return usage->ops + ops <= usage->max_ops && usage->bytes + bytes <= usage->max_bytes;
 }
 
-/* What every entry of the job's progress has. */
-static progress_t progress_of(const job_t *job)
+/* Returns a progress entry with the fields that all entries of the job have in common. */
+static progress_t make_progress_entry(const job_t *job)
 {
     progress_t progress = {.done = job->done_count, .job_revision = job->revision};
     g_strlcpy(progress.job, job->spec.id, sizeof progress.job);
     return progress;
 }
 
-static void append_end(job_t *job, GArray *batch, kv_txn_usage_t *usage)
+static void append_job_completion(job_t *job, GArray *batch, kv_txn_usage_t *usage)
 {
-    progress_t progress = progress_of(job);
+    progress_t progress = make_progress_entry(job);
     progress.is_job_end = true;
     progress.old_revisions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     g_array_append_vals(progress.old_revisions, job->chunk_revisions->data,
                         job->chunk_revisions->len);
-    usage->ops += JOB_END_OPS;
+    usage->ops += JOB_COMPLETION_OPS;
     usage->bytes += PROGRESS_BYTES;
     for (guint i = 0; i < job->chunk_revisions->len; i++)
         usage->ops += g_array_index(job->chunk_revisions, uint64_t, i) != 0;
-    job->is_ending = true;
+    job->is_completion_in_flight = true;
     g_array_append_val(batch, progress);
 }
 
-static void append_chunk(const job_t *job, guint chunk, GArray *batch)
+static void append_chunk_progress(const job_t *job, guint chunk, GArray *batch)
 {
     uint32_t first = chunk * CHUNK_BITS;
     uint32_t count = MIN((uint32_t)CHUNK_BITS, job->spec.tasks - first);
-    progress_t progress = progress_of(job);
+    progress_t progress = make_progress_entry(job);
     progress.chunk = chunk;
     progress.revision = g_array_index(job->chunk_revisions, uint64_t, chunk);
     progress.bytes = task_bitmap_bytes(count);
@@ -83,33 +84,33 @@
     g_array_append_val(batch, progress);
 }
 
-/* All progress of the job is in the batch. */
-static void mark_taken(job_t *job)
+/* Marks all progress of the job as part of the batch that is about to be committed. */
+static void mark_commit_in_flight(job_t *job)
 {
     job->dirty_chunks = 0;
-    job->acknowledging = job->unacknowledged;
-    job->unacknowledged = g_array_new(FALSE, FALSE, sizeof(partition_attempt_t));
+    job->committing_attempts = job->uncommitted_attempts;
+    job->uncommitted_attempts = g_array_new(FALSE, FALSE, sizeof(partition_attempt_t));
 }
 
-static void take_ends(leader_t *leader, GArray *batch, kv_txn_usage_t *usage)
+static void take_job_completions(leader_t *leader, GArray *batch, kv_txn_usage_t *usage)
 {
-    bool is_end_left_out = false;
+    bool is_completion_blocked = false;
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, leader->jobs);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         job_t *job = value;
-        if (job->done_count < job->spec.tasks || job->acknowledging)
+        if (job->done_count < job->spec.tasks || job->committing_attempts)
             continue;
-        guint ops = JOB_END_OPS + job->chunk_revisions->len;
+        guint ops = JOB_COMPLETION_OPS + job->chunk_revisions->len;
         if (usage->ops + ops > usage->max_ops && ops <= usage->full_ops)
-            is_end_left_out = true;
+            is_completion_blocked = true;
         if (!has_capacity(usage, ops, PROGRESS_BYTES))
             continue;
-        append_end(job, batch, usage);
-        mark_taken(job);
+        append_job_completion(job, batch, usage);
+        mark_commit_in_flight(job);
     }
-    usage->has_waiting_end = is_end_left_out && usage->ops == 0;
+    usage->has_waiting_end = is_completion_blocked && usage->ops == 0;
 }
 
 static gint compare_dirty_since(gconstpointer left, gconstpointer right)
@@ -119,9 +120,10 @@
     return (first > second) - (first < second);
 }
 
-/* Array of job_t, borrowed: unfinished jobs whose progress has waited since `before` or longer,
- * oldest first. By the order of the hash table, a low rate limit would never reach its end. */
-static GPtrArray *jobs_with_due_chunks(const leader_t *leader, msec_t before)
+/* Returns an array of job_t, borrowed: unfinished jobs with progress that is not durable and dates
+ * from due_before or earlier, oldest first. In the order of the hash table, the jobs at its end
+ * would never be reached under a low rate limit. */
+static GPtrArray *jobs_with_due_chunks(const leader_t *leader, msec_t due_before)
 {
     GPtrArray *due = g_ptr_array_new();
     GHashTableIter iter;
@@ -129,7 +131,7 @@
     g_hash_table_iter_init(&iter, leader->jobs);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         job_t *job = value;
-        if (job->dirty_chunks && !job->acknowledging && job->dirty_since_at <= before &&
+        if (job->dirty_chunks && !job->committing_attempts && job->dirty_since_at <= due_before &&
             job->done_count < job->spec.tasks)
             g_ptr_array_add(due, job);
     }
@@ -137,16 +139,18 @@
     return due;
 }
 
-/* Bytes of one chunk of the job, in base64. Without a bound on them, the chunks of the largest jobs
- * and full pages of records are more than a transaction may hold. */
+/* Returns the size in bytes of one chunk of the job as a base64 value. The total size is limited
+ * because the chunks of the largest jobs together with full pages of machine records exceed what a
+ * transaction may hold. */
 static gsize chunk_value_bytes(const job_t *job)
 {
     return PROGRESS_BYTES + task_bitmap_bytes(MIN(job->spec.tasks, CHUNK_BITS)) * 4 / 3;
 }
 
-static void take_chunks(leader_t *leader, msec_t before, GArray *batch, kv_txn_usage_t *usage)
+static void take_due_chunks(leader_t *leader, msec_t due_before, GArray *batch,
+                            kv_txn_usage_t *usage)
 {
-    g_autoptr(GPtrArray) due = jobs_with_due_chunks(leader, before);
+    g_autoptr(GPtrArray) due = jobs_with_due_chunks(leader, due_before);
     for (guint i = 0; i < due->len; i++) {
         job_t *job = g_ptr_array_index(due, i);
         guint ops = (guint)__builtin_popcount(job->dirty_chunks);
@@ -155,30 +159,32 @@
             break;
         for (guint chunk = 0; chunk < job->chunk_revisions->len; chunk++)
             if (job->dirty_chunks >> chunk & 1)
-                append_chunk(job, chunk, batch);
+                append_chunk_progress(job, chunk, batch);
         usage->ops += ops;
         usage->bytes += bytes;
-        mark_taken(job);
+        mark_commit_in_flight(job);
     }
 }
 
-/* Progress of unfinished jobs can wait, to go in fewer writes: until it is durable the workers and
- * the machines' records keep it. An end can't wait, since users wait for it. */
+/* Progress of unfinished jobs may be delayed so that several changes share a write: until it is
+ * durable, it can be recovered from the workers and the machines' records. Job completions are not
+ * delayed, because users wait for them. */
 void leader_progress_take(leader_t *leader, msec_t now, msec_t min_age, GArray *batch,
                           kv_txn_usage_t *usage)
 {
-    take_ends(leader, batch, usage);
+    take_job_completions(leader, batch, usage);
     if (!usage->has_waiting_end)
-        take_chunks(leader, now - min_age, batch, usage);
+        take_due_chunks(leader, now - min_age, batch, usage);
 }
 
-/* No commit of the job is in flight any more: moves its attempts to the array. */
-static void finish_acknowledging(job_t *job, GArray *attempts)
+/* Called when the job's commit is no longer in flight: moves the attempts of that commit to the
+ * array. */
+static void release_committing_attempts(job_t *job, GArray *attempts)
 {
-    if (!job->acknowledging)
+    if (!job->committing_attempts)
         return;
-    g_array_append_vals(attempts, job->acknowledging->data, job->acknowledging->len);
-    g_clear_pointer(&job->acknowledging, g_array_unref);
+    g_array_append_vals(attempts, job->committing_attempts->data, job->committing_attempts->len);
+    g_clear_pointer(&job->committing_attempts, g_array_unref);
 }
 
 void leader_progress_commit(leader_t *leader, const GArray *batch, uint64_t revision,
@@ -189,7 +195,7 @@
         job_t *job = g_hash_table_lookup(leader->jobs, progress->job);
         if (!job)
             continue;
-        finish_acknowledging(job, acknowledged);
+        release_committing_attempts(job, acknowledged);
         if (progress->is_job_end)
             g_hash_table_remove(leader->jobs, progress->job);
         else
@@ -204,8 +210,8 @@
         job_t *job = g_hash_table_lookup(leader->jobs, progress->job);
         if (!job)
             continue;
-        job->is_ending = false;
+        job->is_completion_in_flight = false;
         job->dirty_chunks |= progress->is_job_end ? 1U : 1U << progress->chunk;
-        finish_acknowledging(job, job->unacknowledged);
+        release_committing_attempts(job, job->uncommitted_attempts);
     }
 }
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -1,4 +1,4 @@
-/* The leader's data: jobs, what the partitions hand in, and results. */
+/* The leader's data: live jobs, the partitions' machine summaries and attempt results. */
 #include "core/leader/leader.h"
 
 #include "core/leader/leader_internal.h"
@@ -10,9 +10,9 @@
     g_free(job->done_bits);
     g_free(job->outstanding_bits);
     g_array_unref(job->chunk_revisions);
-    g_array_unref(job->unacknowledged);
-    if (job->acknowledging)
-        g_array_unref(job->acknowledging);
+    g_array_unref(job->uncommitted_attempts);
+    if (job->committing_attempts)
+        g_array_unref(job->committing_attempts);
     g_hash_table_unref(job->zone_outstanding);
     g_free(job);
 }
@@ -45,9 +45,9 @@
     leader->policy = policy;
     leader->failure_records = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     leader->machine_claims = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    const double once = 1;
-    leader->deadline_slo = g_array_new(FALSE, FALSE, sizeof(double));
-    g_array_append_val(leader->deadline_slo, once);
+    const double deadline_multiple = 1;
+    leader->default_deadline_multiples = g_array_new(FALSE, FALSE, sizeof(double));
+    g_array_append_val(leader->default_deadline_multiples, deadline_multiple);
     leader->summaries = leader_partition_arrays_new(partitions);
     leader->cpus_being_preempted = leader_partition_arrays_new(partitions);
     return leader;
@@ -60,7 +60,7 @@
     g_array_unref(leader->teams);
     g_ptr_array_unref(leader->summaries);
     g_ptr_array_unref(leader->cpus_being_preempted);
-    g_array_unref(leader->deadline_slo);
+    g_array_unref(leader->default_deadline_multiples);
     g_hash_table_unref(leader->failure_records);
     g_hash_table_unref(leader->machine_claims);
     g_free(leader);
@@ -86,7 +86,7 @@
     job->outstanding_bits = g_malloc0(task_bitmap_bytes(spec->tasks));
     job->chunk_revisions = g_array_new(FALSE, TRUE, sizeof(uint64_t));
     g_array_set_size(job->chunk_revisions, task_bitmap_chunk_count(spec->tasks));
-    job->unacknowledged = g_array_new(FALSE, FALSE, sizeof(partition_attempt_t));
+    job->uncommitted_attempts = g_array_new(FALSE, FALSE, sizeof(partition_attempt_t));
     job->zone_outstanding = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     g_hash_table_insert(leader->jobs, job->spec.id, job);
 }
@@ -109,7 +109,7 @@
     return (job_counts_t){.done = job->done_count, .outstanding = job->outstanding_count};
 }
 
-/* Replaces one element of an array of arrays. */
+/* Replaces one element of an array of arrays and frees the previous one. */
 static void replace_array(GPtrArray *arrays, guint index, GArray *array)
 {
     free_array(g_ptr_array_index(arrays, index));
@@ -134,7 +134,7 @@
     }
 }
 
-static void record_completion(job_t *job, guint partition, const task_ref_t *ref, msec_t now)
+static void record_task_completion(job_t *job, guint partition, const task_ref_t *ref, msec_t now)
 {
     job->consecutive_errors = 0;
     leader_mark_task_done(job, ref->task);
@@ -142,18 +142,18 @@
         job->dirty_since_at = now;
     job->dirty_chunks |= 1U << (ref->task / CHUNK_BITS);
     partition_attempt_t completion = {.ref = *ref, .partition = partition};
-    g_array_append_val(job->unacknowledged, completion);
+    g_array_append_val(job->uncommitted_attempts, completion);
 }
 
 void leader_handle_result(leader_t *leader, guint partition, const attempt_result_t *result,
                           msec_t now)
 {
-    job_t *job = leader_outstanding_drop(leader, &result->ref);
+    job_t *job = leader_remove_outstanding(leader, &result->ref);
     leader_record_failure(leader, result, job);
     if (!job)
         return;
     if (result->cause == CAUSE_DONE) {
-        record_completion(job, partition, &result->ref, now);
+        record_task_completion(job, partition, &result->ref, now);
         return;
     }
     job->first_pending = MIN(job->first_pending, result->ref.task);
--- a/src/core/leader/machine_claims.c
+++ b/src/core/leader/machine_claims.c
@@ -1,10 +1,11 @@
-/* Machine claims: machines that are kept for work too large to fit anywhere now. */
+/* Machine claims: machines that are kept for work that is too large to fit on any machine now. */
 #include "core/leader/leader_internal.h"
 
 #include <math.h>
 
-/* While a machine is claimed, what it has free is kept from work that would fit: so a claim ends
- * after a while, and the machine rests before the next. */
+/* Returns whether the machine may not be claimed now. The free resources of a claimed machine are
+ * kept from work that would fit there. A series of claims therefore ends after CLAIM_MAX_MS, and a
+ * new one begins CLAIM_REST_MS later at the earliest. */
 static bool is_claim_exhausted(const leader_t *leader, const char *machine, msec_t now)
 {
     const machine_claim_t *claim = g_hash_table_lookup(leader->machine_claims, machine);
@@ -34,39 +35,42 @@
            !is_claim_exhausted(leader, summary->machine, now);
 }
 
-/* The claimable machine that lacks the fewest cpus for a task of the job; NULL: none. */
+/* Returns the claimable machine that lacks the fewest free cpus for a task of the job, or NULL if
+ * no machine is claimable. */
 static machine_summary_t *choose_machine_to_claim(leader_t *leader, const job_spec_t *spec,
                                                   msec_t now)
 {
     machine_summary_t *chosen = NULL;
-    double least_lack = INFINITY;
+    double least_shortfall = INFINITY;
     for (guint i = 0; i < leader->summaries->len; i++) {
         GArray *summaries = g_ptr_array_index(leader->summaries, i);
         for (guint k = 0; summaries && k < summaries->len; k++) {
             machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
             leader->round.summaries_examined++;
-            double lack = spec->need.cpus - summary->free.cpus;
-            if (lack >= least_lack || !is_claimable(leader, summary, spec, now))
+            double shortfall = spec->need.cpus - summary->free.cpus;
+            if (shortfall >= least_shortfall || !is_claimable(leader, summary, spec, now))
                 continue;
             chosen = summary;
-            least_lack = lack;
+            least_shortfall = shortfall;
         }
     }
     return chosen;
 }
 
-/* Resources are freed a small task at a time, and small tasks of lower priority would take them
- * each time: a large one would wait for ever, though it goes first. So the machines that lack least
- * for it are claimed until it fits; once it has run, the next of its size fits when it ends. */
-static bool claim_machine(leader_t *leader, const job_t *job, priority_t below, msec_t now)
+/* Claims one machine for a task of the job. Running small tasks free their resources one at a time,
+ * and small tasks of lower priority would take them each time. A large task would then wait forever
+ * although it is first in the queue. The machines that lack the fewest free cpus for it are
+ * therefore claimed until it fits. Once it has run, its end frees enough for another task of its
+ * size. */
+static bool claim_machine(leader_t *leader, const job_t *job, priority_t claim_priority, msec_t now)
 {
-    guint most_claims = MAX(1, leader->round.machine_count / CLAIMED_MACHINES_DIVISOR);
-    if (leader->round.claimed_count >= most_claims)
+    guint max_claims = MAX(1, leader->round.machine_count / CLAIMED_MACHINES_DIVISOR);
+    if (leader->round.claimed_count >= max_claims)
         return false;
     machine_summary_t *chosen = choose_machine_to_claim(leader, &job->spec, now);
     if (!chosen)
         return false;
-    chosen->claim_priority = (int)below;
+    chosen->claim_priority = (int)claim_priority;
     leader->round.claimed_count++;
     record_claim(leader, chosen->machine, now);
     return true;
@@ -76,26 +80,26 @@
                            msec_t now)
 {
     const job_t *job = queued->job;
-    priority_t below = job->spec.priority;
-    guint wanted = MIN(leader_job_pending(job), CLAIMED_MACHINES_PER_JOB_COUNT);
+    priority_t claim_priority = job->spec.priority;
+    guint wanted = MIN(leader_pending_task_count(job), CLAIMED_MACHINES_PER_JOB_COUNT);
     if (queued->starvation_minimum) {
-        below = MAX(PRIORITY_HIGH, job->spec.priority);
+        claim_priority = MAX(PRIORITY_HIGH, job->spec.priority);
         wanted = queued->starvation_minimum - job->outstanding_count;
     }
-    if (below <= PRIORITY_LOW || !leader_team_admits(state, job->spec.need))
+    if (claim_priority <= PRIORITY_LOW || !leader_team_admits(state, job->spec.need))
         return;
-    while (wanted > 0 && claim_machine(leader, job, below, now))
+    while (wanted > 0 && claim_machine(leader, job, claim_priority, now))
         wanted--;
 }
 
-static void add_machine(leader_round_t *round, const machine_summary_t *summary)
+static void add_to_totals(leader_round_t *round, const machine_summary_t *summary)
 {
     round->machine_count++;
     if (!summary->is_open)
         return;
-    round->most_free.cpus = MAX(round->most_free.cpus, summary->free.cpus);
-    round->most_free.gpus = MAX(round->most_free.gpus, summary->free.gpus);
-    round->most_free.memory = MAX(round->most_free.memory, summary->free.memory);
+    round->max_free.cpus = MAX(round->max_free.cpus, summary->free.cpus);
+    round->max_free.gpus = MAX(round->max_free.gpus, summary->free.gpus);
+    round->max_free.memory = MAX(round->max_free.memory, summary->free.memory);
 }
 
 void leader_begin_round(leader_t *leader)
@@ -106,7 +110,7 @@
         for (guint k = 0; summaries && k < summaries->len; k++) {
             machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, k);
             summary->claim_priority = PRIORITY_LOW;
-            add_machine(&leader->round, summary);
+            add_to_totals(&leader->round, summary);
         }
     }
 }
--- a/src/core/leader/outstanding_attempts.c
+++ b/src/core/leader/outstanding_attempts.c
@@ -1,19 +1,19 @@
-/* Outstanding attempts: what counts against the teams' quotas and the jobs' zones. */
+/* Outstanding attempts, which count against team quotas and the zone constraints of jobs. */
 #include "core/leader/leader_internal.h"
 
 #include <string.h>
 
-static void count_in_zone(job_t *job, const char *zone, int change)
+static void adjust_zone_count(job_t *job, const char *zone, int delta)
 {
     if (!zone[0])
         return;
-    int count = GPOINTER_TO_INT(g_hash_table_lookup(job->zone_outstanding, zone)) + change;
+    int count = GPOINTER_TO_INT(g_hash_table_lookup(job->zone_outstanding, zone)) + delta;
     g_hash_table_insert(job->zone_outstanding, g_strdup(zone), GINT_TO_POINTER(count));
 }
 
-/* Its job, if that is live, may be smaller than the record says: the task's bit is set only if
- * there is one. */
-static void count_for_job(leader_t *leader, const outstanding_t *outstanding)
+/* Counts the attempt for its job if the job is live. The index of the task comes from a machine's
+ * record and may exceed the number of the job's tasks. The task's bit is set only if it exists. */
+static void add_to_job(leader_t *leader, const outstanding_t *outstanding)
 {
     job_t *job = g_hash_table_lookup(leader->jobs, outstanding->ref.job);
     if (!job)
@@ -23,10 +23,10 @@
         task_bitmap_set(job->outstanding_bits, task, true);
         job->outstanding_count++;
     }
-    count_in_zone(job, outstanding->zone, 1);
+    adjust_zone_count(job, outstanding->zone, 1);
 }
 
-void leader_outstanding_add(leader_t *leader, task_ref_t ref, const char *team, resources_t need,
+void leader_add_outstanding(leader_t *leader, task_ref_t ref, const char *team, resources_t need,
                             const char *zone, guint partition)
 {
     outstanding_t *outstanding = g_new0(outstanding_t, 1);
@@ -41,10 +41,10 @@
         state->outstanding_gpus += need.gpus;
     }
     g_hash_table_insert(leader->outstanding, &outstanding->ref, outstanding);
-    count_for_job(leader, outstanding);
+    add_to_job(leader, outstanding);
 }
 
-job_t *leader_outstanding_drop(leader_t *leader, const task_ref_t *ref)
+job_t *leader_remove_outstanding(leader_t *leader, const task_ref_t *ref)
 {
     outstanding_t *outstanding = g_hash_table_lookup(leader->outstanding, ref);
     if (!outstanding || outstanding->ref.attempt != ref->attempt)
@@ -56,7 +56,7 @@
     }
     job_t *job = g_hash_table_lookup(leader->jobs, outstanding->ref.job);
     if (job)
-        count_in_zone(job, outstanding->zone, -1);
+        adjust_zone_count(job, outstanding->zone, -1);
     g_hash_table_remove(leader->outstanding, ref);
     if (!job || ref->task >= job->spec.tasks)
         return NULL;
@@ -70,7 +70,7 @@
 void leader_load_attempt(leader_t *leader, const record_entry_t *entry, const char *zone,
                          guint partition)
 {
-    leader_outstanding_add(leader, task_ref(entry->job, entry->task, entry->attempt), entry->team,
+    leader_add_outstanding(leader, task_ref(entry->job, entry->task, entry->attempt), entry->team,
                            entry->need, zone, partition);
 }
 
--- a/src/core/leader/partition_choice.c
+++ b/src/core/leader/partition_choice.c
@@ -1,10 +1,11 @@
-/* Choice of a partition: the leader's step of projected least-loaded placement. */
+/* Choice of a partition: the first step of projected least-loaded placement. */
 #include "core/leader/leader_internal.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Whether the machine takes one task of the job now, the job's other tasks aside. */
+/* Returns whether the machine can take one task of the job now. The constraints between the tasks
+ * of the job (same zone, spread) are not considered. */
 static bool is_eligible(const machine_summary_t *summary, const job_spec_t *spec)
 {
     return summary->is_open && (int)spec->priority >= summary->claim_priority &&
@@ -24,7 +25,8 @@
     return false;
 }
 
-/* Whether the job's other outstanding tasks admit one more in the zone. */
+/* Returns whether the same-zone and spread constraints of the job, given its outstanding attempts,
+ * permit one more task in the zone. */
 static bool zone_admits(const job_t *job, const char *zone)
 {
     if (job->spec.needs_same_zone && has_outstanding_outside(job, zone))
@@ -35,7 +37,8 @@
     return count + 1 <= (int)((job->spec.tasks + 1) / 2);
 }
 
-/* The projected load of the machine: its fuller resource, with one more task of the job. */
+/* Returns the projected load of the machine with one more task of the job: the fraction in use of
+ * its cpus or of its memory, whichever is higher. */
 static double projected_load(const machine_summary_t *summary, const job_t *job)
 {
     double cpus = summary->free.cpus - job->spec.need.cpus;
@@ -44,13 +47,13 @@
                1 - memory / MAX(summary->total.memory, EPSILON));
 }
 
-/* The machine of a partition that admits a task and would have the least projected load with it;
- * NULL: none. summaries: NULL: not received yet. free_cpus: receives what is free on all machines
- * that admit it. */
+/* Returns the partition's machine that admits a task of the job and has the lowest projected load
+ * with it, or NULL if no machine admits it. summaries is NULL if the partition has sent none yet.
+ * free_cpus receives the sum of the free cpus of all machines that admit the task. */
 static machine_summary_t *choose_in_partition(const job_t *job, GArray *summaries,
                                               double *free_cpus)
 {
-    bool is_zone_bound = job->spec.needs_same_zone || job->spec.needs_spread;
+    bool has_zone_constraint = job->spec.needs_same_zone || job->spec.needs_spread;
     double lowest = INFINITY;
     machine_summary_t *best = NULL;
     *free_cpus = 0;
@@ -58,7 +61,7 @@
         machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, i);
         if (!is_eligible(summary, &job->spec))
             continue;
-        if (is_zone_bound && !zone_admits(job, summary->zone))
+        if (has_zone_constraint && !zone_admits(job, summary->zone))
             continue;
         *free_cpus += summary->free.cpus;
         double load = projected_load(summary, job);
@@ -73,24 +76,25 @@
 machine_summary_t *leader_choose_summary(leader_t *leader, const job_t *job, guint *partition)
 {
     machine_summary_t *chosen = NULL;
-    double most_free = -1;
-    if (!resources_fit(job->spec.need, leader->round.most_free))
+    double max_free_cpus = -1;
+    if (!resources_fit(job->spec.need, leader->round.max_free))
         return NULL;
     for (guint i = 0; i < leader->summaries->len; i++) {
         double free_cpus = 0;
         GArray *summaries = g_ptr_array_index(leader->summaries, i);
         machine_summary_t *best = choose_in_partition(job, summaries, &free_cpus);
         leader->round.summaries_examined += summaries ? summaries->len : 0;
-        if (!best || free_cpus <= most_free)
+        if (!best || free_cpus <= max_free_cpus)
             continue;
-        most_free = free_cpus;
+        max_free_cpus = free_cpus;
         chosen = best;
         *partition = i;
     }
     return chosen;
 }
 
-/* Cpus of a partition's open machines that the job allows, free or not. */
+/* Returns the total cpus, free or in use, of the partition's machines that accept starts and that
+ * the job allows. */
 static double allowed_cpus(const GArray *summaries, const job_spec_t *spec)
 {
     double cpus = 0;
@@ -106,12 +110,12 @@
 guint leader_largest_partition(const leader_t *leader, const job_spec_t *spec)
 {
     guint largest = G_MAXUINT;
-    double most_cpus = 0;
+    double max_cpus = 0;
     for (guint i = 0; i < leader->summaries->len; i++) {
         double cpus = allowed_cpus(g_ptr_array_index(leader->summaries, i), spec);
-        if (cpus <= most_cpus)
+        if (cpus <= max_cpus)
             continue;
-        most_cpus = cpus;
+        max_cpus = cpus;
         largest = i;
     }
     return largest;
--- a/src/core/leader/published_counts.c
+++ b/src/core/leader/published_counts.c
@@ -1,4 +1,4 @@
-/* Published counts: the jobs' counts as the replicas receive them. */
+/* Published counts: the task counts of the live jobs that the leader sends to the replicas. */
 #include "core/leader/leader_internal.h"
 
 static gint compare_counts_versions(gconstpointer left, gconstpointer right)
@@ -18,7 +18,8 @@
     job->counts_version = ++leader->counts_version;
 }
 
-/* Array of job_t, borrowed: those whose counts changed after the version, oldest change first. */
+/* Returns an array of job_t, borrowed: the jobs whose counts changed after the given version,
+ * oldest change first. */
 static GPtrArray *changed_jobs(leader_t *leader, uint64_t version)
 {
     GPtrArray *changed = g_ptr_array_new();
--- a/src/core/leader/schedule.c
+++ b/src/core/leader/schedule.c
@@ -1,11 +1,11 @@
-/* Placement rounds: which team and which job is served next, and how far. */
+/* Placement rounds: the order in which teams and jobs are served, and how many tasks each gets. */
 #include "core/leader/leader_internal.h"
 
-/* A placement round. */
+/* The state of a placement round. */
 typedef struct schedule {
     leader_t *leader;
-    GPtrArray *queues; /* by team: GArray of queued_job_t, owned */
-    guint *positions;  /* by team: index of the entry to serve next, owned */
+    GPtrArray *queues; /* for each team: GArray of queued_job_t, owned */
+    guint *positions;  /* for each team: index of the next entry to serve, owned */
     GArray *requests;  /* leader_request_t, owned by the caller */
     guint max_requests;
     msec_t now;
@@ -17,8 +17,8 @@
            queued->job->outstanding_count >= queued->starvation_minimum;
 }
 
-/* Requests placement for the entry's next task (or gang). False: nothing more is to be requested
- * for the entry in this round. */
+/* Requests placement of the entry's next task, or of the whole gang. Returns false if nothing more
+ * is to be requested for the entry in this round. */
 static bool serve_entry(schedule_t *schedule, const team_state_t *state, const queued_job_t *queued)
 {
     if (is_starvation_minimum_met(queued))
@@ -30,7 +30,8 @@
     return false;
 }
 
-/* Serves the team's queue from its position on, until the allowance of cpus is spent. */
+/* Serves the team's queue from its current position until the next task would exceed the allowance,
+ * which is in cpus. */
 static void serve_team(schedule_t *schedule, guint team, double allowance)
 {
     const team_state_t *state = &g_array_index(schedule->leader->teams, team_state_t, team);
@@ -49,7 +50,7 @@
     }
 }
 
-/* What stays within a team's guarantee waits for no other team. */
+/* Serves each team up to its guarantee, before any team gets more than that. */
 static void serve_guarantees(schedule_t *schedule)
 {
     for (guint i = 0; i < schedule->leader->teams->len; i++) {
@@ -60,7 +61,7 @@
     }
 }
 
-/* The rest goes by fair share, a task at a time. */
+/* Serves the rest by fair share, one task at a time. */
 static void serve_by_fair_share(schedule_t *schedule)
 {
     while (schedule->requests->len < schedule->max_requests) {
--- a/src/core/leader/team_queues.c
+++ b/src/core/leader/team_queues.c
@@ -1,11 +1,12 @@
-/* Team queues: the order of a team's jobs, and the next team by fair share. */
+/* Team queues: the order of a team's jobs, and the choice of the next team by fair share. */
 #include "core/leader/leader_internal.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Finds the first objective that a task started now still meets, and the latest start for it.
- * objectives: array of double, in units of unit_ms after submission, ascending. */
+/* Finds the first objective that a task started now can still meet, and lowers the entry's latest
+ * start to the latest start that meets it. objectives is an array of double in ascending order, in
+ * units of unit_ms after submission. ready_ms is the end of a task that starts now. */
 static void apply_next_slo(const GArray *objectives, double unit_ms, double ready_ms,
                            queued_job_t *queued)
 {
@@ -20,9 +21,10 @@
     }
 }
 
-/* Whatever the order of the queue, it must not starve a job: under a lasting overload large jobs,
- * low ones and those past their SLOs would wait for ever. A job that has waited long gets its first
- * task started, and later a small part of its tasks at a time. */
+/* Returns the number of outstanding tasks that the job is to get because of its age. The order of
+ * the queue alone would starve jobs under a lasting overload: large jobs, jobs of low priority and
+ * jobs past their SLOs would wait forever. From the age of STARVING_MS on, a job gets its first
+ * task started, and from STARVING_LONG_MS on a small part of its tasks at a time. */
 static uint32_t starvation_minimum_tasks(const job_t *job, int64_t day_ms)
 {
     int64_t age_ms = day_ms - job->spec.submitted_ms;
@@ -33,17 +35,20 @@
     return 1 + job->spec.tasks / STARVING_TASKS_DIVISOR;
 }
 
-/* The SLOs of a class that names no multiples of the deadline have the deadline itself. */
+/* Returns the class's multiples of the deadline. If the class names none, the deadline itself is
+ * the objective. */
 static const GArray *deadline_multiples(const leader_t *leader, const slo_t *slos)
 {
-    return slos && slos->deadline_multiples->len ? slos->deadline_multiples : leader->deadline_slo;
+    return slos && slos->deadline_multiples->len ? slos->deadline_multiples
+                                                 : leader->default_deadline_multiples;
 }
 
-static queued_job_t queue_entry(const leader_t *leader, job_t *job, int64_t day_ms)
+static queued_job_t make_queue_entry(const leader_t *leader, job_t *job, int64_t day_ms)
 {
     const job_spec_t *spec = &job->spec;
     queued_job_t queued = {.job = job, .latest_start_ms = INFINITY};
-    queued.pending_cpu_s = leader_job_pending(job) * spec->need.cpus * MAX(spec->estimate_s, 1);
+    queued.pending_cpu_s =
+        leader_pending_task_count(job) * spec->need.cpus * MAX(spec->estimate_s, 1);
     const slo_t *slos = g_hash_table_lookup(leader->slos, spec->class_name);
     double ready_ms = (double)day_ms + spec->estimate_s * MS_PER_S;
     if (spec->deadline_s > 0)
@@ -54,8 +59,8 @@
     return queued;
 }
 
-/* Those for which it holds come first. */
-static gint compare_flags(bool first, bool second)
+/* Orders true before false. */
+static gint compare_true_first(bool first, bool second)
 {
     return (gint)second - (gint)first;
 }
@@ -75,22 +80,24 @@
     return queued->job->spec.priority >= PRIORITY_HIGH;
 }
 
-/* Urgent work, then jobs below their starvation minimum; by priority; then what can still meet an
- * SLO; then the least work left, which meets most SLOs where not all can be met; then by the latest
- * start that meets the next one; then by age. */
+/* Orders queue entries. Jobs of high priority or above come first, then jobs below their starvation
+ * minimum. The next criteria are priority, and whether the job can still meet an SLO. Then the job
+ * with the least pending work comes first, because this meets the most SLOs if not all of them can
+ * be met. The last criteria are the latest start that meets the next SLO, the submission time, and
+ * the job id. */
 static gint compare_queued(gconstpointer left, gconstpointer right)
 {
     const queued_job_t *first = left;
     const queued_job_t *second = right;
     const job_spec_t *first_spec = &first->job->spec;
     const job_spec_t *second_spec = &second->job->spec;
-    gint order = compare_flags(is_urgent(first), is_urgent(second));
+    gint order = compare_true_first(is_urgent(first), is_urgent(second));
     if (order == 0)
-        order = compare_flags(first->starvation_minimum > 0, second->starvation_minimum > 0);
+        order = compare_true_first(first->starvation_minimum > 0, second->starvation_minimum > 0);
     if (order == 0)
         order = (gint)second_spec->priority - (gint)first_spec->priority;
     if (order == 0)
-        order = compare_flags(!isinf(first->latest_start_ms), !isinf(second->latest_start_ms));
+        order = compare_true_first(!isinf(first->latest_start_ms), !isinf(second->latest_start_ms));
     if (order == 0)
         order = compare_ascending(first->pending_cpu_s, second->pending_cpu_s);
     if (order == 0)
@@ -100,11 +107,11 @@
     return order != 0 ? order : strcmp(first_spec->id, second_spec->id);
 }
 
-/* A job below its starvation minimum has two entries: one for that minimum, which goes early, and
- * its ordinary one. */
+/* Appends the job's ordinary entry. A job below its starvation minimum gets a second entry for that
+ * minimum, which is served early. */
 static void append_job(const leader_t *leader, job_t *job, int64_t day_ms, GArray *queue)
 {
-    queued_job_t queued = queue_entry(leader, job, day_ms);
+    queued_job_t queued = make_queue_entry(leader, job, day_ms);
     g_array_append_val(queue, queued);
     queued.starvation_minimum = starvation_minimum_tasks(job, day_ms);
     if (job->outstanding_count < queued.starvation_minimum)
@@ -120,7 +127,7 @@
     g_hash_table_iter_init(&iter, leader->jobs);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         job_t *job = value;
-        if (!leader_job_pending(job) || leader_is_job_blocked(job, now) ||
+        if (!leader_pending_task_count(job) || leader_is_job_blocked(job, now) ||
             strcmp(job->spec.team, name) != 0)
             continue;
         append_job(leader, job, day_ms, queue);
@@ -134,7 +141,7 @@
     return MAX(queued->job->spec.need.cpus, EPSILON);
 }
 
-static bool has_objective(const leader_t *leader, const job_t *job)
+static bool has_deadline_or_slo(const leader_t *leader, const job_t *job)
 {
     return job->spec.deadline_s > 0 || g_hash_table_contains(leader->slos, job->spec.class_name);
 }
@@ -147,20 +154,21 @@
     return total;
 }
 
-/* The guarantee is the weight; a team without one gets a fraction of all guarantees. Such a team
- * counts for less with work that has no objective: that work has time, and what it takes is missing
- * for work that has none. next: the team's next job. */
+/* Returns the team's weight for fair share: its guarantee, but at least a fraction of the sum of
+ * all guarantees, which is the weight of a team without a guarantee. Such a team has a lower weight
+ * while its next job has neither a deadline nor an SLO: that job can wait, and the resources that
+ * it takes are missing for jobs that cannot wait. next is the team's next job. */
 static double team_weight(const leader_t *leader, const team_state_t *state, const job_t *next,
                           double total_guaranteed)
 {
     double guaranteed = state->team.guaranteed_cpus;
     double weight = MAX(MAX(guaranteed, total_guaranteed * UNGUARANTEED_TEAM_FRACTION), 1);
-    bool is_idle_work = guaranteed <= 0 && !has_objective(leader, next);
-    return is_idle_work ? weight * IDLE_WORK_FRACTION : weight;
+    bool is_best_effort_work = guaranteed <= 0 && !has_deadline_or_slo(leader, next);
+    return is_best_effort_work ? weight * IDLE_WORK_FRACTION : weight;
 }
 
-/* A share is one of the cpus in use, not of starts: by equal starts, tasks of five minutes beside
- * others of twenty seconds would take nearly all cpus. */
+/* Fair share compares cpus in use, not the number of started tasks. With equal numbers of starts,
+ * tasks of five minutes would take nearly all cpus from tasks of twenty seconds. */
 guint leader_next_team_by_fair_share(const leader_t *leader, const GPtrArray *queues,
                                      const guint *positions)
 {
--- a/tests/core/leader/leader_fixture.c
+++ b/tests/core/leader/leader_fixture.c
@@ -98,7 +98,7 @@
     return leader_schedule(fixture->leader, NOW_MS, DAY_MS, MAX_REQUESTS);
 }
 
-guint schedule_count(leader_fixture_t *fixture)
+guint schedule_and_count(leader_fixture_t *fixture)
 {
     g_autoptr(GArray) requests = schedule(fixture);
     return requests->len;
@@ -123,9 +123,9 @@
     leader_handle_result(fixture->leader, partition, &result, NOW_MS);
 }
 
-void finish(leader_fixture_t *fixture, const leader_request_t *made)
+void finish_task(leader_fixture_t *fixture, const leader_request_t *leader_request)
 {
-    const placement_request_t *request = &made->request;
-    handle_result(fixture, made->partition, task_ref(request->job, request->task, request->attempt),
-                  CAUSE_DONE);
+    const placement_request_t *request = &leader_request->request;
+    handle_result(fixture, leader_request->partition,
+                  task_ref(request->job, request->task, request->attempt), CAUSE_DONE);
 }
--- a/tests/core/leader/test_failure_records.c
+++ b/tests/core/leader/test_failure_records.c
@@ -1,10 +1,10 @@
-/* Tests of failure records: jobs that fail back off, machines on which sound jobs fail are
- * quarantined. */
+/* Tests of failure records: jobs that fail repeatedly back off, and machines on which several jobs
+ * fail are quarantined. */
 #include "leader_fixture.h"
 #include "unit_test.h"
 
-/* A job failing everywhere piles up reservations until its partition appears full: a known weakness
- * of projected least-loaded placement. */
+/* A job that fails on every machine accumulates reservations until its partition appears full. This
+ * is a known weakness of projected least-loaded placement. */
 static void test_job_that_fails_everywhere_is_backed_off(void **state)
 {
     leader_fixture_t *fixture = *state;
@@ -19,7 +19,7 @@
                       CAUSE_ERROR);
     }
     set_idle_machine(fixture, 0, "zone-a", 20);
-    assert_int_equal(schedule_count(fixture), 0);
+    assert_int_equal(schedule_and_count(fixture), 0);
     g_autoptr(GArray) later =
         leader_schedule(fixture->leader, 1000 + JOB_BACKOFF_MAX_MS, 2000, 100);
     assert_int_equal(later->len, 1);
@@ -35,7 +35,7 @@
     leader_handle_result(fixture->leader, 0, &failed, 1000);
 }
 
-static void test_machine_that_fails_sound_jobs_is_quarantined(void **state)
+static void test_machine_is_quarantined_after_failures_of_several_jobs(void **state)
 {
     leader_fixture_t *fixture = *state;
     job_spec_t first = make_job("j-000001", "team-b", 9);
@@ -43,7 +43,7 @@
     add_job(fixture, &first);
     add_job(fixture, &second);
     for (uint32_t i = 0; i < 5; i++)
-        fail_on_machine(fixture, "m-1", "j-000001", i); /* it may be the job */
+        fail_on_machine(fixture, "m-1", "j-000001", i); /* the job may be at fault */
     assert_false(leader_is_quarantined(fixture->leader, "m-1"));
     fail_on_machine(fixture, "m-1", "j-000002", 0);
     assert_true(leader_is_quarantined(fixture->leader, "m-1"));
@@ -57,7 +57,7 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(test_job_that_fails_everywhere_is_backed_off, set_up_leader,
                                         tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_machine_that_fails_sound_jobs_is_quarantined,
+        cmocka_unit_test_setup_teardown(test_machine_is_quarantined_after_failures_of_several_jobs,
                                         set_up_leader, tear_down_leader),
     };
     return cmocka_run_group_tests_name("failure_records", tests, NULL, NULL);
--- a/tests/core/leader/test_job_progress.c
+++ b/tests/core/leader/test_job_progress.c
@@ -1,9 +1,10 @@
-/* Tests of job progress: what is done is made durable once, ends of jobs first, within the limits
+/* Tests of job progress: it is made durable once, with job completions first and within the limits
  * of a transaction. */
 #include "leader_fixture.h"
 #include "unit_test.h"
 
-/* Takes progress at 1000 ms into the batch; returns the bytes of its values. */
+/* Appends the progress that is due at 1000 ms to the batch. Returns the size of its values in
+ * bytes. */
 static gsize take_progress(leader_fixture_t *fixture, msec_t min_age, guint ops, gsize bytes,
                            GArray *batch)
 {
@@ -12,7 +13,7 @@
     return usage.bytes;
 }
 
-/* The batch was not executed; it is empty afterwards. */
+/* Undoes the batch, as if its transaction was not executed, and empties it. */
 static void undo_progress(leader_fixture_t *fixture, GArray *batch)
 {
     leader_progress_undo(fixture->leader, batch);
@@ -35,7 +36,7 @@
     g_autoptr(GArray) requests = schedule(fixture);
     assert_int_equal(requests->len, 1);
     assert_int_equal(request_at(requests, 0)->request.task, 1);
-    finish(fixture, request_at(requests, 0));
+    finish_task(fixture, request_at(requests, 0));
     g_autoptr(GArray) batch = leader_progress_new();
     take_progress(fixture, 0, 20, KV_TXN_VALUES_BYTES, batch);
     assert_int_equal(batch->len, 1);
@@ -45,53 +46,54 @@
     assert_int_equal(acknowledged->len, 1);
 }
 
-/* With a low rate limit, the progress of dozens of jobs kept finished ones waiting for minutes
- * until their users got the answer. */
-static void test_end_of_a_job_goes_before_progress_of_others(void **state)
+/* Guards against a delay under a low rate limit: writes for the progress of dozens of jobs kept
+ * finished jobs waiting, so that users learned only minutes later that their jobs were done. */
+static void test_job_completion_is_taken_before_progress_of_other_jobs(void **state)
 {
     leader_fixture_t *fixture = *state;
-    job_spec_t half = make_job("j-000001", "team-b", 2);
-    job_spec_t whole = make_job("j-000002", "team-b", 1);
+    job_spec_t unfinished = make_job("j-000001", "team-b", 2);
+    job_spec_t finished = make_job("j-000002", "team-b", 1);
     job_spec_t other = make_job("j-000003", "team-b", 2);
     set_idle_machine(fixture, 0, "zone-a", 20);
-    add_job(fixture, &half);
-    add_job(fixture, &whole);
+    add_job(fixture, &unfinished);
+    add_job(fixture, &finished);
     add_job(fixture, &other);
     g_autoptr(GArray) requests = schedule(fixture);
     assert_int_equal(requests->len, 5);
-    /* The first task of each job is done: that is all of the second job. */
+    /* The first task of each job is done. The second job has no other task. */
     bool has_finished[4] = {0};
     for (guint i = 0; i < requests->len; i++) {
-        const leader_request_t *made = request_at(requests, i);
-        char number = made->request.job[7];
+        const leader_request_t *leader_request = request_at(requests, i);
+        char number = leader_request->request.job[7];
         if (number == '2' || !has_finished[number - '0'])
-            finish(fixture, made);
+            finish_task(fixture, leader_request);
         has_finished[number - '0'] = true;
     }
     g_autoptr(GArray) batch = leader_progress_new();
     take_progress(fixture, 0, 3, KV_TXN_VALUES_BYTES, batch);
-    assert_int_equal(batch->len, 2); /* the end, and what the limit leaves */
+    assert_int_equal(batch->len, 2); /* the completion, and one chunk within the limit */
     assert_true(progress_at(batch, 0)->is_job_end);
     assert_string_equal(progress_at(batch, 0)->job, "j-000002");
     undo_progress(fixture, batch);
     take_progress(fixture, 500, 20, KV_TXN_VALUES_BYTES, batch);
-    assert_int_equal(batch->len, 1); /* what is young waits for more */
+    assert_int_equal(batch->len, 1); /* recent progress is not due yet */
 }
 
-/* Under a rate limit that gives a write at a time, progress of others took each of them, and no end
- * was ever written. One that needs more than the limit can give at once holds nothing up. */
-static void test_writes_are_left_to_an_end_until_it_fits(void **state)
+/* Guards against job completions that are never written. Under a rate limit that permitted
+ * one write at a time, the progress of other jobs used each of these writes. A completion that
+ * needs more operations than the limit ever permits must not hold up other writes. */
+static void test_operations_are_saved_for_a_job_completion_until_it_fits(void **state)
 {
     leader_fixture_t *fixture = *state;
-    job_spec_t whole = make_job("j-000001", "team-b", 1);
-    job_spec_t half = make_job("j-000002", "team-b", 2);
+    job_spec_t finished = make_job("j-000001", "team-b", 1);
+    job_spec_t unfinished = make_job("j-000002", "team-b", 2);
     set_idle_machine(fixture, 0, "zone-a", 20);
-    add_job(fixture, &whole);
-    add_job(fixture, &half);
+    add_job(fixture, &finished);
+    add_job(fixture, &unfinished);
     g_autoptr(GArray) requests = schedule(fixture);
     assert_int_equal(requests->len, 3);
     for (guint i = 0; i < 2; i++)
-        finish(fixture, request_at(requests, i));
+        finish_task(fixture, request_at(requests, i));
     g_autoptr(GArray) batch = leader_progress_new();
     kv_txn_usage_t usage = {.max_ops = 2, .full_ops = 3, .max_bytes = KV_TXN_VALUES_BYTES};
     leader_progress_take(fixture->leader, 1000, 0, batch, &usage);
@@ -108,16 +110,17 @@
     assert_true(progress_at(batch, 0)->is_job_end);
 }
 
-/* Two tasks end far apart, three leaders long: the durable bit of the first is neither lost nor
- * made twice, the second is done only when it ended, and the job with it. */
-static void test_ends_far_apart_add_up_over_several_leaders(void **state)
+/* The two tasks of a job end under different leaders, with a third leader in between. The durable
+ * bit of the first task must be neither lost nor counted twice. The second task, and with it the
+ * job, must be done only after the second task ended. */
+static void test_task_completions_add_up_across_leader_changes(void **state)
 {
     leader_fixture_t *fixture = *state;
     job_spec_t spec = make_job("j-000001", "team-b", 2);
     set_idle_machine(fixture, 0, "zone-a", 20);
     add_job(fixture, &spec);
     g_autoptr(GArray) requests = schedule(fixture);
-    finish(fixture, request_at(requests, 0));
+    finish_task(fixture, request_at(requests, 0));
     uint64_t attempt = request_at(requests, 1)->request.attempt;
     uint32_t task = request_at(requests, 1)->request.task;
     g_autoptr(GArray) batch = leader_progress_new();
@@ -132,18 +135,18 @@
         leader_load_chunk(fixture->leader, "j-000001", 0, first->bits, first->bytes, 7);
         record_entry_t entry = make_record_entry("j-000001", "team-b", task, attempt);
         load_attempt(fixture, &entry, "zone-a", 0);
-        assert_int_equal(schedule_count(fixture), 0); /* one is done, one is outstanding */
+        assert_int_equal(schedule_and_count(fixture), 0); /* one done, one outstanding */
     }
     handle_result(fixture, 0, task_ref("j-000001", task, attempt), CAUSE_DONE);
-    handle_result(fixture, 0, task_ref("j-000001", task, attempt), CAUSE_DONE); /* twice */
-    g_autoptr(GArray) ends = leader_progress_new();
-    take_progress(fixture, 0, 20, KV_TXN_VALUES_BYTES, ends);
-    assert_int_equal(ends->len, 1);
-    assert_true(progress_at(ends, 0)->is_job_end);
-    assert_int_equal(progress_at(ends, 0)->done, 2);
+    handle_result(fixture, 0, task_ref("j-000001", task, attempt), CAUSE_DONE); /* again */
+    g_autoptr(GArray) completions = leader_progress_new();
+    take_progress(fixture, 0, 20, KV_TXN_VALUES_BYTES, completions);
+    assert_int_equal(completions->len, 1);
+    assert_true(progress_at(completions, 0)->is_job_end);
+    assert_int_equal(progress_at(completions, 0)->done, 2);
 }
 
-/* A job of the largest size; one task of each chunk of it is done since 900 ms. */
+/* Adds a job with the maximum number of tasks, of which one in each chunk was done at 900 ms. */
 static void add_largest_job(leader_fixture_t *fixture, const char *id)
 {
     job_spec_t spec = make_job(id, "team-b", TASKS_MAX_COUNT);
@@ -159,9 +162,10 @@
     }
 }
 
-/* Progress of jobs of 100,000 tasks and full pages of records were together more than a transaction
- * may hold: it was refused as invalid, and everything read again, for ever. */
-static void test_progress_of_large_jobs_keeps_within_the_bytes(void **state)
+/* Guards against transactions that are too large. The progress of jobs with 100,000 tasks together
+ * with full pages of machine records exceeded the limit of a transaction. It was refused as
+ * invalid, and all data was read again, in an endless loop. */
+static void test_progress_of_large_jobs_stays_within_the_byte_limit(void **state)
 {
     leader_fixture_t *fixture = *state;
     set_idle_machine(fixture, 0, "zone-a", 400);
@@ -173,7 +177,7 @@
     g_autoptr(GArray) batch = leader_progress_new();
     assert_in_range(take_progress(fixture, 0, 1000, KV_TXN_VALUES_BYTES / 2, batch), 1,
                     KV_TXN_VALUES_BYTES / 2);
-    assert_int_equal(batch->len, 7); /* one job's chunks; the next job's go in a later batch */
+    assert_int_equal(batch->len, 7); /* the chunks of one job; another job's would not fit */
     undo_progress(fixture, batch);
     assert_int_equal(take_progress(fixture, 0, 1000, 1000, batch), 0);
 }
@@ -183,13 +187,14 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(test_finished_task_is_never_requested_again, set_up_leader,
                                         tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_end_of_a_job_goes_before_progress_of_others,
+        cmocka_unit_test_setup_teardown(test_job_completion_is_taken_before_progress_of_other_jobs,
                                         set_up_leader, tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_writes_are_left_to_an_end_until_it_fits, set_up_leader,
-                                        tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_progress_of_large_jobs_keeps_within_the_bytes,
+        cmocka_unit_test_setup_teardown(
+            test_operations_are_saved_for_a_job_completion_until_it_fits, set_up_leader,
+            tear_down_leader),
+        cmocka_unit_test_setup_teardown(test_progress_of_large_jobs_stays_within_the_byte_limit,
                                         set_up_leader, tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_ends_far_apart_add_up_over_several_leaders,
+        cmocka_unit_test_setup_teardown(test_task_completions_add_up_across_leader_changes,
                                         set_up_leader, tear_down_leader),
     };
     return cmocka_run_group_tests_name("job_progress", tests, NULL, NULL);
--- a/tests/core/leader/test_machine_claims.c
+++ b/tests/core/leader/test_machine_claims.c
@@ -1,8 +1,9 @@
-/* Tests of machine claims: large work gets machines, for a bounded time and at a bounded cost. */
+/* Tests of machine claims: machines are kept for large work within bounds of time and cost. */
 #include "leader_fixture.h"
 #include "unit_test.h"
 
-/* A task of 4 cpus that goes first, and small ones of low priority. */
+/* Adds a job with one task of 4 cpus, which is first in the queue, and a job with small tasks of
+ * low priority. */
 static void add_large_and_small_job(leader_fixture_t *fixture)
 {
     job_spec_t large = make_job("j-000001", "team-b", 1);
@@ -14,25 +15,25 @@
     add_job(fixture, &small);
 }
 
-/* Small low tasks took each cpu that was freed, and a large normal task never found four at once.
- */
-static void test_machines_are_claimed_for_a_large_task_that_goes_first(void **state)
+/* Guards against starvation of a large task of normal priority: small tasks of low priority took
+ * each cpu that was freed, so that four cpus were never free at once. */
+static void test_machines_are_claimed_for_a_large_task_first_in_the_queue(void **state)
 {
     leader_fixture_t *fixture = *state;
     set_machine(fixture, 0, "zone-a", 4, 3);
     add_large_and_small_job(fixture);
-    assert_int_equal(schedule_count(fixture), 0); /* claimed: the last small task ends soon */
+    assert_int_equal(schedule_and_count(fixture), 0); /* claimed until the last cpu is free */
     set_idle_machine(fixture, 0, "zone-a", 4);
     set_idle_machine(fixture, 1, "zone-b", 2);
     g_autoptr(GArray) requests = schedule(fixture);
     assert_int_equal(count_requests(requests, "j-000001"), 1);
-    /* Where the large one can't go, others can. */
+    /* Small tasks use the machine on which the large one does not fit. */
     assert_int_equal(count_requests(requests, "j-000002"), 2);
 }
 
-/* The large task's resources do not come free: what the claimed machine has is kept from the small
- * ones for a while only. */
-static void test_a_machine_claim_is_bounded(void **state)
+/* The resources that the large task needs never become free. The claimed machine must be kept from
+ * the small tasks for a limited time only. */
+static void test_machine_claim_ends_after_the_maximum_time(void **state)
 {
     leader_fixture_t *fixture = *state;
     add_large_and_small_job(fixture);
@@ -46,7 +47,7 @@
     assert_int_equal(started, 3);
 }
 
-/* Spot machines that are nearly full. */
+/* Gives partition 0 spot machines that have half a cpu free each. */
 static void set_busy_machines(leader_fixture_t *fixture, guint count)
 {
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
@@ -61,8 +62,9 @@
     leader_set_summaries(fixture->leader, 0, summaries);
 }
 
-/* A backlog costs what can be done about it, not its length times the machines. */
-static void test_work_that_fits_nowhere_examines_no_machine(void **state)
+/* Guards against placement rounds whose cost is the length of the backlog times the number of
+ * machines. Work that fits on no machine must not make the round examine the summaries. */
+static void test_work_that_fits_no_machine_examines_no_summary(void **state)
 {
     leader_fixture_t *fixture = *state;
     enum { MACHINES = 64, JOBS = 200 };
@@ -71,16 +73,16 @@
         char id[ID_BYTES];
         g_snprintf(id, sizeof id, "j-%06u", i);
         job_spec_t spec = make_job(id, "team-a", 50);
-        spec.priority = PRIORITY_LOW; /* nothing is preempted or claimed for it */
+        spec.priority = PRIORITY_LOW; /* neither preempts nor claims */
         add_job(fixture, &spec);
     }
-    assert_int_equal(schedule_count(fixture), 0);
+    assert_int_equal(schedule_and_count(fixture), 0);
     assert_int_equal(fixture->leader->round.summaries_examined, 0);
     job_spec_t spec = make_job("j-900000", "team-a", 50);
     add_job(fixture, &spec);
-    schedule_count(fixture);
-    /* Claimed for the one of higher priority: an eighth of the machines, each after examining all.
-     */
+    schedule_and_count(fixture);
+    /* For the job of normal priority an eighth of the machines is claimed. Each claim examines all
+     * summaries. */
     assert_in_range(fixture->leader->round.summaries_examined, 1,
                     MACHINES * (MACHINES / CLAIMED_MACHINES_DIVISOR));
 }
@@ -88,11 +90,12 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_machines_are_claimed_for_a_large_task_that_goes_first,
+        cmocka_unit_test_setup_teardown(
+            test_machines_are_claimed_for_a_large_task_first_in_the_queue, set_up_leader,
+            tear_down_leader),
+        cmocka_unit_test_setup_teardown(test_machine_claim_ends_after_the_maximum_time,
                                         set_up_leader, tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_a_machine_claim_is_bounded, set_up_leader,
-                                        tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_work_that_fits_nowhere_examines_no_machine,
+        cmocka_unit_test_setup_teardown(test_work_that_fits_no_machine_examines_no_summary,
                                         set_up_leader, tear_down_leader),
     };
     return cmocka_run_group_tests_name("machine_claims", tests, NULL, NULL);
--- a/tests/core/leader/test_placement_requests.c
+++ b/tests/core/leader/test_placement_requests.c
@@ -1,5 +1,5 @@
-/* Tests of placement requests: the partition chosen, and what binds a job's tasks to a zone or to
- * each other. */
+/* Tests of placement requests: the choice of the partition, same-zone and spread constraints, and
+ * gangs. */
 #include "leader_fixture.h"
 #include "unit_test.h"
 
@@ -15,21 +15,22 @@
     assert_int_equal(request_at(requests, 0)->partition, 1);
 }
 
-/* Before the first machine was up, urgent work was requested with preemption round after round, and
- * each refusal held its job back for a moment. */
-static void test_nothing_is_requested_where_there_is_no_machine(void **state)
+/* Guards against requests that can only be refused. Before the first machine was up, each round
+ * requested work of high priority with preemption, and each refusal caused a short back-off of its
+ * job. */
+static void test_no_placement_is_requested_without_an_eligible_machine(void **state)
 {
     leader_fixture_t *fixture = *state;
     job_spec_t urgent = make_job("j-000001", "team-b", 3);
     urgent.priority = PRIORITY_HIGH;
     add_job(fixture, &urgent);
-    assert_int_equal(schedule_count(fixture), 0);
+    assert_int_equal(schedule_and_count(fixture), 0);
     set_idle_machine(fixture, 1, "zone-a", 2);
-    /* One fits, others may be preempted for two. */
-    assert_int_equal(schedule_count(fixture), 3);
+    /* One task fits. The other two are requested with preemption. */
+    assert_int_equal(schedule_and_count(fixture), 3);
 }
 
-static void test_same_zone_binds_the_later_tasks(void **state)
+static void test_same_zone_job_is_placed_in_a_single_zone(void **state)
 {
     leader_fixture_t *fixture = *state;
     job_spec_t spec = make_job("j-000001", "team-b", 3);
@@ -42,19 +43,20 @@
     assert_string_equal(request_at(requests, 0)->request.zone, "zone-b");
 }
 
-static void test_spread_keeps_half_in_a_zone(void **state)
+static void test_spread_job_places_at_most_half_of_its_tasks_in_a_zone(void **state)
 {
     leader_fixture_t *fixture = *state;
     job_spec_t spec = make_job("j-000001", "team-b", 5);
     spec.needs_spread = true;
     set_idle_machine(fixture, 0, "zone-a", 100);
     add_job(fixture, &spec);
-    assert_int_equal(schedule_count(fixture), 3);
+    assert_int_equal(schedule_and_count(fixture), 3);
 }
 
-/* The zone of a bound job lost its machines: what may still run there binds the others, and they
- * start elsewhere as soon as it is proved over. */
-static void test_a_bound_job_moves_only_when_its_old_zone_is_proved_empty(void **state)
+/* A same-zone job has an attempt in a zone that lost its machines, and a spread job has half of its
+ * tasks in the only zone with machines. These attempts may still run and count until they are
+ * proven to be over. Only then may other tasks of the jobs start in the zone with machines. */
+static void test_zone_limits_count_attempts_until_they_are_proven_over(void **state)
 {
     leader_fixture_t *fixture = *state;
     job_spec_t same_zone = make_job("j-000001", "team-b", 2);
@@ -63,29 +65,29 @@
     spread.needs_spread = true;
     add_job(fixture, &same_zone);
     add_job(fixture, &spread);
-    record_entry_t bound = make_record_entry("j-000001", "team-b", 0, 9);
-    load_attempt(fixture, &bound, "zone-b", 1);
+    record_entry_t same_zone_entry = make_record_entry("j-000001", "team-b", 0, 9);
+    load_attempt(fixture, &same_zone_entry, "zone-b", 1);
     for (uint32_t task = 0; task < 2; task++) {
-        record_entry_t half = make_record_entry("j-000002", "team-b", task, 9);
-        load_attempt(fixture, &half, "zone-a", 0);
+        record_entry_t spread_entry = make_record_entry("j-000002", "team-b", task, 9);
+        load_attempt(fixture, &spread_entry, "zone-a", 0);
     }
     set_idle_machine(fixture, 0, "zone-a", 20);
-    assert_int_equal(schedule_count(fixture), 0);
+    assert_int_equal(schedule_and_count(fixture), 0);
     handle_result(fixture, 1, task_ref("j-000001", 0, 9), CAUSE_NONE);
     handle_result(fixture, 0, task_ref("j-000002", 1, 9), CAUSE_NONE);
     g_autoptr(GArray) requests = schedule(fixture);
     assert_int_equal(count_requests(requests, "j-000001"), 2);
-    assert_int_equal(count_requests(requests, "j-000002"), 1); /* the half that may be here */
+    assert_int_equal(count_requests(requests, "j-000002"), 1); /* half of it, rounded up */
 }
 
-static void test_gang_is_requested_whole_or_not_at_all(void **state)
+static void test_gang_is_requested_completely_or_not_at_all(void **state)
 {
     leader_fixture_t *fixture = *state;
     job_spec_t spec = make_job("j-000001", "team-b", 4);
     spec.kind = KIND_GANG;
     set_idle_machine(fixture, 0, "zone-a", 6);
     add_job(fixture, &spec);
-    assert_int_equal(schedule_count(fixture), 0);
+    assert_int_equal(schedule_and_count(fixture), 0);
     set_idle_machine(fixture, 1, "zone-b", 6);
     g_autoptr(GArray) requests = schedule(fixture);
     assert_int_equal(requests->len, 4);
@@ -98,17 +100,16 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(test_requests_go_to_the_partition_with_most_free_resources,
                                         set_up_leader, tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_nothing_is_requested_where_there_is_no_machine,
+        cmocka_unit_test_setup_teardown(test_no_placement_is_requested_without_an_eligible_machine,
+                                        set_up_leader, tear_down_leader),
+        cmocka_unit_test_setup_teardown(test_same_zone_job_is_placed_in_a_single_zone,
+                                        set_up_leader, tear_down_leader),
+        cmocka_unit_test_setup_teardown(test_spread_job_places_at_most_half_of_its_tasks_in_a_zone,
+                                        set_up_leader, tear_down_leader),
+        cmocka_unit_test_setup_teardown(test_zone_limits_count_attempts_until_they_are_proven_over,
+                                        set_up_leader, tear_down_leader),
+        cmocka_unit_test_setup_teardown(test_gang_is_requested_completely_or_not_at_all,
                                         set_up_leader, tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_same_zone_binds_the_later_tasks, set_up_leader,
-                                        tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_spread_keeps_half_in_a_zone, set_up_leader,
-                                        tear_down_leader),
-        cmocka_unit_test_setup_teardown(
-            test_a_bound_job_moves_only_when_its_old_zone_is_proved_empty, set_up_leader,
-            tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_gang_is_requested_whole_or_not_at_all, set_up_leader,
-                                        tear_down_leader),
     };
     return cmocka_run_group_tests_name("placement_requests", tests, NULL, NULL);
 }
--- a/tests/core/leader/test_published_counts.c
+++ b/tests/core/leader/test_published_counts.c
@@ -1,4 +1,4 @@
-/* Tests of the jobs' counts as the leader publishes them to replicas. */
+/* Tests of the job counts that the leader publishes to replicas. */
 #include "leader_fixture.h"
 #include "unit_test.h"
 
@@ -19,9 +19,9 @@
     assert_int_equal(counts.outstanding, outstanding);
 }
 
-/* A replica gets what changed, a few jobs at a time; after a new loading of the leader's data,
- * nothing that it had counts. */
-static void test_counts_of_jobs_reach_a_replica(void **state)
+/* A replica receives only the counts that changed, a few jobs at a time. After the leader's data
+ * was loaded anew, which begins a new epoch, the replica discards the counts that it had. */
+static void test_replica_receives_changed_job_counts(void **state)
 {
     leader_fixture_t *fixture = *state;
     enum { MAX_JOBS = 2 };
@@ -43,10 +43,10 @@
     assert_counts(&replica, "j-000003", 0, 3);
     for (guint i = 0; i < requests->len; i++)
         if (strcmp(request_at(requests, i)->request.job, "j-000003") == 0)
-            finish(fixture, request_at(requests, i));
+            finish_task(fixture, request_at(requests, i));
     job_counts_update_t update =
         leader_counts(fixture->leader, replica.epoch, replica.version, MAX_JOBS);
-    assert_int_equal(update.jobs->len, 1); /* only what changed */
+    assert_int_equal(update.jobs->len, 1); /* only the job that changed */
     job_counts_replica_apply(&replica, &update);
     job_counts_update_clear(&update);
     assert_counts(&replica, "j-000003", 3, 0);
@@ -61,7 +61,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_counts_of_jobs_reach_a_replica, set_up_leader,
+        cmocka_unit_test_setup_teardown(test_replica_receives_changed_job_counts, set_up_leader,
                                         tear_down_leader),
     };
     return cmocka_run_group_tests_name("published_counts", tests, NULL, NULL);
--- a/tests/core/leader/test_quota.c
+++ b/tests/core/leader/test_quota.c
@@ -1,4 +1,4 @@
-/* Tests of quotas: every attempt counts against its team's limit until it is proved over. */
+/* Tests of quotas: every attempt counts against its team's limit until it is proven to be over. */
 #include "leader_fixture.h"
 #include "unit_test.h"
 
@@ -8,11 +8,11 @@
     job_spec_t spec = make_job("j-000001", "team-a", 50);
     set_idle_machine(fixture, 0, "zone-a", 1000);
     add_job(fixture, &spec);
-    assert_int_equal(schedule_count(fixture), 12); /* 24 cpus of 2 */
-    assert_int_equal(schedule_count(fixture), 0);  /* nothing of it is proved over */
+    assert_int_equal(schedule_and_count(fixture), 12); /* the limit of 24 cpus, 2 for each task */
+    assert_int_equal(schedule_and_count(fixture), 0);  /* no attempt is proven to be over */
 }
 
-static void test_recorded_attempts_count_even_for_jobs_that_ended(void **state)
+static void test_recorded_attempts_of_ended_jobs_count_against_the_quota(void **state)
 {
     leader_fixture_t *fixture = *state;
     record_entry_t entry = make_record_entry("j-000009", "team-a", 0, 9);
@@ -21,15 +21,15 @@
     job_spec_t spec = make_job("j-000001", "team-a", 1);
     set_idle_machine(fixture, 0, "zone-a", 1000);
     add_job(fixture, &spec);
-    assert_int_equal(schedule_count(fixture), 0);
+    assert_int_equal(schedule_and_count(fixture), 0);
     handle_result(fixture, 0, task_ref("j-000009", 0, 9), CAUSE_NONE);
-    assert_int_equal(schedule_count(fixture), 1);
+    assert_int_equal(schedule_and_count(fixture), 1);
 }
 
-/* Both teams are at their limits with work on machines that can't be reached. One job was cancelled
- * before the new leader read the records, another is cancelled after: each attempt counts until it
- * is proved over, and admits one task then. */
-static void test_limits_hold_over_a_change_of_leader_with_cancellations(void **state)
+/* Both teams are at their limits with attempts on unreachable machines. One job was cancelled
+ * before the new leader read the records, another is cancelled afterwards. Each attempt counts
+ * until it is proven to be over, and then makes room for exactly one task. */
+static void test_quotas_hold_across_a_leader_change_with_cancellations(void **state)
 {
     leader_fixture_t *fixture = *state;
     g_array_index(fixture->teams, team_t, 1).max_cpus = 24;
@@ -37,25 +37,25 @@
     job_spec_t cancelled_later = make_job("j-000001", "team-a", 12);
     add_job(fixture, &cancelled_later);
     for (uint32_t i = 0; i < 12; i++) {
-        record_entry_t of_team_a = make_record_entry("j-000001", "team-a", i, 9);
-        record_entry_t of_team_b = make_record_entry("j-000002", "team-b", i, 9);
-        load_attempt(fixture, &of_team_a, "zone-b", 1);
-        load_attempt(fixture, &of_team_b, "zone-b", 1);
+        record_entry_t team_a_entry = make_record_entry("j-000001", "team-a", i, 9);
+        record_entry_t team_b_entry = make_record_entry("j-000002", "team-b", i, 9);
+        load_attempt(fixture, &team_a_entry, "zone-b", 1);
+        load_attempt(fixture, &team_b_entry, "zone-b", 1);
     }
     leader_end_job(fixture->leader, "j-000001");
-    job_spec_t more[] = {make_job("j-000003", "team-a", 50), make_job("j-000004", "team-b", 50)};
+    job_spec_t waiting[] = {make_job("j-000003", "team-a", 50), make_job("j-000004", "team-b", 50)};
     set_idle_machine(fixture, 0, "zone-a", 1000);
-    add_job(fixture, &more[0]);
-    add_job(fixture, &more[1]);
-    assert_int_equal(schedule_count(fixture), 0);
-    task_ref_t over[] = {task_ref("j-000001", 3, 9), task_ref("j-000002", 5, 9)};
+    add_job(fixture, &waiting[0]);
+    add_job(fixture, &waiting[1]);
+    assert_int_equal(schedule_and_count(fixture), 0);
+    task_ref_t ended[] = {task_ref("j-000001", 3, 9), task_ref("j-000002", 5, 9)};
     cause_t causes[] = {CAUSE_NONE, CAUSE_STOPPED};
     for (guint i = 0; i < 2; i++) {
-        handle_result(fixture, 1, over[i], causes[i]);
-        handle_result(fixture, 1, over[i], causes[i]); /* received twice, it counts once */
+        handle_result(fixture, 1, ended[i], causes[i]);
+        handle_result(fixture, 1, ended[i], causes[i]); /* a duplicate counts only once */
         g_autoptr(GArray) requests = schedule(fixture);
         assert_int_equal(requests->len, 1);
-        assert_int_equal(count_requests(requests, more[i].id), 1);
+        assert_int_equal(count_requests(requests, waiting[i].id), 1);
     }
 }
 
@@ -64,9 +64,10 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(test_team_limit_counts_outstanding_attempts, set_up_leader,
                                         tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_recorded_attempts_count_even_for_jobs_that_ended,
-                                        set_up_leader, tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_limits_hold_over_a_change_of_leader_with_cancellations,
+        cmocka_unit_test_setup_teardown(
+            test_recorded_attempts_of_ended_jobs_count_against_the_quota, set_up_leader,
+            tear_down_leader),
+        cmocka_unit_test_setup_teardown(test_quotas_hold_across_a_leader_change_with_cancellations,
                                         set_up_leader, tear_down_leader),
     };
     return cmocka_run_group_tests_name("quota", tests, NULL, NULL);
