--- a/src/core/partition/attempts.c
+++ b/src/core/partition/attempts.c
@@ -24,7 +24,8 @@
     g_ptr_array_remove(attempt->machine->attempts, attempt);
 }
 
-/* The attempt of this number; NULL: the task has another one, or none. */
+/* Returns the attempt with this number, or NULL if the task has an attempt with another number or
+ * none. */
 static attempt_t *find_by_ref(partition_t *partition, const task_ref_t *ref)
 {
     attempt_t *attempt = g_hash_table_lookup(partition->attempts, ref);
@@ -82,14 +83,14 @@
     if (!attempt)
         return;
     partition_stop_attempt(partition, attempt, now);
-    /* One that is not recorded is dropped when the next batch is taken. */
+    /* An attempt that is not recorded is dropped when the next batch is taken. */
     partition_request_flush(partition, attempt->machine);
 }
 
 static void end_attempt(partition_t *partition, attempt_t *attempt)
 {
     attempt->is_stop_requested = true;
-    attempt->kill_at = 0; /* what it would save is of no use */
+    attempt->kill_at = 0; /* the job is over, so a saved checkpoint would not be used */
     attempt->is_acknowledged = true;
     partition_queue_push(partition, attempt->machine);
     if (attempt->is_in_record)
--- a/src/core/partition/batches.c
+++ b/src/core/partition/batches.c
@@ -32,7 +32,7 @@
            (page->is_flush_deferred && now - page->flush_deferred_at >= RECORD_FLUSH_DELAY_MS);
 }
 
-/* By flush order; pages of which only the deferred flush is due come last. */
+/* Orders pages by flush order. Pages for which only the deferred flush is due come last. */
 static gint compare_pages(gconstpointer left, gconstpointer right)
 {
     const page_t *first = *(page_t *const *)left;
@@ -44,8 +44,9 @@
     return first_order > second_order;
 }
 
-/* The pages due now, in order of their first flush: with a low rate limit, the last would else
- * never be written. Array of page_t (transfer container). */
+/* Returns the pages that are due now, in the order in which their flush was first requested: array
+ * of page_t (transfer container). In any other order, some pages might never be written under a low
+ * rate limit. */
 static GPtrArray *due_pages(const partition_t *partition, msec_t now)
 {
     GPtrArray *due = g_ptr_array_new();
@@ -64,19 +65,20 @@
     return due;
 }
 
-/* Whether the attempt is over without ever having been in the record or in a batch. */
-static bool is_over_unrecorded(const attempt_t *attempt)
+/* Returns whether the attempt is over, or to be stopped, without ever having been in the record or
+ * in a batch. */
+static bool ended_before_recording(const attempt_t *attempt)
 {
     return !attempt->is_in_record && attempt->batch_change == BATCH_NONE &&
            (attempt->phase == ATTEMPT_TERMINATED || attempt->is_stop_requested);
 }
 
-/* Attempts that never got into the record are dropped without a commit. */
+/* Drops the attempts that never got into the record, which needs no commit. */
 static void drop_unrecorded(partition_t *partition, machine_t *machine)
 {
     for (guint i = machine->attempts->len; i-- > 0;) {
         attempt_t *attempt = machine_attempt(machine, i);
-        if (!is_over_unrecorded(attempt))
+        if (!ended_before_recording(attempt))
             continue;
         attempt->cause = CAUSE_NONE;
         partition_add_result(partition, attempt);
@@ -90,7 +92,7 @@
         partition_drop_machine(partition, machine);
 }
 
-/* Drops from the page what needs no commit. */
+/* Drops the attempts and machines of the page whose removal needs no commit. */
 static void clean_page(partition_t *partition, page_t *page)
 {
     for (guint i = page->machines->len; i-- > 0;) {
@@ -111,22 +113,22 @@
     return count;
 }
 
-/* The most bytes that the page's record may have now. */
+/* Returns an upper bound of the current size of the page's record, in bytes. */
 static gsize page_bytes_bound(const page_t *page, gsize value_max)
 {
-    const gsize each =
+    const gsize start_bytes_max =
         RECORD_ATTEMPT_BYTES + RECORD_MACHINE_BYTES + RECORD_JOB_BYTES + 4 * LABEL_BYTES;
     if (page->record_bytes == 0)
         return value_max;
-    return MIN(value_max, page->record_bytes + count_unrecorded(page) * each);
+    return MIN(value_max, page->record_bytes + count_unrecorded(page) * start_bytes_max);
 }
 
-/* Whether there is something of the page to write. A page in which a start found no room is split
+/* Returns whether the page has anything to write. A page in which a start found no room is split
  * first. */
 static bool prepare_page(partition_t *partition, page_t *page)
 {
     if (page->is_in_batch)
-        return false; /* with its split sibling */
+        return false; /* its split sibling brought it into the batch */
     clean_page(partition, page);
     if (page->is_full && !page->split_sibling)
         partition_split_page(partition, page);
@@ -137,7 +139,7 @@
     return false;
 }
 
-/* Adds the page's record, and that of its split sibling, to the batch. */
+/* Adds the page's record to the batch, and that of its split sibling if it has one. */
 static void batch_add_pages(partition_t *partition, partition_batch_t *batch, page_t *page,
                             const partition_limits_t *limits)
 {
@@ -173,8 +175,8 @@
 {
     attempt->batch_change = BATCH_NONE;
     attempt->is_in_record = true;
-    /* It may have been proved over while the commit was in flight: then it is not sent, and leaves
-     * the record with the next one. */
+    /* If the attempt was proved to be over while the commit was in flight, its `run` is not sent,
+     * and it leaves the record with the next commit. */
     if (attempt->phase == ATTEMPT_PLACED)
         attempt->phase = ATTEMPT_RECORDED;
     else
@@ -184,7 +186,7 @@
 
 static void commit_drop(partition_t *partition, machine_t *machine, attempt_t *attempt)
 {
-    machine->is_page_full = false;
+    machine->fills_page = false;
     if (!attempt->is_done_reported)
         partition_add_result(partition, attempt);
     partition_drop_attempt(partition, attempt);
@@ -200,7 +202,8 @@
         commit_drop(partition, machine, attempt);
         break;
     case BATCH_NONE:
-        if (!attempt->is_in_record) /* left out, or placed since */
+        /* The attempt was omitted from the batch, or placed after the batch was taken. */
+        if (!attempt->is_in_record)
             partition_request_flush(partition, machine);
         break;
     }
@@ -232,7 +235,7 @@
         page_t *page = page_of_record(partition, record);
         page->revision = record->machines->len ? revision : 0;
         page->is_in_batch = false;
-        page->split_sibling = NULL; /* its record was in the same commit */
+        page->split_sibling = NULL; /* the record of the sibling was in the same commit */
         for (guint k = page->machines->len; k-- > 0;) {
             machine_t *machine = page_machine(page, k);
             commit_machine(partition, machine, now);
--- a/src/core/partition/candidates.c
+++ b/src/core/partition/candidates.c
@@ -12,14 +12,14 @@
     g_hash_table_iter_init(&candidates->machines, partition->machines);
 }
 
-/* A machine that has not responded in this view, or is not reachable, may be hanging, cut off or
- * terminated. The design ranks it last; here it takes no starts, since a start there would only
- * wait, and be lost with the machine's lease. */
+/* A machine that has not responded in this view, or is not reachable, may be hanging, disconnected
+ * or terminated. It accepts no starts at all, rather than being ranked last, because a start placed
+ * there would only wait, and be lost with the lease of the machine. */
 static bool is_candidate(const candidates_t *candidates, const machine_t *machine)
 {
     const placement_request_t *request = candidates->request;
     if (!partition_accepts_starts(candidates->partition, machine, candidates->now) ||
-        machine->is_page_full)
+        machine->fills_page)
         return false;
     if (request->zone[0] && strcmp(request->zone, machine->zone) != 0)
         return false;
--- a/src/core/partition/candidates_internal.h
+++ b/src/core/partition/candidates_internal.h
@@ -1,5 +1,6 @@
 /** @file
- * Candidates: the machines that a placement request may start on, resources aside.
+ * Iterates over the candidate machines of a placement request: those on which the request may
+ * start, without regard to their free resources.
  *
  * Private to the partition. Called with the controller's lock held.
  */
@@ -13,16 +14,17 @@
 typedef struct candidates {
     const partition_t *partition;       /**< The partition (transfer none). */
     const placement_request_t *request; /**< The request (transfer none). */
-    msec_t now;                         /**< The steady clock. */
+    msec_t now;                         /**< The current time of the steady clock. */
     GHashTableIter machines;            /**< The position in the machine table. */
 } candidates_t;
 
-/** Starts an iteration. The partition's machines must stay the same until it ends. */
+/** Starts an iteration. No machine may be added to or removed from the partition until it ends. */
 void candidates_init(candidates_t *candidates, const partition_t *partition,
                      const placement_request_t *request, msec_t now);
-/** Returns the next candidate (transfer none); NULL: there is none left. */
+/** Returns the next candidate (transfer none), or NULL if there is none left. */
 machine_t *candidates_next(candidates_t *candidates);
-/** Whether the request's image has been in use on the machine, so that it need not be fetched. */
+/** Returns whether the request's image has been in use on the machine, so that it probably need not
+ * be fetched. */
 bool candidates_has_image(const machine_t *machine, const placement_request_t *request);
 
 #endif
--- a/src/core/partition/commands.c
+++ b/src/core/partition/commands.c
@@ -11,15 +11,15 @@
 
 static double stop_grace_s(const attempt_t *attempt, msec_t now)
 {
-    /* A task without checkpoints has nothing to save; one that is already saving is cut off only
+    /* A task without checkpoints has nothing to save. A task that is already saving is killed only
      * when its time is over. */
     if (attempt->entry.checkpoint_s <= 0 || attempt->kill_at <= now)
         return 0;
     return (double)(attempt->kill_at - now) / MS_PER_S;
 }
 
-/* Whether commands for the attempt may be sent: it is recorded, under the machine's present worker
- * epoch. */
+/* Returns whether commands for the attempt may be sent: it is in the record, under the machine's
+ * current worker epoch. */
 static bool may_send_commands(const machine_t *machine, const attempt_t *attempt)
 {
     return attempt->phase == ATTEMPT_RECORDED && attempt->is_in_record &&
@@ -41,11 +41,12 @@
     }
 }
 
-/* Whether the attempt keeps its resources once the stops that give no time to save are executed. */
+/* Returns whether the attempt still holds its resources after the stops without a grace period are
+ * executed. */
 static bool holds_resources_after_stops(const attempt_t *attempt, msec_t now)
 {
-    bool is_cut_off = attempt->is_stop_requested && stop_grace_s(attempt, now) <= 0;
-    return attempt->phase == ATTEMPT_RECORDED && attempt->is_listed && !is_cut_off;
+    bool is_killed_at_once = attempt->is_stop_requested && stop_grace_s(attempt, now) <= 0;
+    return attempt->phase == ATTEMPT_RECORDED && attempt->is_listed && !is_killed_at_once;
 }
 
 static resources_t resources_after_stops(const machine_t *machine, msec_t now)
@@ -75,8 +76,8 @@
     }
 }
 
-void commands_append_wanted(const partition_t *partition, const machine_t *machine, msec_t now,
-                            GArray *commands)
+void commands_append_for_desired_state(const partition_t *partition, const machine_t *machine,
+                                       msec_t now, GArray *commands)
 {
     append_stops(machine, now, commands);
     if (!partition->are_starts_paused)
--- a/src/core/partition/drain.c
+++ b/src/core/partition/drain.c
@@ -28,10 +28,10 @@
     return machine_free_resources(machine).cpus >= machine->capacity.cpus * DRAIN_EMPTY_FRACTION;
 }
 
-/* Least-loaded placement leaves a draining machine with a few attempts, and a long one would keep
- * all of the machine for minutes. Once most of it is empty, attempts with checkpoints save and
- * continue elsewhere. */
-void partition_empty_drained(partition_t *partition, machine_t *machine, msec_t now)
+/* Because of least-loaded placement, a draining machine usually still has a few attempts, and a
+ * single long one would occupy the whole machine for minutes. Once most of the machine is empty,
+ * its attempts with checkpoints are stopped, so that they save and continue on other machines. */
+void partition_evict_from_draining(partition_t *partition, machine_t *machine, msec_t now)
 {
     if (!machine->is_draining || machine->is_terminated || !is_mostly_empty(machine))
         return;
--- a/src/core/partition/drain_internal.h
+++ b/src/core/partition/drain_internal.h
@@ -1,5 +1,5 @@
 /** @file
- * Draining: emptying machines that take no more starts.
+ * Stops attempts on draining machines.
  *
  * Private to the partition. Called with the controller's lock held.
  */
@@ -9,7 +9,8 @@
 #include "core/partition/partition_type.h"
 #include "core/types.h"
 
-/** If the machine is draining and mostly empty, stops its attempts that can save. */
-void partition_empty_drained(partition_t *partition, machine_t *machine, msec_t now);
+/** Stops those attempts on the machine that have checkpoints, if the machine is draining and mostly
+ * empty. */
+void partition_evict_from_draining(partition_t *partition, machine_t *machine, msec_t now);
 
 #endif
--- a/src/core/partition/heartbeats.c
+++ b/src/core/partition/heartbeats.c
@@ -10,9 +10,9 @@
 {
     if (heartbeat->worker_epoch <= machine->worker_epoch && machine->worker_epoch)
         return;
-    /* The worker killed and forgot everything of its earlier epochs, and commands of those are
-     * refused there: proof for every attempt recorded under them. A placed one has not been sent.
-     */
+    /* The worker killed and forgot all attempts of its earlier epochs, and refuses commands of
+     * those epochs. This proves that every attempt recorded under them is over. An attempt that is
+     * only placed has not been sent, so it cannot run either. */
     for (guint i = 0; i < machine->attempts->len; i++) {
         attempt_t *attempt = machine_attempt(machine, i);
         if (attempt->worker_epoch < heartbeat->worker_epoch)
@@ -20,7 +20,7 @@
     }
     machine->worker_epoch = heartbeat->worker_epoch;
     machine->unanswered_fencing_token = 0;
-    machine->booked = (resources_t){0};
+    machine->listed_resources = (resources_t){0};
 }
 
 static void update_identity(partition_t *partition, machine_t *machine,
@@ -41,17 +41,17 @@
     return MAX(now + (msec_t)(heartbeat->interruption_in_s * MS_PER_S), 1);
 }
 
-/* A task that runs has its image: the machine will not fetch that one again soon. */
+/* A running task has its image, so the machine will not fetch that image again soon. */
 static void record_image(machine_t *machine, const attempt_t *attempt)
 {
     if (!g_hash_table_contains(machine->images, attempt->entry.image))
         g_hash_table_add(machine->images, g_strdup(attempt->entry.image));
 }
 
-/* Resources of the attempts that one heartbeat lists. */
+/* The resources of the attempts that one heartbeat lists. */
 typedef struct listed_resources {
-    resources_t booked;
-    resources_t growth; /* of attempts that no heartbeat listed before */
+    resources_t total;
+    resources_t growth; /* of those attempts that no earlier heartbeat listed */
 } listed_resources_t;
 
 static void reset_listed_attempts(machine_t *machine)
@@ -69,7 +69,7 @@
     if (attempt->state == TASK_FETCHING) {
         machine->starting++;
         reservation_record_start(machine->reservations, attempt->reservation_id,
-                                 machine->receipt_count);
+                                 machine->accepted_count);
     } else {
         machine->running++;
         record_image(machine, attempt);
@@ -91,7 +91,7 @@
         return;
     }
     count_listed_attempt(machine, attempt);
-    resources_add(&resources->booked, attempt->entry.need, 1);
+    resources_add(&resources->total, attempt->entry.need, 1);
     if (!attempt->listed_since_at) {
         attempt->listed_since_at = now;
         resources_add(&resources->growth, attempt->entry.need, 1);
@@ -107,19 +107,21 @@
         apply_listed_attempt(partition, machine,
                              &g_array_index(heartbeat->attempts, reported_attempt_t, i), now,
                              &resources);
-    /* Growth is counted by the attempts newly listed, so that one that ended meanwhile hides none.
-     */
-    reservation_confirm(machine->reservations, resources.growth, machine->receipt_count);
-    machine->booked = resources.booked;
+    /* Growth is the sum over newly listed attempts, not the difference of the totals, so that an
+     * attempt that ended in the meantime does not hide a new one. */
+    reservation_confirm(machine->reservations, resources.growth, machine->accepted_count);
+    machine->listed_resources = resources.total;
 }
 
-/* Whether a `run` sent to the worker may still be executed there after it sent this heartbeat.
+/* Returns whether the worker may still execute a `run` after it sent this heartbeat.
  *
- * None can if the worker had seen this view's fencing token, no pushed command is in flight, and no
- * pushed `run` went unanswered under a fencing token as high as the one that the worker had seen.
- * Commands in answers to heartbeats need no more care: the worker sent this heartbeat after the
- * answer to the one before arrived or was given up. That holds for ordinary heartbeats only; the
- * answer to a pushed command may overtake what an earlier heartbeat's answer carries. */
+ * No `run` can arrive later if the worker had seen the fencing token of this view, no pushed
+ * command is in flight, and no pushed `run` went unanswered under a fencing token as high as the
+ * one that the worker had seen. Commands in answers to heartbeats need no further check, because
+ * the worker sends a heartbeat only after the answer to the previous one arrived or was given up.
+ * That holds for periodic heartbeats only: the answer to a pushed command may overtake the commands
+ * in the answer to an earlier heartbeat.
+ */
 static bool is_run_in_flight(const partition_t *partition, const machine_t *machine,
                              const worker_heartbeat_t *heartbeat)
 {
@@ -127,7 +129,8 @@
            machine->unanswered_fencing_token >= heartbeat->fencing_token;
 }
 
-/* Attempts that are to stop, and that an ordinary heartbeat does not list, are over. */
+/* Terminates the attempts that are to stop and that a periodic heartbeat does not list, unless a
+ * `run` may still be in flight. */
 static void terminate_absent_attempts(partition_t *partition, machine_t *machine,
                                       const worker_heartbeat_t *heartbeat)
 {
@@ -140,13 +143,15 @@
     }
 }
 
-/* Appends the commands for listed attempts that the record does not hold.
+/* Appends the commands for listed attempts that the record does not contain.
  *
- * `forget` ends the worker's memory of an attempt, after which a late copy of its `run` would start
- * it anew. So it is sent only in the answer to an ordinary heartbeat that lists the exit, and while
- * no copy is in flight. */
-static void command_unknown_attempts(partition_t *partition, machine_t *machine,
-                                     const worker_heartbeat_t *heartbeat, GArray *commands)
+ * After a `forget`, the worker no longer remembers the attempt, so a late copy of its `run` would
+ * start it again. A `forget` is therefore sent only in the answer to a periodic heartbeat that
+ * lists the attempt as exited, and only while no copy of the `run` is in flight.
+ */
+static void append_commands_for_unknown_attempts(partition_t *partition, machine_t *machine,
+                                                 const worker_heartbeat_t *heartbeat,
+                                                 GArray *commands)
 {
     bool may_forget = !is_run_in_flight(partition, machine, heartbeat);
     for (guint i = 0; i < heartbeat->attempts->len; i++) {
@@ -162,29 +167,32 @@
     }
 }
 
-/* The verdict on a heartbeat, by its order alone. A copy may come seconds to minutes late, here or
- * at a controller that never received the original: it must not rewind, prove, confirm or keep
- * anything alive. Against what this partition has received, worker epoch and sequence number
- * decide. For a first heartbeat there is nothing to compare with, but one that bears this view's
- * fencing token was sent in this view. */
-static heartbeat_verdict_t judge_heartbeat(const partition_t *partition, const machine_t *machine,
-                                           const worker_heartbeat_t *heartbeat, bool is_push)
+/* Returns the verdict on a heartbeat, which depends only on its order. A copy of a heartbeat may
+ * arrive seconds to minutes late, here or at a controller that never received the original. It must
+ * not restore an older state, prove that an attempt is over, confirm a reservation or make a
+ * machine look alive. If this partition has received a heartbeat of the machine before, the worker
+ * epoch and the sequence number decide. There is nothing to compare a first heartbeat with; but if
+ * it carries the fencing token of this view, it was sent in this view. */
+static heartbeat_verdict_t classify_heartbeat(const partition_t *partition,
+                                              const machine_t *machine,
+                                              const worker_heartbeat_t *heartbeat,
+                                              bool is_push_answer)
 {
     if (machine->is_terminated || heartbeat->worker_epoch < machine->worker_epoch)
         return HEARTBEAT_DUPLICATE;
-    if (!is_push && !machine->has_heartbeat && heartbeat->fencing_token < partition->view)
+    if (!is_push_answer && !machine->has_heartbeat && heartbeat->fencing_token < partition->view)
         return HEARTBEAT_UNVERIFIED;
     if (!machine->has_responded || heartbeat->worker_epoch > machine->worker_epoch)
         return HEARTBEAT_ACCEPTED;
-    if (!is_push && heartbeat->heartbeat_sequence <= machine->last_accepted_sequence)
+    if (!is_push_answer && heartbeat->heartbeat_sequence <= machine->last_periodic_sequence)
         return HEARTBEAT_DUPLICATE;
     if (heartbeat->heartbeat_sequence <= machine->heartbeat_sequence)
         return HEARTBEAT_OUT_OF_ORDER;
     return HEARTBEAT_ACCEPTED;
 }
 
-/* Records an ordinary heartbeat that is newer than those before. One that follows the last within
- * the time that a worker waits for an answer shows that the answer arrived. */
+/* Records a periodic heartbeat that is newer than the ones before. If it follows the last one
+ * within the time that a worker waits for an answer, it shows that the answer arrived. */
 static void record_acknowledgement(machine_t *machine, const worker_heartbeat_t *heartbeat,
                                    msec_t now)
 {
@@ -195,16 +203,18 @@
         machine->is_push_failing = false;
     }
     machine->last_heartbeat_at = now;
-    machine->last_accepted_sequence = heartbeat->heartbeat_sequence;
+    machine->last_periodic_sequence = heartbeat->heartbeat_sequence;
 }
 
-/* Whether starts may be sent to the machine, whatever its type and drain. */
+/* Returns whether starts may be sent to the machine, regardless of its type and of whether it is
+ * draining. */
 static bool may_send_starts(const partition_t *partition, const machine_t *machine, msec_t now)
 {
     return partition_is_reachable(partition, machine, now) && !machine->interruption_at;
 }
 
-/* Recorded starts that wait for preempted attempts may have the resources now. */
+/* Queues a push if a recorded start waits for preempted attempts, since their resources may be free
+ * now. */
 static void queue_waiting_starts(partition_t *partition, machine_t *machine)
 {
     for (guint i = 0; i < machine->attempts->len; i++) {
@@ -221,23 +231,23 @@
     record_acknowledgement(machine, heartbeat, now);
     machine->has_responded = true;
     terminate_absent_attempts(partition, machine, heartbeat);
-    commands_append_wanted(partition, machine, now, commands);
-    command_unknown_attempts(partition, machine, heartbeat, commands);
+    commands_append_for_desired_state(partition, machine, now, commands);
+    append_commands_for_unknown_attempts(partition, machine, heartbeat, commands);
 }
 
 static void apply_heartbeat(partition_t *partition, machine_t *machine,
-                            const worker_heartbeat_t *heartbeat, bool is_push, msec_t now,
+                            const worker_heartbeat_t *heartbeat, bool is_push_answer, msec_t now,
                             GArray *commands)
 {
     bool could_send_starts = may_send_starts(partition, machine, now);
     update_identity(partition, machine, heartbeat);
     update_worker_epoch(partition, machine, heartbeat);
     machine->heartbeat_sequence = heartbeat->heartbeat_sequence;
-    machine->receipt_count++;
+    machine->accepted_count++;
     machine->interruption_at = interruption_time(heartbeat, now);
     apply_listed_attempts(partition, machine, heartbeat, now);
     queue_waiting_starts(partition, machine);
-    if (!is_push)
+    if (!is_push_answer)
         answer_heartbeat(partition, machine, heartbeat, now, commands);
     if (machine->attempts->len)
         machine->idle_since_at = now;
@@ -246,22 +256,22 @@
 }
 
 heartbeat_verdict_t partition_handle_heartbeat(partition_t *partition,
-                                               const worker_heartbeat_t *heartbeat, bool is_push,
-                                               msec_t now, GArray *commands)
+                                               const worker_heartbeat_t *heartbeat,
+                                               bool is_push_answer, msec_t now, GArray *commands)
 {
-    /* A late copy would bring back a machine that is terminated, with all its resources free. */
+    /* A late copy would add a terminated machine again, with all its resources free. */
     if (g_hash_table_contains(partition->terminated_machines, heartbeat->machine))
         return HEARTBEAT_DUPLICATE;
     machine_t *machine = g_hash_table_lookup(partition->machines, heartbeat->machine);
     if (!machine)
         machine = partition_add_machine(partition, heartbeat->machine, heartbeat->zone, NULL, now);
-    heartbeat_verdict_t verdict = judge_heartbeat(partition, machine, heartbeat, is_push);
+    heartbeat_verdict_t verdict = classify_heartbeat(partition, machine, heartbeat, is_push_answer);
     switch (verdict) {
     case HEARTBEAT_ACCEPTED:
-        apply_heartbeat(partition, machine, heartbeat, is_push, now, commands);
+        apply_heartbeat(partition, machine, heartbeat, is_push_answer, now, commands);
         break;
     case HEARTBEAT_OUT_OF_ORDER:
-        if (!is_push)
+        if (!is_push_answer)
             record_acknowledgement(machine, heartbeat, now);
         break;
     case HEARTBEAT_UNVERIFIED:
@@ -271,8 +281,8 @@
     return verdict;
 }
 
-/* Only where the machine has not responded yet: the lease of a machine that executes commands, but
- * receives no answers to its heartbeats, ends all the same. */
+/* Has no effect if the machine has already responded: a machine that executes commands but receives
+ * no answers to its heartbeats loses its lease nevertheless, so it must not stay reachable. */
 void partition_record_probe_answer(partition_t *partition, const char *id, msec_t now)
 {
     machine_t *machine = g_hash_table_lookup(partition->machines, id);
@@ -281,15 +291,16 @@
     machine->has_responded = true;
     machine->last_acknowledged_at = now;
     partition->change_count++;
-    partition_queue_push(partition, machine); /* starts that were recorded and perhaps not sent */
+    /* Recorded starts may not have been sent yet. */
+    partition_queue_push(partition, machine);
 }
 
-/* Whether the heartbeat is newer than all ordinary ones of its machine. */
+/* Returns whether the heartbeat is newer than all periodic heartbeats received from its machine. */
 static bool is_newer_heartbeat(const machine_t *machine, const worker_heartbeat_t *heartbeat)
 {
     if (heartbeat->worker_epoch != machine->worker_epoch)
         return heartbeat->worker_epoch > machine->worker_epoch;
-    return heartbeat->heartbeat_sequence > machine->last_accepted_sequence;
+    return heartbeat->heartbeat_sequence > machine->last_periodic_sequence;
 }
 
 void partition_record_unanswered_heartbeat(partition_t *partition,
--- a/src/core/partition/machines.c
+++ b/src/core/partition/machines.c
@@ -77,14 +77,14 @@
 resources_t machine_free_resources(const machine_t *machine)
 {
     resources_t resources = machine->capacity;
-    resources_add(&resources, machine->booked, -1);
+    resources_add(&resources, machine->listed_resources, -1);
     resources_add(&resources, reservation_sum(machine->reservations), -1);
     return resources;
 }
 
-/* Heartbeats of a machine may arrive here while the answers and commands sent to it are lost. A
- * worker without an answer waits 4 s and turns to another controller a second later, so one that
- * sends the next heartbeat here within that time has received the answer. */
+/* Heartbeats of a machine may arrive here although the answers and commands sent to it are lost. A
+ * worker that gets no answer waits 4 s, and sends to another controller a second later. A worker
+ * that sends its next heartbeat here within that time has therefore received the answer. */
 bool partition_is_reachable(const partition_t *partition, const machine_t *machine, msec_t now)
 {
     return machine->has_responded && !machine->is_push_failing &&
--- a/src/core/partition/page_record.h
+++ b/src/core/partition/page_record.h
@@ -23,7 +23,7 @@
 /** One machine in its page's record. */
 typedef struct machine_record {
     char machine[ID_BYTES];      /**< Id of the machine. */
-    char address[ADDRESS_BYTES]; /**< Host and port at which its worker takes pushed commands. */
+    char address[ADDRESS_BYTES]; /**< Host and port at which its worker accepts pushed commands. */
     char type[LABEL_BYTES];      /**< Name of its machine type. */
     char zone[LABEL_BYTES];      /**< Its zone. */
     bool is_spot;                /**< Whether it is a spot machine. */
@@ -31,19 +31,19 @@
     GArray *entries;             /**< record_entry_t; owned. */
 } machine_record_t;
 
-/** The record of a page. One key holds several machines of a shard, since each change of a key
- * costs the same whatever its size. */
+/** The record of a page. One key holds several machines of a shard, because each write of a key
+ * costs the same whatever the size of the value. */
 typedef struct page_record {
     char shard[SHARD_NAME_BYTES]; /**< Name of the shard. */
     guint page;                   /**< Number of the page in its shard. */
-    uint64_t revision;            /**< Revision of the key when it was read or is to be written; 0:
-                                     the key does not exist. */
-    GArray *machines; /**< machine_record_t, from machine_records_new(); owned. No machines: the key
-                         is to be deleted. */
+    uint64_t revision; /**< Revision of the key when it was read, or that the write requires; 0: the
+                          key does not exist. */
+    GArray *machines;  /**< machine_record_t, from machine_records_new(); owned. If it is empty, the
+                          key is to be deleted. */
 } page_record_t;
 
-/** Returns an empty array of machine_record_t that frees the entries of its elements (transfer
- * full). */
+/** Returns an empty array of machine_record_t (transfer full). When an element is removed, its
+ * entries are freed. */
 GArray *machine_records_new(void);
 
 #endif
--- a/src/core/partition/page_split.c
+++ b/src/core/partition/page_split.c
@@ -17,11 +17,11 @@
     return busy;
 }
 
-static void mark_page_full(const page_t *page)
+static void mark_machines_filling_page(const page_t *page)
 {
     for (guint i = 0; i < page->machines->len; i++) {
         machine_t *machine = page_machine(page, i);
-        machine->is_page_full = machine->attempts->len > 0;
+        machine->fills_page = machine->attempts->len > 0;
     }
 }
 
@@ -33,9 +33,9 @@
     return shard_ensure_page(shard, number);
 }
 
-/* Moves machines, the last first, until half of the attempts have moved. The last machine with any
- * attempts stays. */
-static void move_half(page_t *page, page_t *sibling)
+/* Moves machines to the sibling, starting with the last, until half of the attempts have moved. At
+ * least one machine with attempts stays. */
+static void move_half_of_attempts(page_t *page, page_t *sibling)
 {
     guint total = count_attempts(page);
     guint moved = 0;
@@ -50,19 +50,19 @@
     }
 }
 
-/* Both records are written in one transaction, so that each machine is recorded under one key at
- * every moment. Without the split, a shard whose record nears the value limit would refuse its
- * starts for as long as the fleet is that large. */
+/* Both records are written in one transaction, so that each machine is recorded under exactly one
+ * key at all times. Without the split, a shard whose record is close to the value limit would
+ * reject starts as long as the fleet stays that large. */
 void partition_split_page(partition_t *partition, page_t *page)
 {
     page->is_full = false;
     guint busy = count_busy_machines(page);
     if (busy == 1)
-        mark_page_full(page);
+        mark_machines_filling_page(page);
     if (busy < 2)
         return;
     page_t *sibling = add_page(g_hash_table_lookup(partition->shards, page->shard));
-    move_half(page, sibling);
+    move_half_of_attempts(page, sibling);
     page->split_sibling = sibling;
     sibling->split_sibling = page;
 }
--- a/src/core/partition/page_split_internal.h
+++ b/src/core/partition/page_split_internal.h
@@ -8,8 +8,9 @@
 
 #include "core/partition/page_internal.h"
 
-/** Moves half of the page's work to a new page of the shard, its split sibling. If one machine has
- * all the work, that machine is marked instead as filling its page. */
+/** Moves about half of the page's attempts, with their machines, to a new page of the shard, its
+ * split sibling. If all attempts are on one machine, the page can't be split, and that machine is
+ * marked as filling its page instead. */
 void partition_split_page(partition_t *partition, page_t *page);
 
 #endif
--- a/src/core/partition/partition.c
+++ b/src/core/partition/partition.c
@@ -63,22 +63,23 @@
     g_array_set_size(partition->results, 0);
 }
 
-/* The time within which two heartbeats arrive, late ones included: with an interval of 3 s, some
- * late by a half, machines would else look silent between two heartbeats. */
-static msec_t heartbeat_spread_ms(double heartbeat_interval_s)
+/* Returns the time within which two successive heartbeats arrive, even if the second is late. With
+ * an interval of 3 s and some heartbeats half an interval late, machines would otherwise look
+ * silent between two heartbeats. */
+static msec_t max_heartbeat_gap_ms(double heartbeat_interval_s)
 {
     return (msec_t)(heartbeat_interval_s * HEARTBEAT_SPREAD_FACTOR * MS_PER_S) + HEARTBEAT_LATE_MS;
 }
 
 void partition_set_heartbeat_interval(partition_t *partition, double heartbeat_interval_s)
 {
-    msec_t spread_ms = heartbeat_spread_ms(heartbeat_interval_s);
-    partition->acknowledgement_timeout_ms = MAX(ACKNOWLEDGEMENT_TIMEOUT_MS, spread_ms);
+    msec_t max_gap_ms = max_heartbeat_gap_ms(heartbeat_interval_s);
+    partition->acknowledgement_timeout_ms = MAX(ACKNOWLEDGEMENT_TIMEOUT_MS, max_gap_ms);
 }
 
 void partition_delay_probes(partition_t *partition, double heartbeat_interval_s)
 {
-    partition->probe_delay_ms = heartbeat_spread_ms(heartbeat_interval_s);
+    partition->probe_delay_ms = max_heartbeat_gap_ms(heartbeat_interval_s);
 }
 
 void partition_apply_machine_types(partition_t *partition)
@@ -146,11 +147,12 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         machine_t *machine = value;
         reservation_expire(machine->reservations, now, partition->reservation_ttl_ms);
-        partition_empty_drained(partition, machine, now);
+        partition_evict_from_draining(partition, machine, now);
     }
 }
 
-/* The wait of a deferred flush counts from the last tick before it began. */
+/* Updates when the wait of each page's deferred flush began: at the last tick before the flush was
+ * deferred. */
 static void tick_pages(const partition_t *partition, msec_t now)
 {
     GHashTableIter iter;
--- a/src/core/partition/partition_type.h
+++ b/src/core/partition/partition_type.h
@@ -7,9 +7,8 @@
 /** The machines that one controller owns in one view; see partition.h. */
 typedef struct partition partition_t;
 
-/** One machine of a partition; see machine.h. The partition owns it, and may free it in any
- * function that takes the partition: keep no pointer to it once the controller's lock is released.
- */
+/** One machine of a partition; see machine.h. The partition owns it and may free it in any function
+ * that takes the partition. Do not keep a pointer to it after the controller's lock is released. */
 typedef struct machine machine_t;
 
 #endif
--- a/src/core/partition/placement.c
+++ b/src/core/partition/placement.c
@@ -1,10 +1,11 @@
-/* Projected least-loaded placement: the rank of machines, and the choice among them. */
+/* Projected least-loaded placement: ranks the candidate machines and chooses among them. */
 #include "core/partition/candidates_internal.h"
 #include "core/partition/partition_internal.h"
 #include "core/partition/preemption_internal.h"
 
-/* The design's score: the larger of the projected use of cpus and of memory, as a fraction of the
- * capacity, with the request placed there. The lowest is best. */
+/* Returns the score of the machine for a request that needs these resources: the projected use of
+ * cpus or of memory, whichever is larger, as a fraction of the capacity, with the request included.
+ * The lowest score is best. */
 static double score(const machine_t *machine, resources_t need)
 {
     resources_t left = machine_free_resources(machine);
@@ -31,10 +32,11 @@
     return compare_counts(first->running, second->running);
 }
 
-/* The design's order: responded first, lower score, fewer starting, fewer running. Below 0: the
- * first machine is better; 0: they are equal. A machine that has the image already wins where the
- * scores are equal; for urgent work, which is to start within a second where a fetch takes five,
- * the image comes before the score. */
+/* Compares two machines for the request. Returns a value below 0 if the first is better, and 0 if
+ * they are equal. The criteria, in order: it has responded, lower score, the image is cached, fewer
+ * starts (reserved or fetching their image), fewer running attempts. For requests of high or
+ * critical priority the image comes before the score, since these are to start within a second and
+ * fetching an image takes five. */
 static int compare_rank(const machine_t *first, const machine_t *second,
                         const placement_request_t *request)
 {
@@ -52,10 +54,10 @@
     return compare_load(first, second);
 }
 
-/* Whether the newest of so many equal machines is chosen in place of the one before. */
-static bool takes_turn(partition_t *partition, guint equals)
+/* Returns whether the newest of `equals` machines of equal rank replaces the one chosen before. */
+static bool wins_tie(partition_t *partition, guint equals)
 {
-    guint turn = partition->round_robin_turn++;
+    guint turn = partition->tie_counter++;
     return turn % equals == 0;
 }
 
@@ -76,14 +78,14 @@
             equals = 1;
         } else if (rank == 0) {
             equals++;
-            if (takes_turn(partition, equals))
+            if (wins_tie(partition, equals))
                 best = machine;
         }
     }
     return best;
 }
 
-static record_entry_t entry_of(const placement_request_t *request)
+static record_entry_t record_entry_of(const placement_request_t *request)
 {
     record_entry_t entry = {.need = request->need,
                             .priority = request->priority,
@@ -101,13 +103,13 @@
 static attempt_t *reserve(partition_t *partition, machine_t *machine,
                           const placement_request_t *request, msec_t now)
 {
-    record_entry_t entry = entry_of(request);
+    record_entry_t entry = record_entry_of(request);
     attempt_t *attempt = partition_add_attempt(partition, machine, &entry);
     attempt->phase = ATTEMPT_PLACED;
     attempt->job_revision = request->job_revision;
     attempt->worker_epoch = machine->worker_epoch;
     reservation_add(machine->reservations, attempt->reservation_id, request->need,
-                    machine->receipt_count, now);
+                    machine->accepted_count, now);
     return attempt;
 }
 
--- a/src/core/partition/preemption.c
+++ b/src/core/partition/preemption.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* Whether the team is one of the other teams whose work the request may preempt. */
+/* Returns whether the team is one of the other teams whose attempts the request may preempt. */
 static bool is_preemptible_team(const partition_t *partition, const placement_request_t *request,
                                 const char *team)
 {
@@ -28,8 +28,9 @@
            (request->claims_guarantee && !is_same_team);
 }
 
-/* Work lost by a stop, in cpu seconds: what ran since the start, or since the last checkpoint, and
- * the wait for a new place. */
+/* Returns the work lost by stopping the attempt, in cpu seconds: the time that it ran since its
+ * start, or since its last checkpoint (on average half an interval ago), plus the cost of waiting
+ * for another machine. */
 static double lost_work(const attempt_t *attempt, msec_t now)
 {
     double ran_s = (double)(now - attempt->listed_since_at) / MS_PER_S;
@@ -38,14 +39,14 @@
     return (ran_s + PREEMPT_COST_S) * attempt->entry.need.cpus;
 }
 
-/* An attempt that may be preempted, with the work that this would lose. */
+/* An attempt that may be preempted, and the work that this would lose. */
 typedef struct preemptible_attempt {
     attempt_t *attempt; /* transfer none */
     double lost_work;   /* cpu seconds */
 } preemptible_attempt_t;
 
-/* Lowest priority first; then least lost work. */
-static gint compare_lost_work(gconstpointer left, gconstpointer right)
+/* Orders attempts by priority, lowest first, and then by lost work, least first. */
+static gint compare_preemption_cost(gconstpointer left, gconstpointer right)
 {
     const preemptible_attempt_t *first = left;
     const preemptible_attempt_t *second = right;
@@ -56,8 +57,8 @@
     return first->lost_work > second->lost_work;
 }
 
-/* The attempts of the machine that may be preempted, cheapest first: array of preemptible_attempt_t
- * (transfer full). */
+/* Returns the attempts on the machine that may be preempted, in the order in which to choose them:
+ * array of preemptible_attempt_t (transfer full). */
 static GArray *preemptible_attempts(const partition_t *partition, const machine_t *machine,
                                     const placement_request_t *request, msec_t now)
 {
@@ -69,39 +70,39 @@
         candidate.lost_work = lost_work(candidate.attempt, now);
         g_array_append_val(chosen_attempts, candidate);
     }
-    g_array_sort(chosen_attempts, compare_lost_work);
+    g_array_sort(chosen_attempts, compare_preemption_cost);
     return chosen_attempts;
 }
 
-/* The attempts that make room for the request on the machine, cheapest first: array of
- * preemptible_attempt_t (transfer full); NULL: stopping all that may be preempted does not make
- * room. *lost: the work that it loses, in cpu seconds. */
+/* Returns the attempts on the machine whose preemption makes room for the request: array of
+ * preemptible_attempt_t (transfer full). Returns NULL if even preempting all that may be preempted
+ * does not make room. Sets *lost to the work that the preemption loses, in cpu seconds. */
 static GArray *choose_attempts_to_preempt(const partition_t *partition, const machine_t *machine,
                                           const placement_request_t *request, msec_t now,
                                           double *lost)
 {
     g_autoptr(GArray) chosen_attempts = preemptible_attempts(partition, machine, request, now);
     resources_t resources = machine_free_resources(machine);
-    guint taken = 0;
+    guint chosen_count = 0;
     *lost = 0;
-    while (!resources_fit(request->need, resources) && taken < chosen_attempts->len) {
+    while (!resources_fit(request->need, resources) && chosen_count < chosen_attempts->len) {
         const preemptible_attempt_t *candidate =
-            &g_array_index(chosen_attempts, preemptible_attempt_t, taken);
-        taken++;
+            &g_array_index(chosen_attempts, preemptible_attempt_t, chosen_count);
+        chosen_count++;
         resources_add(&resources, candidate->attempt->entry.need, 1);
         *lost += candidate->lost_work;
     }
     if (!resources_fit(request->need, resources))
         return NULL;
-    g_array_set_size(chosen_attempts, taken);
+    g_array_set_size(chosen_attempts, chosen_count);
     return g_steal_pointer(&chosen_attempts);
 }
 
-/* A machine, and the attempts on it to preempt. */
+/* A machine, and the attempts to preempt on it. */
 typedef struct preemption {
-    machine_t *machine;      /* transfer none; NULL: there is none */
-    GArray *chosen_attempts; /* preemptible_attempt_t, owned; NULL: there is none */
-    double lost_work;        /* cpu seconds, and the cost of a fetch of the image */
+    machine_t *machine;      /* transfer none; NULL: no machine was found */
+    GArray *chosen_attempts; /* preemptible_attempt_t, owned; NULL: no machine was found */
+    double lost_work;        /* cpu seconds, including the cost of fetching the image */
 } preemption_t;
 
 static preemption_t choose_preemption(const partition_t *partition,
@@ -133,7 +134,7 @@
     attempt->is_preempted = true;
     partition->has_preempted = true;
     if (request->priority >= PRIORITY_HIGH)
-        attempt->kill_at = now; /* no time to save: the request is to start at once */
+        attempt->kill_at = now; /* no time to save, since the request is to start at once */
 }
 
 machine_t *partition_preempt_for(partition_t *partition, const placement_request_t *request,
--- a/src/core/partition/push_queue.c
+++ b/src/core/partition/push_queue.c
@@ -15,13 +15,13 @@
     partition->are_starts_paused = are_starts_paused;
 }
 
-static bool is_probe_wanted(const machine_t *machine)
+static bool is_probe_needed(const machine_t *machine)
 {
     return machine->needs_probe && !machine->has_responded;
 }
 
-/* Some probes hang until they time out: half of the dispatchers stay free for machines that have
- * responded. */
+/* Some probes hang until they time out, so at most half of the dispatchers send probes. The others
+ * stay free for machines that have responded. */
 static bool is_probe_due(const partition_t *partition, const machine_t *machine, msec_t now)
 {
     return partition->probes_in_flight < DISPATCHERS_COUNT / 2 &&
@@ -32,21 +32,21 @@
 {
     if (machine->is_push_in_flight)
         return false;
-    if (is_probe_wanted(machine))
+    if (is_probe_needed(machine))
         return is_probe_due(partition, machine, now);
     return partition_is_reachable(partition, machine, now);
 }
 
-/* Begins the push and appends its commands; false: there is nothing to send. */
+/* Begins the push and appends its commands. Returns false if there is nothing to send. */
 static bool begin_push(partition_t *partition, machine_t *machine, msec_t now, GArray *commands)
 {
     machine->is_push_in_flight = true;
-    if (is_probe_wanted(machine)) {
+    if (is_probe_needed(machine)) {
         partition->probes_in_flight++;
         return true;
     }
     machine->needs_probe = false;
-    commands_append_wanted(partition, machine, now, commands);
+    commands_append_for_desired_state(partition, machine, now, commands);
     machine->is_push_in_flight = commands->len > 0;
     return machine->is_push_in_flight;
 }
@@ -60,12 +60,12 @@
                                GArray *commands)
 {
     GList *next = NULL;
-    for (GList *at = partition->push_queue->head; at; at = next) {
-        machine_t *machine = at->data;
-        next = at->next;
+    for (GList *item = partition->push_queue->head; item; item = next) {
+        machine_t *machine = item->data;
+        next = item->next;
         if (!is_served_by(machine, dispatchers) || !is_push_due(partition, machine, now))
             continue;
-        g_queue_delete_link(partition->push_queue, at);
+        g_queue_delete_link(partition->push_queue, item);
         machine->is_push_queued = false;
         if (begin_push(partition, machine, now, commands))
             return machine;
@@ -76,8 +76,8 @@
 uint32_t partition_due_dispatchers(const partition_t *partition, msec_t now)
 {
     uint32_t dispatchers = 0;
-    for (const GList *at = partition->push_queue->head; at; at = at->next) {
-        const machine_t *machine = at->data;
+    for (const GList *item = partition->push_queue->head; item; item = item->next) {
+        const machine_t *machine = item->data;
         if (is_push_due(partition, machine, now))
             dispatchers |= 1U << machine->dispatcher_index;
     }
--- a/src/core/partition/pushed_commands.h
+++ b/src/core/partition/pushed_commands.h
@@ -2,9 +2,10 @@
  * Pushed commands: commands that a command dispatcher sends to a worker without waiting for its
  * next heartbeat.
  *
- * Each machine belongs to one dispatcher, which keeps a connection to it; another may serve it
- * while that one is busy. A machine that has not responded in this view is probed first: sent a
- * push without commands, whose answer shows its state. Called with the controller's lock held.
+ * Each machine is assigned to one dispatcher, which keeps a connection to it open. Another
+ * dispatcher may serve the machine while that one is busy. A machine that has not responded in this
+ * view is probed first: it is sent a push without commands, whose answer shows its state. Called
+ * with the controller's lock held.
  */
 #ifndef PEPPERPULLEY_PUSHED_COMMANDS_H
 #define PEPPERPULLEY_PUSHED_COMMANDS_H
@@ -12,42 +13,45 @@
 #include "core/partition/partition_type.h"
 #include "core/types.h"
 
-/** What became of a push. */
+/** The result of a push. */
 typedef enum push_result {
-    PUSH_EXECUTED, /**< The worker executed the commands. */
-    PUSH_REFUSED,  /**< The worker refused them: another worker epoch, or a higher fencing token. */
-    PUSH_DISCARDED, /**< They were not sent, since the process stalled before: the machine is due
-                       again at once. */
-    PUSH_NOT_SENT,  /**< They certainly did not reach the worker. */
-    PUSH_UNANSWERED /**< It is not known whether they reached the worker; they may still. */
+    PUSH_EXECUTED,  /**< The worker executed the commands. */
+    PUSH_REFUSED,   /**< The worker refused the commands, because it has another worker epoch or has
+                       seen a higher fencing token. */
+    PUSH_DISCARDED, /**< The commands were not sent, because the process stalled before sending
+                       them. The machine is due again at once. */
+    PUSH_NOT_SENT,  /**< The commands definitely did not reach the worker. */
+    PUSH_UNANSWERED /**< It is unknown whether the commands reached the worker. They may still reach
+                       it. */
 } push_result_t;
 
-/** Takes the next machine that is due a push, in the order in which they became due.
+/** Takes the next machine for which a push is due, in the order in which they became due.
  *
  * @param partition the partition
- * @param dispatchers a bit for each dispatcher whose machines are considered
- * @param now the steady clock
- * @param commands array of worker_command_t, to which the machine's commands are appended; none:
- * the push is a probe
- * @return the machine (transfer none), or NULL if none is due; partition_finish_push() must follow
+ * @param dispatchers bit mask of the dispatchers whose machines are considered
+ * @param now the current time of the steady clock
+ * @param commands array of worker_command_t to which the machine's commands are appended; if none
+ * is appended, the push is a probe
+ * @return the machine (transfer none), for which partition_finish_push() must be called afterwards,
+ * or NULL if no push is due
  */
 machine_t *partition_take_push(partition_t *partition, uint32_t dispatchers, msec_t now,
                                GArray *commands);
 
-/** Returns a bit for each dispatcher that has a machine due a push at @p now. */
+/** Returns a bit mask of the dispatchers that have a machine for which a push is due at @p now. */
 uint32_t partition_due_dispatchers(const partition_t *partition, msec_t now);
 
-/** Records what became of a push to machine @p id, with the commands that partition_take_push()
- * appended and the fencing token under which they were sent. */
+/** Records the result of a push to machine @p id. @p commands are those that partition_take_push()
+ * appended, and @p fencing_token is the one under which they were sent. */
 void partition_finish_push(partition_t *partition, const char *id, const GArray *commands,
                            uint64_t fencing_token, push_result_t result);
 
-/** Whether attempts can be forgotten or proved over only under a higher fencing token, since an
- * unanswered `run` under the present one may still arrive. */
+/** Returns whether a higher fencing token is needed before attempts can be forgotten or proved to
+ * be over, because an unanswered `run` under the current one may still arrive. */
 bool partition_needs_new_fencing_token(const partition_t *partition);
 
-/** Sets whether starts are withheld. While cancellations may be unknown here no `run` is sent;
- * recorded attempts wait. */
+/** Sets whether starts are paused. They are paused while this controller may not know of all
+ * cancellations. No `run` is sent then, and recorded attempts wait. */
 void partition_pause_starts(partition_t *partition, bool are_starts_paused);
 
 #endif
--- a/src/core/partition/record_writer.c
+++ b/src/core/partition/record_writer.c
@@ -27,13 +27,13 @@
     return false;
 }
 
-/* The state of a record while it is put together. */
+/* The state of a record while it is being built. */
 typedef struct writer {
     partition_batch_t *batch;         /* transfer none */
     const partition_limits_t *limits; /* transfer none */
-    GHashTable *headers;              /* set of job ids (the attempts') that it has a header for */
-    gsize size;                       /* estimated bytes so far */
-    bool is_full;                     /* a start was left out for the size */
+    GHashTable *headers;              /* set of ids (owned by attempts) of jobs with a header */
+    gsize size;                       /* estimated size so far, in bytes */
+    bool is_full; /* a start was omitted because the record has no room for it */
 } writer_t;
 
 static gsize job_header_size(const record_entry_t *entry)
@@ -55,9 +55,9 @@
            strlen(machine->type) + strlen(machine->zone);
 }
 
-/* Whether a start fits into the record and the batch. One that does not stays placed until a later
- * commit. */
-static bool fits_start(writer_t *writer, const attempt_t *attempt)
+/* Returns whether a start fits into the record and the batch. A start that does not fit stays in
+ * the phase ATTEMPT_PLACED until a later commit. */
+static bool start_fits(writer_t *writer, const attempt_t *attempt)
 {
     GHashTable *jobs = writer->batch->jobs;
     if (writer->size + attempt_size(writer, attempt) > writer->limits->value_max) {
@@ -75,7 +75,8 @@
     g_array_append_val(record->entries, attempt->entry);
 }
 
-/* What stays in the record must be in it, whatever the room; starts get the room that it leaves. */
+/* Writes the attempts that stay in the record, without regard to the size limit, because the record
+ * must contain them. Starts get the remaining room. */
 static void write_recorded(writer_t *writer, machine_t *machine, machine_record_t *record)
 {
     if (machine->attempts->len)
@@ -93,7 +94,7 @@
 {
     for (guint i = 0; i < machine->attempts->len; i++) {
         attempt_t *attempt = machine_attempt(machine, i);
-        if (attempt->is_in_record || attempt_leaves_record(attempt) || !fits_start(writer, attempt))
+        if (attempt->is_in_record || attempt_leaves_record(attempt) || !start_fits(writer, attempt))
             continue;
         attempt->batch_change = BATCH_ADD;
         g_hash_table_insert(writer->batch->jobs, g_strdup(attempt->entry.job),
@@ -102,7 +103,7 @@
     }
 }
 
-/* The machine's record, without attempts. */
+/* Returns the machine's record without its attempts. */
 static machine_record_t machine_record_of(const machine_t *machine)
 {
     machine_record_t record = {.is_spot = machine->is_spot,
@@ -115,7 +116,7 @@
     return record;
 }
 
-/* Writes the machines of the page that have attempts. */
+/* Writes the machines of the page that have attempts to record. */
 static void write_machines(writer_t *writer, const page_t *page, GArray *records)
 {
     for (guint i = 0; i < page->machines->len; i++) {
--- a/src/core/partition/record_writer_internal.h
+++ b/src/core/partition/record_writer_internal.h
@@ -1,5 +1,5 @@
 /** @file
- * Puts together the record of a page.
+ * Builds the record of a page.
  *
  * Private to the partition. Called with the controller's lock held.
  */
@@ -10,12 +10,13 @@
 #include "core/partition/page_internal.h"
 #include "core/partition/partition_batch.h"
 
-/** Whether the attempt is to leave the record. */
+/** Returns whether the attempt is to be removed from the record. */
 bool attempt_leaves_record(const attempt_t *attempt);
-/** Whether what the page's record is to hold differs from what it holds. */
+/** Returns whether the page's record has to change: a start is to be added to it, or an attempt is
+ * to be removed. */
 bool page_has_changes(const page_t *page);
-/** Appends the page's record to the batch, marks what its commit does to each attempt, and takes
- * the page off those that are due. Starts that the limits leave no room for are left out. */
+/** Appends the page's record to the batch, marks how the commit changes the record of each attempt,
+ * and clears the page's pending flushes. Starts for which the limits leave no room are omitted. */
 void batch_add_page(partition_batch_t *batch, page_t *page, const partition_limits_t *limits);
 
 #endif
--- a/src/core/partition/reservation.c
+++ b/src/core/partition/reservation.c
@@ -1,10 +1,10 @@
 #include "core/partition/reservation.h"
 
 void reservation_add(GArray *list, uint64_t reservation_id, resources_t need,
-                     uint64_t receipt_count, msec_t now)
+                     uint64_t accepted_count, msec_t now)
 {
     reservation_t reservation = {.reservation_id = reservation_id,
-                                 .receipt_count = receipt_count,
+                                 .accepted_count = accepted_count,
                                  .made_at = now,
                                  .cpus = need.cpus,
                                  .gpus = need.gpus,
@@ -12,7 +12,8 @@
     g_array_append_val(list, reservation);
 }
 
-/* The reservation, and its index in the list; NULL: it is not there. */
+/* Returns the reservation and sets *index to its index in the list. Returns NULL if the list does
+ * not contain it. */
 static reservation_t *find_reservation(GArray *list, uint64_t reservation_id, guint *index)
 {
     for (guint i = 0; i < list->len; i++) {
@@ -32,11 +33,11 @@
         g_array_remove_index(list, index);
 }
 
-void reservation_record_start(GArray *list, uint64_t reservation_id, uint64_t receipt_count)
+void reservation_record_start(GArray *list, uint64_t reservation_id, uint64_t accepted_count)
 {
     guint index;
     reservation_t *reservation = find_reservation(list, reservation_id, &index);
-    if (reservation && reservation->receipt_count < receipt_count)
+    if (reservation && reservation->accepted_count < accepted_count)
         reservation->is_start_listed = true;
 }
 
@@ -47,7 +48,8 @@
     *growth -= confirmed;
 }
 
-/* Takes what it confirms off both; true: nothing of the reservation is left unconfirmed. */
+/* Subtracts the confirmed amount from both the reservation and the growth. Returns true if nothing
+ * of the reservation is left unconfirmed. */
 static bool confirm_reservation(reservation_t *reservation, resources_t *growth)
 {
     confirm_dimension(&reservation->cpus, &growth->cpus);
@@ -56,13 +58,13 @@
     return reservation->cpus + reservation->gpus + reservation->memory < EPSILON;
 }
 
-void reservation_confirm(GArray *list, resources_t growth, uint64_t receipt_count)
+void reservation_confirm(GArray *list, resources_t growth, uint64_t accepted_count)
 {
     guint i = 0;
     while (i < list->len) {
         reservation_t *reservation = &g_array_index(list, reservation_t, i);
         bool may_confirm =
-            reservation->receipt_count < receipt_count && reservation->is_start_listed;
+            reservation->accepted_count < accepted_count && reservation->is_start_listed;
         if (may_confirm && confirm_reservation(reservation, &growth))
             g_array_remove_index(list, i);
         else
--- a/src/core/partition/reservation.h
+++ b/src/core/partition/reservation.h
@@ -1,13 +1,13 @@
 /** @file
  * Reservations: resources reserved on one machine for starts that its heartbeats do not show yet.
  *
- * Part of projected least-loaded placement: a reservation is made when an attempt is placed, is
- * confirmed by the growth of the listed attempts, and expires (the design's lapse) after a time to
- * live. Its end frees projected resources; it never frees the task itself, which only proof does
- * (see partition.h).
+ * Reservations are part of projected least-loaded placement. A reservation is made when an attempt
+ * is placed, is confirmed when the resources of the listed attempts grow, and expires after a time
+ * to live. When a reservation ends, its resources count as free again. It does not make the task
+ * available for another attempt: only proof that the attempt is over does that (see partition.h).
  *
- * A list is a GArray of reservation_t, in the order in which they were made, and belongs to the
- * machine. Called with the controller's lock held.
+ * A list is a GArray of reservation_t in the order in which the reservations were made. It belongs
+ * to the machine. Called with the controller's lock held.
  */
 #ifndef PEPPERPULLEY_RESERVATION_H
 #define PEPPERPULLEY_RESERVATION_H
@@ -16,33 +16,33 @@
 
 /** The reservation of one attempt. */
 typedef struct reservation {
-    uint64_t reservation_id; /**< The partition's own number for the attempt. */
-    uint64_t receipt_count;  /**< Heartbeats that had been accepted from the machine when the
+    uint64_t reservation_id; /**< Id, which the partition assigned to the attempt. */
+    uint64_t accepted_count; /**< Number of heartbeats accepted from the machine before the
                                 reservation was made. */
     msec_t made_at;          /**< When it was made. */
-    bool is_start_listed;    /**< A later heartbeat listed the task as fetching its image. */
-    double cpus;             /**< Cpus still unconfirmed. */
-    double gpus;             /**< Gpus still unconfirmed. */
-    double memory;           /**< Memory still unconfirmed. */
+    bool is_start_listed; /**< Whether a later heartbeat listed the task as fetching its image. */
+    double cpus;          /**< Cpus not confirmed yet. */
+    double gpus;          /**< Gpus not confirmed yet. */
+    double memory;        /**< Memory not confirmed yet, in GB. */
 } reservation_t;
 
-/** Appends a reservation of @p need to @p list, made at @p now after @p receipt_count heartbeats.
- */
+/** Appends a reservation of @p need to @p list. @p accepted_count is the number of heartbeats
+ * accepted from the machine until @p now, when the reservation is made. */
 void reservation_add(GArray *list, uint64_t reservation_id, resources_t need,
-                     uint64_t receipt_count, msec_t now);
-/** Removes the reservation from @p list, if it is there. */
+                     uint64_t accepted_count, msec_t now);
+/** Removes the reservation from @p list. Does nothing if the list does not contain it. */
 void reservation_remove(GArray *list, uint64_t reservation_id);
-/** Records that heartbeat number @p receipt_count lists the task as fetching its image. A
- * reservation made after that heartbeat stays as it is. */
-void reservation_record_start(GArray *list, uint64_t reservation_id, uint64_t receipt_count);
-/** Confirms reservations, oldest first: @p growth, the growth of booked resources that heartbeat
- * number @p receipt_count shows, is taken off those made before it whose start was listed, each
- * dimension by itself. What is left of the growth is dropped; a reservation without anything
- * unconfirmed is removed. */
-void reservation_confirm(GArray *list, resources_t growth, uint64_t receipt_count);
-/** Removes reservations as old as @p reservation_ttl_ms or older; returns how many. */
+/** Records that the heartbeat with number @p accepted_count lists the task as fetching its image. A
+ * reservation that was made after that heartbeat is not changed. */
+void reservation_record_start(GArray *list, uint64_t reservation_id, uint64_t accepted_count);
+/** Confirms reservations, oldest first. @p growth is the growth of the listed resources that the
+ * heartbeat with number @p accepted_count shows. It is subtracted, each dimension by itself, from
+ * the reservations that were made before that heartbeat and whose start was listed. A reservation
+ * with nothing left unconfirmed is removed. Any remaining growth is discarded. */
+void reservation_confirm(GArray *list, resources_t growth, uint64_t accepted_count);
+/** Removes the reservations whose age is @p reservation_ttl_ms or more. Returns their number. */
 guint reservation_expire(GArray *list, msec_t now, msec_t reservation_ttl_ms);
-/** Returns the sum of what is still unconfirmed. */
+/** Returns the sum of the unconfirmed resources of all reservations. */
 resources_t reservation_sum(const GArray *list);
 
 #endif
--- a/tests/core/partition/partition_fixture.c
+++ b/tests/core/partition/partition_fixture.c
@@ -46,11 +46,11 @@
 }
 
 heartbeat_verdict_t deliver_heartbeat(partition_fixture_t *fixture, worker_heartbeat_t *heartbeat,
-                                      bool is_push)
+                                      bool is_push_answer)
 {
     g_array_set_size(fixture->commands, 0);
-    heartbeat_verdict_t verdict = partition_handle_heartbeat(fixture->partition, heartbeat, is_push,
-                                                             fixture->now, fixture->commands);
+    heartbeat_verdict_t verdict = partition_handle_heartbeat(
+        fixture->partition, heartbeat, is_push_answer, fixture->now, fixture->commands);
     worker_heartbeat_clear(heartbeat);
     return verdict;
 }
--- a/tests/core/partition/partition_fixture.h
+++ b/tests/core/partition/partition_fixture.h
@@ -27,7 +27,7 @@
 
 /* Hands a heartbeat (cleared afterwards), or the answer to a push, to the partition. */
 heartbeat_verdict_t deliver_heartbeat(partition_fixture_t *fixture, worker_heartbeat_t *heartbeat,
-                                      bool is_push);
+                                      bool is_push_answer);
 /* One heartbeat of the worker, accepted and answered; a second passes. */
 void exchange_heartbeat(partition_fixture_t *fixture);
 
