--- a/tests/core/partition/partition_fixture.c
+++ b/tests/core/partition/partition_fixture.c
@@ -12,7 +12,7 @@
     fixture->teams = g_array_new(FALSE, FALSE, sizeof(team_t));
     fixture->partition = partition_fixture_partition(fixture, VIEW);
     fixture->worker = fake_worker_new("m-000001");
-    fixture->worker->fencing_token = VIEW; /* it has seen this view */
+    fixture->worker->fencing_token = VIEW; /* the worker has seen this view */
     fixture->commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     fixture->now = 1000;
     fixture->revision = 10;
--- a/tests/core/partition/test_partition_heartbeats.c
+++ b/tests/core/partition/test_partition_heartbeats.c
@@ -1,14 +1,15 @@
-/* Tests of worker heartbeats: which are applied, and which are copies, late or out of order. */
+/* Tests of worker heartbeats: which are applied, and which are copied, late or out of order. */
 #include "partition_fixture.h"
 #include "unit_test.h"
 
-/* Placement rounds and commits follow changes, not heartbeats. */
-static void test_heartbeat_without_news_is_no_change(void **state)
+/* The change count triggers placement rounds and commits, so a heartbeat that changes nothing must
+ * not increase it. */
+static void test_unchanged_heartbeat_keeps_the_change_count(void **state)
 {
     partition_fixture_t *fixture = *state;
     uint64_t changes = partition_change_count(fixture->partition);
     exchange_heartbeat(fixture);
-    /* The machine takes starts. */
+    /* The machine accepts starts now. */
     assert_true(partition_change_count(fixture->partition) > changes);
     place_task(fixture, "j-000001", 0, 100);
     commit_batch(fixture);
@@ -22,75 +23,76 @@
     exchange_heartbeat(fixture);
     assert_true(partition_change_count(fixture->partition) > changes);
     changes = partition_change_count(fixture->partition);
-    fixture->now += 20000; /* silent, then heartbeats again */
+    fixture->now += 20000; /* the machine is silent, and then sends heartbeats again */
     exchange_heartbeat(fixture);
     exchange_heartbeat(fixture);
     assert_true(partition_change_count(fixture->partition) > changes);
 }
 
-static void test_late_heartbeat_of_an_old_worker_epoch_is_dropped(void **state)
+static void test_heartbeat_of_an_old_worker_epoch_is_a_duplicate(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
-    worker_heartbeat_t late = fake_worker_heartbeat(fixture->worker);
+    worker_heartbeat_t late_heartbeat = fake_worker_heartbeat(fixture->worker);
     fake_worker_lose_lease(fixture->worker);
     exchange_heartbeat(fixture);
-    assert_int_equal(deliver_heartbeat(fixture, &late, false), HEARTBEAT_DUPLICATE);
+    assert_int_equal(deliver_heartbeat(fixture, &late_heartbeat, false), HEARTBEAT_DUPLICATE);
 }
 
-/* The answer to a pushed command may overtake a heartbeat. If that were refused, its worker would
- * turn to another controller; so it is answered, and its content is not applied. */
-static void test_out_of_order_heartbeat_changes_nothing(void **state)
+/* The answer to a pushed command may overtake a heartbeat. The late heartbeat is answered, because
+ * its worker would otherwise switch to another controller, but its content is not applied. */
+static void test_out_of_order_heartbeat_is_not_applied(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
     place_task(fixture, "j-000001", 0, 100);
     commit_batch(fixture);
-    worker_heartbeat_t late = fake_worker_heartbeat(fixture->worker);
+    worker_heartbeat_t late_heartbeat = fake_worker_heartbeat(fixture->worker);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     assert_non_null(partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, commands));
     assert_true(fake_worker_push(fixture->worker, 7, 1, commands));
     g_array_unref(commands);
     worker_heartbeat_t answer = fake_worker_heartbeat(fixture->worker);
-    /* The answer lists the task, which runs. */
+    /* The push answer lists the task as running. */
     assert_int_equal(deliver_heartbeat(fixture, &answer, true), HEARTBEAT_ACCEPTED);
-    assert_int_equal(deliver_heartbeat(fixture, &late, false), HEARTBEAT_OUT_OF_ORDER);
+    assert_int_equal(deliver_heartbeat(fixture, &late_heartbeat, false), HEARTBEAT_OUT_OF_ORDER);
     assert_int_equal(fixture->commands->len, 0);
     assert_true(fixture_machine(fixture)->running == 1);
 }
 
-/* Two controllers both take themselves for the machine's owner: the one with the older fencing
- * token can't start anything there, and its answer to a heartbeat does not count. */
-static void test_owner_with_an_older_fencing_token_can_change_nothing(void **state)
+/* Two controllers both consider themselves the owner of the machine. The worker must ignore the
+ * answer of the one with the older fencing token, so that this one cannot start or stop anything.
+ */
+static void test_worker_ignores_an_owner_with_an_older_fencing_token(void **state)
 {
     partition_fixture_t *fixture = *state;
-    partition_t *older = partition_fixture_partition(fixture, 6);
+    partition_t *older_owner = partition_fixture_partition(fixture, 6);
     exchange_heartbeat(fixture);
     place_task(fixture, "j-000001", 0, 100);
     commit_batch(fixture);
     exchange_heartbeat(fixture);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
-    partition_handle_heartbeat(older, &heartbeat, false, fixture->now, commands);
+    partition_handle_heartbeat(older_owner, &heartbeat, false, fixture->now, commands);
     assert_false(fake_worker_answer(fixture->worker, 6, commands));
     assert_int_equal(fake_worker_active(fixture->worker), 1);
     worker_heartbeat_clear(&heartbeat);
     g_array_unref(commands);
-    partition_free(older);
+    partition_free(older_owner);
 }
 
-/* A new owner, after a restart or a change of view, has nothing to compare a heartbeat with. A copy
- * from minutes ago must not rewind worker epoch or address, prove absence, cause a `forget`, or
- * keep the machine alive. */
-static void test_copy_at_a_new_owner_changes_nothing(void **state)
+/* After a restart or a change of view, a new owner has no earlier heartbeat to compare with. A copy
+ * of a heartbeat that is minutes old must not restore an older worker epoch or address, prove that
+ * an attempt is absent, cause a `forget`, or make the machine look alive. */
+static void test_new_owner_does_not_apply_a_copied_heartbeat(void **state)
 {
     partition_fixture_t *fixture = *state;
     load_page_record(fixture);
     partition_end_job(fixture->partition, "j-000001");
-    fake_worker_t *past = fake_worker_new("m-000001");
-    past->fencing_token = 6;
-    past->heartbeat_sequence = 40;
-    worker_heartbeat_t copy = fake_worker_heartbeat(past);
+    fake_worker_t *earlier_worker = fake_worker_new("m-000001");
+    earlier_worker->fencing_token = 6;
+    earlier_worker->heartbeat_sequence = 40;
+    worker_heartbeat_t copy = fake_worker_heartbeat(earlier_worker);
     g_strlcpy(copy.address, "10.9.9.9:1", sizeof copy.address);
     fixture->now += 5000;
     assert_int_equal(deliver_heartbeat(fixture, &copy, false), HEARTBEAT_UNVERIFIED);
@@ -101,12 +103,13 @@
         partition_is_reachable(fixture->partition, fixture_machine(fixture), fixture->now));
     commit_batch(fixture);
     assert_int_equal(partition_results(fixture->partition)->len, 0);
-    fake_worker_free(past);
+    fake_worker_free(earlier_worker);
 }
 
-/* At the owner that received the original, a copy is not newer than it: its content is not applied,
- * and the machine counts as silent for as long as before. */
-static void test_copy_at_the_owner_keeps_nothing_alive(void **state)
+/* A copy reaches the owner that received the original. It is not newer than the original, so its
+ * content is not applied, and it does not shorten the time for which the machine counts as silent.
+ */
+static void test_owner_does_not_apply_a_copied_heartbeat(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
@@ -114,19 +117,20 @@
     worker_heartbeat_t copy = original;
     copy.attempts = g_array_copy(original.attempts);
     deliver_heartbeat(fixture, &original, false);
-    msec_t last = fixture->now;
+    msec_t received_at = fixture->now;
     place_task(fixture, "j-000001", 0, 100);
     commit_batch(fixture);
     fixture->now += 20000;
     assert_int_equal(deliver_heartbeat(fixture, &copy, false), HEARTBEAT_DUPLICATE);
-    assert_int_equal(fixture_machine(fixture)->last_acknowledged_at, last);
-    assert_int_equal(fixture_machine(fixture)->last_heartbeat_at, last);
-    assert_int_equal(fixture_machine(fixture)->reservations->len, 1); /* confirmed by nothing */
+    assert_int_equal(fixture_machine(fixture)->last_acknowledged_at, received_at);
+    assert_int_equal(fixture_machine(fixture)->last_heartbeat_at, received_at);
+    assert_int_equal(fixture_machine(fixture)->reservations->len, 1); /* not confirmed */
     assert_int_equal(fixture->commands->len, 0);
 }
 
-/* The machine's resources would look free, and starts would wait there for minutes. */
-static void test_copy_does_not_bring_back_a_terminated_machine(void **state)
+/* If a copied heartbeat added the machine again, its resources would look free, and starts would
+ * wait there for minutes. */
+static void test_copied_heartbeat_does_not_restore_a_terminated_machine(void **state)
 {
     partition_fixture_t *fixture = *state;
     placement_request_t request = placement_request_of("j-000001", 0, 100, 4);
@@ -142,19 +146,19 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_heartbeat_without_news_is_no_change,
+        cmocka_unit_test_setup_teardown(test_unchanged_heartbeat_keeps_the_change_count,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_late_heartbeat_of_an_old_worker_epoch_is_dropped,
+        cmocka_unit_test_setup_teardown(test_heartbeat_of_an_old_worker_epoch_is_a_duplicate,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_out_of_order_heartbeat_changes_nothing,
+        cmocka_unit_test_setup_teardown(test_out_of_order_heartbeat_is_not_applied,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_owner_with_an_older_fencing_token_can_change_nothing,
+        cmocka_unit_test_setup_teardown(test_worker_ignores_an_owner_with_an_older_fencing_token,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_copy_at_a_new_owner_changes_nothing,
+        cmocka_unit_test_setup_teardown(test_new_owner_does_not_apply_a_copied_heartbeat,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_copy_at_the_owner_keeps_nothing_alive,
+        cmocka_unit_test_setup_teardown(test_owner_does_not_apply_a_copied_heartbeat,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_copy_does_not_bring_back_a_terminated_machine,
+        cmocka_unit_test_setup_teardown(test_copied_heartbeat_does_not_restore_a_terminated_machine,
                                         partition_fixture_set_up, partition_fixture_tear_down),
     };
     return cmocka_run_group_tests_name("partition heartbeats", tests, NULL, NULL);
--- a/tests/core/partition/test_partition_placement.c
+++ b/tests/core/partition/test_partition_placement.c
@@ -2,7 +2,7 @@
 #include "partition_fixture.h"
 #include "unit_test.h"
 
-/* Equal hashes would make long chains in the table of attempts. */
+/* Tasks with equal hashes would form long chains in the hash table of attempts. */
 static void test_tasks_of_jobs_with_similar_ids_have_distinct_hashes(void **state)
 {
     (void)state;
@@ -20,7 +20,7 @@
     g_hash_table_unref(hashes);
 }
 
-static void test_expired_reservation_frees_resources_but_not_the_task(void **state)
+static void test_expired_reservation_frees_resources_but_keeps_the_attempt(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
@@ -44,7 +44,7 @@
     assert_null(partition_place(fixture->partition, &second, fixture->now));
 }
 
-static void test_lower_score_wins_and_equals_take_turns(void **state)
+static void test_equal_machines_get_equal_numbers_of_attempts(void **state)
 {
     partition_fixture_t *fixture = *state;
     fake_worker_t *other = fake_worker_new("m-000002");
@@ -63,7 +63,7 @@
     fake_worker_free(other);
 }
 
-/* Four tasks take all of the machine, and have run for long enough to be preempted. */
+/* Fills the machine with four tasks, which have run long enough to be preempted. */
 static void fill_machine(partition_fixture_t *fixture)
 {
     exchange_heartbeat(fixture);
@@ -76,17 +76,17 @@
     exchange_heartbeat(fixture);
 }
 
-/* The machine is full of work of low priority; the stop that makes room for an urgent task and the
- * task's start go in one answer. */
-static void test_urgent_work_takes_the_place_of_low_work(void **state)
+/* The machine is full of tasks of low priority. The stop that makes room for a task of high
+ * priority and the start of that task must be sent in the same answer. */
+static void test_high_priority_task_preempts_a_low_priority_task(void **state)
 {
     partition_fixture_t *fixture = *state;
     fill_machine(fixture);
-    placement_request_t urgent = placement_request_of("j-000002", 0, 200, 4);
-    urgent.priority = PRIORITY_HIGH;
-    assert_null(partition_place(fixture->partition, &urgent, fixture->now));
-    urgent.may_preempt = true;
-    assert_non_null(partition_place(fixture->partition, &urgent, fixture->now));
+    placement_request_t high_request = placement_request_of("j-000002", 0, 200, 4);
+    high_request.priority = PRIORITY_HIGH;
+    assert_null(partition_place(fixture->partition, &high_request, fixture->now));
+    high_request.may_preempt = true;
+    assert_non_null(partition_place(fixture->partition, &high_request, fixture->now));
     commit_batch(fixture);
     exchange_heartbeat(fixture);
     assert_int_equal(count_commands(fixture, COMMAND_STOP), 1);
@@ -98,7 +98,7 @@
                 has_result(fixture, 1, CAUSE_STOPPED) || has_result(fixture, 0, CAUSE_STOPPED));
 }
 
-static void test_equal_priority_is_never_stopped(void **state)
+static void test_equal_priority_is_not_preempted(void **state)
 {
     partition_fixture_t *fixture = *state;
     fill_machine(fixture);
@@ -107,8 +107,8 @@
     assert_null(partition_place(fixture->partition, &equal, fixture->now));
 }
 
-/* A task that saves when it is stopped holds its resources until it has saved. */
-static void test_start_waits_for_the_resources_of_a_saving_task(void **state)
+/* A stopped task that saves holds its resources until it has saved. */
+static void test_start_waits_until_the_preempted_task_has_saved(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
@@ -135,9 +135,10 @@
     assert_int_equal(count_commands(fixture, COMMAND_RUN), 1);
 }
 
-/* One long task would keep a whole draining machine for minutes: it saves and continues elsewhere.
- * Tasks that can't save may end, and so may all while much of the machine is in use. */
-static void test_attempts_that_can_save_leave_a_draining_machine(void **state)
+/* A single long task would occupy a whole draining machine for minutes, so it is stopped to save
+ * and continue on another machine. Tasks without checkpoints are left to end, and so are all tasks
+ * while much of the machine is in use. */
+static void test_tasks_with_checkpoints_leave_a_draining_machine(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
@@ -163,9 +164,9 @@
     assert_true(g_array_index(fixture->commands, worker_command_t, 0).grace_s > 4);
 }
 
-/* Else, with a new view every half minute, draining machines would take work again each time, and
- * few would ever be emptied. */
-static void test_drain_outlasts_a_view(void **state)
+/* If a new view ended the drains, then with a new view every half minute draining machines would
+ * accept work again each time, and few would ever be emptied. */
+static void test_drain_persists_across_views(void **state)
 {
     partition_fixture_t *fixture = *state;
     load_page_record(fixture);
@@ -181,7 +182,7 @@
     exchange_heartbeat(fixture);
     placement_request_t request = placement_request_of("j-000002", 0, 200, 1);
     assert_null(partition_place(fixture->partition, &request, fixture->now));
-    /* Cancelled by the leader, the drain is over for later views too. */
+    /* After the leader cancelled the drain, later views do not inherit it either. */
     partition_set_draining(fixture->partition, "m-000001", false);
     earlier = fixture->partition;
     fixture->partition = partition_fixture_partition(fixture, 9);
@@ -194,21 +195,22 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_tasks_of_jobs_with_similar_ids_have_distinct_hashes),
-        cmocka_unit_test_setup_teardown(test_expired_reservation_frees_resources_but_not_the_task,
-                                        partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(
+            test_expired_reservation_frees_resources_but_keeps_the_attempt,
+            partition_fixture_set_up, partition_fixture_tear_down),
         cmocka_unit_test_setup_teardown(test_full_machine_is_skipped, partition_fixture_set_up,
                                         partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_lower_score_wins_and_equals_take_turns,
+        cmocka_unit_test_setup_teardown(test_equal_machines_get_equal_numbers_of_attempts,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_urgent_work_takes_the_place_of_low_work,
+        cmocka_unit_test_setup_teardown(test_high_priority_task_preempts_a_low_priority_task,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_equal_priority_is_never_stopped,
+        cmocka_unit_test_setup_teardown(test_equal_priority_is_not_preempted,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_start_waits_for_the_resources_of_a_saving_task,
+        cmocka_unit_test_setup_teardown(test_start_waits_until_the_preempted_task_has_saved,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_attempts_that_can_save_leave_a_draining_machine,
+        cmocka_unit_test_setup_teardown(test_tasks_with_checkpoints_leave_a_draining_machine,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_drain_outlasts_a_view, partition_fixture_set_up,
+        cmocka_unit_test_setup_teardown(test_drain_persists_across_views, partition_fixture_set_up,
                                         partition_fixture_tear_down),
     };
     return cmocka_run_group_tests_name("partition placement", tests, NULL, NULL);
--- a/tests/core/partition/test_partition_proofs.c
+++ b/tests/core/partition/test_partition_proofs.c
@@ -1,9 +1,9 @@
-/* Tests of what proves an attempt over, so that its task may be placed again, and of what does not.
- */
+/* Tests of what proves that an attempt is over, so that its task may be placed again, and of what
+ * does not. */
 #include "partition_fixture.h"
 #include "unit_test.h"
 
-static void test_silence_is_no_proof(void **state)
+static void test_silence_does_not_prove_an_attempt_over(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
@@ -17,7 +17,7 @@
     assert_int_equal(partition_attempt_count(fixture->partition), 1);
 }
 
-static void test_new_worker_epoch_proves_the_old_one_over(void **state)
+static void test_new_worker_epoch_proves_attempts_of_the_old_one_over(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
@@ -26,25 +26,26 @@
     exchange_heartbeat(fixture);
     fake_worker_lose_lease(fixture->worker);
     exchange_heartbeat(fixture);
-    /* The result is reported only once the attempt has left the record. */
+    /* The result is reported only after the attempt has left the record. */
     assert_int_equal(partition_results(fixture->partition)->len, 0);
     commit_batch(fixture);
     assert_true(has_result(fixture, 0, CAUSE_NONE));
     assert_int_equal(partition_attempt_count(fixture->partition), 0);
 }
 
-/* A pushed `run` got no answer and arrives after the task has ended: if the attempt were forgotten
- * before, the worker would start it a second time. */
-static void test_late_run_meets_a_worker_that_remembers_its_attempt(void **state)
+/* A pushed `run` gets no answer and arrives after the task has ended. If the attempt had been
+ * forgotten before, the worker would start it a second time. */
+static void test_late_run_does_not_restart_a_finished_attempt(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
     place_task(fixture, "j-000001", 0, 100);
     commit_batch(fixture);
-    GArray *late = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    assert_non_null(partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, late));
-    partition_finish_push(fixture->partition, "m-000001", late, 7, PUSH_UNANSWERED);
-    exchange_heartbeat(fixture); /* the heartbeat's answer starts it */
+    GArray *late_commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
+    assert_non_null(
+        partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, late_commands));
+    partition_finish_push(fixture->partition, "m-000001", late_commands, 7, PUSH_UNANSWERED);
+    exchange_heartbeat(fixture); /* the answer to this heartbeat starts the task */
     assert_int_equal(fixture->worker->runs, 1);
     fake_worker_exit(fixture->worker, "j-000001", 0, CAUSE_ERROR);
     exchange_heartbeat(fixture);
@@ -52,43 +53,44 @@
     exchange_heartbeat(fixture);
     assert_int_equal(count_commands(fixture, COMMAND_FORGET), 0);
     assert_true(partition_needs_new_fencing_token(fixture->partition));
-    assert_true(fake_worker_push(fixture->worker, 7, 1, late));
+    assert_true(fake_worker_push(fixture->worker, 7, 1, late_commands));
     assert_int_equal(fixture->worker->runs, 1);
-    /* Under a higher fencing token the copy is refused, and the attempt may be forgotten. */
+    /* Under a higher fencing token the worker refuses the late copy, so the attempt may be
+     * forgotten. */
     partition_set_view(fixture->partition, 8);
     exchange_heartbeat(fixture);
     exchange_heartbeat(fixture);
     assert_int_equal(fixture->worker->attempts->len, 0);
-    assert_false(fake_worker_push(fixture->worker, 7, 1, late));
+    assert_false(fake_worker_push(fixture->worker, 7, 1, late_commands));
     assert_int_equal(fixture->worker->runs, 1);
-    g_array_unref(late);
+    g_array_unref(late_commands);
 }
 
-static void test_cancellation_racing_a_start_in_flight_waits_for_proof(void **state)
+static void test_cancelled_attempt_with_a_run_in_flight_waits_for_proof(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
     place_task(fixture, "j-000001", 0, 100);
     commit_batch(fixture);
-    GArray *late = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, late);
+    GArray *late_commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
+    partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, late_commands);
     partition_end_job(fixture->partition, "j-000001");
     exchange_heartbeat(fixture); /* not listed, but the pushed command may still arrive */
     commit_batch(fixture);
     assert_int_equal(partition_results(fixture->partition)->len, 0);
-    assert_true(fake_worker_push(fixture->worker, 7, 1, late));
-    partition_finish_push(fixture->partition, "m-000001", late, 7, PUSH_UNANSWERED);
+    assert_true(fake_worker_push(fixture->worker, 7, 1, late_commands));
+    partition_finish_push(fixture->partition, "m-000001", late_commands, 7, PUSH_UNANSWERED);
     exchange_heartbeat(fixture);
     assert_int_equal(fake_worker_active(fixture->worker), 0); /* stopped as soon as it is listed */
     exchange_heartbeat(fixture);
     commit_batch(fixture);
     assert_true(has_result(fixture, 0, CAUSE_STOPPED));
-    g_array_unref(late);
+    g_array_unref(late_commands);
 }
 
-/* The job was cancelled under an earlier view: absence proves nothing before the worker has seen
- * this view's fencing token. */
-static void test_absence_proves_only_under_the_present_fencing_token(void **state)
+/* A job whose attempt was recorded in an earlier view is cancelled. That the worker does not list
+ * the attempt proves nothing before the worker has seen the fencing token of this view. */
+static void test_absence_is_proof_only_under_the_current_fencing_token(void **state)
 {
     partition_fixture_t *fixture = *state;
     load_page_record(fixture);
@@ -104,10 +106,10 @@
     assert_true(has_result(fixture, 0, CAUSE_STOPPED));
 }
 
-/* All controllers were away for longer than a lease, so the workers killed everything. With the
- * second heartbeat, whose fencing token shows that it is no copy, each recorded attempt is over,
- * and its task may be placed again. */
-static void test_after_all_controllers_were_away_each_record_is_over_at_once(void **state)
+/* All controllers were down for longer than a lease, so the workers killed all their tasks. The
+ * fencing token of a worker's second heartbeat shows that it is not a copy. With it, each recorded
+ * attempt is over, and its task may be placed again. */
+static void test_recorded_attempts_are_over_after_an_outage_of_all_controllers(void **state)
 {
     partition_fixture_t *fixture = *state;
     load_page_record(fixture);
@@ -120,15 +122,15 @@
     assert_int_equal(partition_results(fixture->partition)->len, 0);
     fake_worker_answer(fixture->worker, 7, fixture->commands);
     exchange_heartbeat(fixture);
-    assert_int_equal(fixture->worker->runs, 0); /* not sent again under the old attempt */
+    assert_int_equal(fixture->worker->runs, 0); /* the old attempt is not sent again */
     commit_batch(fixture);
     assert_true(has_result(fixture, 0, CAUSE_NONE));
 }
 
-/* The leader failed over while this machine, which runs a long task, could not be reached, or
- * receives no answers of the new owner: its heartbeats arrive, under the old fencing token. The
- * attempt stays recorded until the cloud confirms that the machine is terminated. */
-static void test_machine_that_receives_nothing_keeps_its_task_through_a_failover(void **state)
+/* The leader failed over while this machine, which runs a long task, was unreachable or received no
+ * answers from the new owner. Its heartbeats arrive with the old fencing token. The attempt must
+ * stay recorded until the cloud confirms that the machine is terminated. */
+static void test_machine_without_answers_keeps_its_task_through_a_failover(void **state)
 {
     partition_fixture_t *fixture = *state;
     load_page_record(fixture);
@@ -150,19 +152,19 @@
     assert_true(has_result(fixture, 0, CAUSE_NONE));
 }
 
-/* Pushed commands reach the worker, but its heartbeats reach no controller: its lease ends all the
- * same. The answer that refuses a command shows the new worker epoch, which is proof; an answer of
- * the old epoch proves nothing. */
-static void test_answer_to_a_pushed_command_resolves_a_machine_without_heartbeats(void **state)
+/* Pushed commands reach the worker, but its heartbeats reach no controller, so its lease ends
+ * nevertheless. The answer that refuses a command shows the new worker epoch, which is proof. An
+ * answer of the old epoch proves nothing. */
+static void test_push_answer_with_a_new_worker_epoch_is_proof(void **state)
 {
     partition_fixture_t *fixture = *state;
     load_page_record(fixture);
     assert_non_null(
         partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands));
     assert_int_equal(fixture->commands->len, 0);
-    worker_heartbeat_t same = fake_worker_heartbeat(fixture->worker);
-    /* It lists no attempt, which proves nothing by itself. */
-    assert_int_equal(deliver_heartbeat(fixture, &same, true), HEARTBEAT_ACCEPTED);
+    worker_heartbeat_t same_epoch_answer = fake_worker_heartbeat(fixture->worker);
+    /* It lists no attempt, which alone proves nothing. */
+    assert_int_equal(deliver_heartbeat(fixture, &same_epoch_answer, true), HEARTBEAT_ACCEPTED);
     commit_batch(fixture);
     assert_int_equal(partition_results(fixture->partition)->len, 0);
     fake_worker_lose_lease(fixture->worker);
@@ -173,11 +175,11 @@
     assert_true(has_result(fixture, 0, CAUSE_NONE));
     placement_request_t request = placement_request_of("j-000009", 0, 900, 4);
     fixture->now += fixture->partition->acknowledgement_timeout_ms;
-    /* The machine gets no starts, since their leases can't be renewed. */
+    /* The machine gets no starts, since its lease cannot be renewed. */
     assert_null(partition_place(fixture->partition, &request, fixture->now));
 }
 
-static void test_terminated_machine_is_proof(void **state)
+static void test_termination_of_the_machine_is_proof(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
@@ -190,26 +192,26 @@
 }
 
 /* A pushed `run` went unanswered, and its job is cancelled. Heartbeats that do not list the task
- * prove nothing while the `run` may still arrive. When it has, the attempt is stopped in the answer
- * to the next heartbeat, and forgotten only under a fencing token under which every copy is
- * refused.
- */
-static void test_run_in_flight_stays_outstanding_until_proof(void **state)
+ * prove nothing while the `run` may still arrive. Once it has arrived, the attempt is stopped in
+ * the answer to the next heartbeat. It is forgotten only under a fencing token under which every
+ * copy of the `run` is refused. */
+static void test_cancelled_attempt_with_an_unanswered_run_waits_for_proof(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
     place_task(fixture, "j-000001", 0, 100);
     commit_batch(fixture);
-    GArray *late = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    assert_non_null(partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, late));
-    partition_finish_push(fixture->partition, "m-000001", late, 7, PUSH_UNANSWERED);
+    GArray *late_commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
+    assert_non_null(
+        partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, late_commands));
+    partition_finish_push(fixture->partition, "m-000001", late_commands, 7, PUSH_UNANSWERED);
     partition_end_job(fixture->partition, "j-000001");
     for (guint i = 0; i < 16; i++) {
         exchange_heartbeat(fixture);
         commit_batch(fixture);
         assert_int_equal(partition_results(fixture->partition)->len, 0);
     }
-    assert_true(fake_worker_push(fixture->worker, 7, 1, late));
+    assert_true(fake_worker_push(fixture->worker, 7, 1, late_commands));
     assert_int_equal(fake_worker_active(fixture->worker), 1);
     exchange_heartbeat(fixture);
     assert_int_equal(fake_worker_active(fixture->worker), 0);
@@ -222,37 +224,37 @@
     exchange_heartbeat(fixture);
     exchange_heartbeat(fixture);
     assert_int_equal(fixture->worker->attempts->len, 0);
-    assert_false(fake_worker_push(fixture->worker, 7, 1, late));
+    assert_false(fake_worker_push(fixture->worker, 7, 1, late_commands));
     assert_int_equal(fixture->worker->runs, 1);
-    g_array_unref(late);
+    g_array_unref(late_commands);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_silence_is_no_proof, partition_fixture_set_up,
-                                        partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_new_worker_epoch_proves_the_old_one_over,
+        cmocka_unit_test_setup_teardown(test_silence_does_not_prove_an_attempt_over,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_late_run_meets_a_worker_that_remembers_its_attempt,
+        cmocka_unit_test_setup_teardown(test_new_worker_epoch_proves_attempts_of_the_old_one_over,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_cancellation_racing_a_start_in_flight_waits_for_proof,
+        cmocka_unit_test_setup_teardown(test_late_run_does_not_restart_a_finished_attempt,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_absence_proves_only_under_the_present_fencing_token,
+        cmocka_unit_test_setup_teardown(test_cancelled_attempt_with_a_run_in_flight_waits_for_proof,
+                                        partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(test_absence_is_proof_only_under_the_current_fencing_token,
                                         partition_fixture_set_up, partition_fixture_tear_down),
         cmocka_unit_test_setup_teardown(
-            test_after_all_controllers_were_away_each_record_is_over_at_once,
-            partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(
-            test_machine_that_receives_nothing_keeps_its_task_through_a_failover,
+            test_recorded_attempts_are_over_after_an_outage_of_all_controllers,
             partition_fixture_set_up, partition_fixture_tear_down),
         cmocka_unit_test_setup_teardown(
-            test_answer_to_a_pushed_command_resolves_a_machine_without_heartbeats,
+            test_machine_without_answers_keeps_its_task_through_a_failover,
             partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_terminated_machine_is_proof, partition_fixture_set_up,
-                                        partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_run_in_flight_stays_outstanding_until_proof,
+        cmocka_unit_test_setup_teardown(test_push_answer_with_a_new_worker_epoch_is_proof,
+                                        partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(test_termination_of_the_machine_is_proof,
                                         partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(
+            test_cancelled_attempt_with_an_unanswered_run_waits_for_proof, partition_fixture_set_up,
+            partition_fixture_tear_down),
     };
     return cmocka_run_group_tests_name("partition proofs", tests, NULL, NULL);
 }
--- a/tests/core/partition/test_partition_records.c
+++ b/tests/core/partition/test_partition_records.c
@@ -1,22 +1,23 @@
-/* Tests of a partition's durable record: what is sent after it, and when an attempt leaves it. */
+/* Tests of a partition's durable record: which commands are sent only after a commit, and when an
+ * attempt is removed. */
 #include "partition_fixture.h"
 #include "unit_test.h"
 
-static void test_start_follows_its_record(void **state)
+static void test_run_is_sent_only_after_the_start_is_recorded(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
     place_task(fixture, "j-000001", 0, 100);
     exchange_heartbeat(fixture);
-    assert_int_equal(fixture->worker->runs, 0); /* not recorded: not sent */
+    assert_int_equal(fixture->worker->runs, 0); /* not recorded, so not sent */
     commit_batch(fixture);
     exchange_heartbeat(fixture);
     assert_int_equal(fixture->worker->runs, 1);
     exchange_heartbeat(fixture);
-    assert_int_equal(count_commands(fixture, COMMAND_RUN), 0); /* listed: not sent again */
+    assert_int_equal(count_commands(fixture, COMMAND_RUN), 0); /* listed, so not sent again */
 }
 
-static void test_lost_answer_repeats_the_same_attempt(void **state)
+static void test_run_in_a_lost_answer_is_sent_again(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
@@ -30,7 +31,7 @@
     assert_int_equal(partition_results(fixture->partition)->len, 0);
 }
 
-static void test_done_is_forgotten_only_when_acknowledged(void **state)
+static void test_finished_attempt_is_forgotten_only_after_acknowledgement(void **state)
 {
     partition_fixture_t *fixture = *state;
     task_ref_t ref = task_ref("j-000001", 0, 100);
@@ -46,9 +47,9 @@
     assert_int_equal(fixture->worker->attempts->len, 0);
 }
 
-/* Each write of a key has a cost: an acknowledged result leaves the record with the next start on
- * any machine of the page, and causes no write of its own before. */
-static void test_acknowledged_result_goes_with_the_next_start(void **state)
+/* Each write of a key has a cost. An acknowledged result therefore leaves the record together with
+ * the next start on any machine of the page, and does not cause a write of its own before that. */
+static void test_acknowledged_result_leaves_the_record_with_the_next_start(void **state)
 {
     partition_fixture_t *fixture = *state;
     task_ref_t ref = task_ref("j-000001", 0, 100);
@@ -63,14 +64,14 @@
     assert_int_equal(batch->records->len, 1);
     const page_record_t *record = &g_array_index(batch->records, page_record_t, 0);
     const machine_record_t *machine = &g_array_index(record->machines, machine_record_t, 0);
-    assert_int_equal(machine->entries->len, 1); /* the start, without the result */
+    assert_int_equal(machine->entries->len, 1); /* the start, but not the result */
     assert_int_equal(g_array_index(machine->entries, record_entry_t, 0).attempt, 101);
     partition_batch_commit(fixture->partition, batch, ++fixture->revision, fixture->now);
     partition_batch_free(batch);
     assert_int_equal(partition_attempt_count(fixture->partition), 1);
 }
 
-static void test_cancellation_before_the_record_drops_the_start(void **state)
+static void test_start_cancelled_before_its_commit_is_dropped(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
@@ -82,7 +83,7 @@
     assert_int_equal(partition_attempt_count(fixture->partition), 0);
 }
 
-static void test_cancellation_racing_done_frees_the_result(void **state)
+static void test_finished_attempt_of_a_cancelled_job_is_forgotten(void **state)
 {
     partition_fixture_t *fixture = *state;
     run_to_completion(fixture);
@@ -92,9 +93,9 @@
     assert_int_equal(fixture->worker->attempts->len, 0);
 }
 
-/* Jobs may have been cancelled that this controller does not know of yet: recorded attempts wait,
- * and start once the cancellations are known. */
-static void test_no_start_is_sent_while_cancellations_may_be_unknown(void **state)
+/* While this controller may not know of all cancellations, a `run` could start a cancelled job.
+ * Recorded attempts wait, and start once the cancellations are known. */
+static void test_no_run_is_sent_while_starts_are_paused(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
@@ -122,8 +123,9 @@
     return NULL;
 }
 
-/* One task was given time to save, and one still fetches its image, when their job is cancelled. */
-static void test_cancellation_gives_no_time_to_save(void **state)
+/* Two tasks of a job that is cancelled were stopped before: one was given time to save, and one
+ * still fetches its image. The cancellation must stop both without time to save. */
+static void test_cancelled_tasks_get_no_time_to_save(void **state)
 {
     partition_fixture_t *fixture = *state;
     const task_state_t states[] = {TASK_SAVING, TASK_FETCHING};
@@ -146,9 +148,10 @@
     assert_true(first_stop(fixture)->grace_s == 0);
 }
 
-/* Attempts recorded in an earlier view count until the worker, under this view's fencing token,
- * shows otherwise; one that it does not list is sent again under the same number. */
-static void test_new_view_takes_over_from_the_record(void **state)
+/* Attempts recorded in an earlier view are kept until the worker shows, under this view's fencing
+ * token, that they are over. If the worker does not list an attempt, its `run` is sent again under
+ * the same attempt number. */
+static void test_new_view_continues_recorded_attempts(void **state)
 {
     partition_fixture_t *fixture = *state;
     load_page_record(fixture);
@@ -159,8 +162,9 @@
     assert_int_equal(partition_attempt_count(fixture->partition), 1);
 }
 
-/* A late start of an attempt that is not recorded, beside the one that replaced it. */
-static void test_attempt_without_a_record_is_stopped_at_once(void **state)
+/* A late `run` started an attempt that is no longer recorded, next to the attempt that replaced it.
+ * The unrecorded one must be stopped. */
+static void test_unrecorded_attempt_is_stopped_at_once(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
@@ -178,25 +182,27 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_start_follows_its_record, partition_fixture_set_up,
-                                        partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_lost_answer_repeats_the_same_attempt,
+        cmocka_unit_test_setup_teardown(test_run_is_sent_only_after_the_start_is_recorded,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_done_is_forgotten_only_when_acknowledged,
+        cmocka_unit_test_setup_teardown(test_run_in_a_lost_answer_is_sent_again,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_acknowledged_result_goes_with_the_next_start,
+        cmocka_unit_test_setup_teardown(
+            test_finished_attempt_is_forgotten_only_after_acknowledgement, partition_fixture_set_up,
+            partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(
+            test_acknowledged_result_leaves_the_record_with_the_next_start,
+            partition_fixture_set_up, partition_fixture_tear_down),
+        cmocka_unit_test_setup_teardown(test_start_cancelled_before_its_commit_is_dropped,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_cancellation_before_the_record_drops_the_start,
+        cmocka_unit_test_setup_teardown(test_finished_attempt_of_a_cancelled_job_is_forgotten,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_cancellation_racing_done_frees_the_result,
+        cmocka_unit_test_setup_teardown(test_no_run_is_sent_while_starts_are_paused,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_no_start_is_sent_while_cancellations_may_be_unknown,
+        cmocka_unit_test_setup_teardown(test_cancelled_tasks_get_no_time_to_save,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_cancellation_gives_no_time_to_save,
+        cmocka_unit_test_setup_teardown(test_new_view_continues_recorded_attempts,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_new_view_takes_over_from_the_record,
-                                        partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_attempt_without_a_record_is_stopped_at_once,
+        cmocka_unit_test_setup_teardown(test_unrecorded_attempt_is_stopped_at_once,
                                         partition_fixture_set_up, partition_fixture_tear_down),
     };
     return cmocka_run_group_tests_name("partition records", tests, NULL, NULL);
