--- a/src/core/partition/partition_batch.h
+++ b/src/core/partition/partition_batch.h
@@ -26,7 +26,7 @@
     guint ops;       /**< Number of records. */
     guint jobs;      /**< Number of conditions on jobs. */
     gsize value_max; /**< Bytes of one record. */
-    gsize bytes;     /**< Bytes of all records together; a single record may exceed it. */
+    gsize bytes;     /**< Bytes of all records together; the first page may exceed it. */
 } partition_limits_t;
 
 /** Takes the records that are due at @p now, up to @p limits (transfer full). The batch may be
--- a/src/core/partition/partition_internal.h
+++ b/src/core/partition/partition_internal.h
@@ -33,7 +33,7 @@
     msec_t acknowledgement_timeout_ms; /**< Time without acknowledgement after which a machine gets
                                           neither starts nor pushed commands. */
     guint probes_in_flight;            /**< Number of probes taken and not finished. */
-    msec_t probe_delay_ms;             /**< Time between the loading of a machine and its probe. */
+    msec_t probe_delay_ms;  /**< Minimum time between the loading of a machine and its probe. */
     bool are_starts_paused; /**< Whether no `run` is sent, see partition_pause_starts(). */
     bool has_preempted;     /**< Whether it has ever preempted an attempt. */
 };
--- a/src/core/partition/reservation.h
+++ b/src/core/partition/reservation.h
@@ -3,8 +3,9 @@
  *
  * Reservations are part of projected least-loaded placement. A reservation is made when an attempt
  * is placed, is confirmed when the resources of the listed attempts grow, and expires after a time
- * to live. When a reservation ends, its resources count as free again. It does not make the task
- * available for another attempt: only proof that the attempt is over does that (see partition.h).
+ * to live (the setting reservation_lapse). When a reservation ends, its resources count as free
+ * again. It does not make the task available for another attempt: only proof that the attempt is
+ * over does that (see partition.h).
  *
  * A list is a GArray of reservation_t in the order in which the reservations were made. It belongs
  * to the machine. Called with the controller's lock held.
@@ -36,9 +37,9 @@
  * reservation that was made after that heartbeat is not changed. */
 void reservation_record_start(GArray *list, uint64_t reservation_id, uint64_t accepted_count);
 /** Confirms reservations, oldest first. @p growth is the growth of the listed resources that the
- * heartbeat with number @p accepted_count shows. It is subtracted, each dimension by itself, from
- * the reservations that were made before that heartbeat and whose start was listed. A reservation
- * with nothing left unconfirmed is removed. Any remaining growth is discarded. */
+ * heartbeat with number @p accepted_count shows. It is subtracted, separately in each dimension,
+ * from the reservations that were made before that heartbeat and whose start was listed. A
+ * reservation with nothing left unconfirmed is removed. Any remaining growth is discarded. */
 void reservation_confirm(GArray *list, resources_t growth, uint64_t accepted_count);
 /** Removes the reservations whose age is @p reservation_ttl_ms or more. Returns their number. */
 guint reservation_expire(GArray *list, msec_t now, msec_t reservation_ttl_ms);
