--- a/tests/core/partition/partition_fixture.c
+++ b/tests/core/partition/partition_fixture.c
@@ -12,7 +12,7 @@
     fixture->teams = g_array_new(FALSE, FALSE, sizeof(team_t));
     fixture->partition = partition_fixture_partition(fixture, VIEW);
     fixture->worker = fake_worker_new("m-000001");
-    fixture->worker->fencing_token = VIEW; /* it has seen this view */
+    fixture->worker->fencing_token = VIEW; /* the worker has seen this view */
     fixture->commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     fixture->now = 1000;
     fixture->revision = 10;
@@ -46,11 +46,11 @@
 }
 
 heartbeat_verdict_t deliver_heartbeat(partition_fixture_t *fixture, worker_heartbeat_t *heartbeat,
-                                      bool is_push)
+                                      bool is_push_answer)
 {
     g_array_set_size(fixture->commands, 0);
-    heartbeat_verdict_t verdict = partition_handle_heartbeat(fixture->partition, heartbeat, is_push,
-                                                             fixture->now, fixture->commands);
+    heartbeat_verdict_t verdict = partition_handle_heartbeat(
+        fixture->partition, heartbeat, is_push_answer, fixture->now, fixture->commands);
     worker_heartbeat_clear(heartbeat);
     return verdict;
 }
