--- a/src/core/tunables.h
+++ b/src/core/tunables.h
@@ -1,6 +1,5 @@
 /** @file
- * The operators' settings (policy file) as the core evaluates them: each tunable for the job or
- * the machine in question.
+ * Evaluates the tunables of the operators' policy file, some of them for a given job or machine.
  *
  * Pure functions; the policy is only read.
  */
@@ -14,7 +13,8 @@
  */
 double tunable_value(const policy_t *policy, policy_tunable_t tunable);
 
-/** Returns the value of a tunable for a job, in the tunable's unit; booleans are 0 and 1. */
+/** Returns the value of a tunable for the job of @p spec, in the tunable's unit; booleans are 0
+ * and 1. */
 double tunable_for_job(const policy_t *policy, policy_tunable_t tunable, const job_spec_t *spec);
 
 /** Returns the value of a tunable for a machine of this type and zone, spot or on-demand, in the
--- a/tests/core/test_request_queue.c
+++ b/tests/core/test_request_queue.c
@@ -1,14 +1,14 @@
-/* Tests of the request queue: no request waits beyond its deadline, however busy the request
- * workers are. */
+/* Tests of the request queue: requests are served in order of arrival, and none waits beyond its
+ * deadline, even if all request workers are busy. */
 #include "core/request_queue.h"
 #include "unit_test.h"
 
-/* A queue for three requests, filled with them in this order. */
+/* A queue with a capacity of three requests, and the requests that fill it in this order. */
 typedef struct full_queue {
     request_queue_t queue;
-    int submission; /* until 4500 */
-    int status;     /* until 1000 */
-    int another;    /* until 1200 */
+    int submission; /* deadline 4500 */
+    int status;     /* deadline 1000 */
+    int another;    /* deadline 1200 */
     int late;       /* not in the queue */
 } full_queue_t;
 
@@ -39,7 +39,8 @@
     assert_false(request_queue_push(&full->queue, &full->late, 1300));
 }
 
-/* Nothing has to be served before it. */
+/* A request is shed at its deadline even if requests that arrived before it still wait. Otherwise
+ * it would be answered late whenever all request workers are busy. */
 static void test_expired_request_is_shed_at_its_deadline(void **state)
 {
     full_queue_t *full = *state;
