--- a/src/core/membership/ownership.c
+++ b/src/core/membership/ownership.c
@@ -20,7 +20,7 @@
 
 bool page_parse(const char *name, char *shard, gsize size, guint *page)
 {
-    /* The zone's name may hold dots and plus signs: the shard's number follows the last dot. */
+    /* The zone's name may contain dots and plus signs; the shard's number follows the last dot. */
     const char *dot = strrchr(name, '.');
     const char *plus = dot ? strchr(dot, '+') : NULL;
     gsize length = plus ? (gsize)(plus - name) : strlen(name);
@@ -34,7 +34,7 @@
     return true;
 }
 
-/* Whether every member is excluded, in which case the exclusions are ignored. */
+/* Returns whether every member is excluded, in which case the exclusions are ignored. */
 static bool are_all_excluded(const member_t *members, guint count)
 {
     for (guint i = 0; i < count; i++)
@@ -43,7 +43,7 @@
     return true;
 }
 
-/* Whether the member may own machines. zone: only if it is there; NULL: in any zone. */
+/* Returns whether the member may own machines. If zone is not NULL, the member must run there. */
 static bool is_eligible(const member_t *member, bool ignores_exclusion, const char *zone)
 {
     if (member->is_excluded && !ignores_exclusion)
@@ -60,7 +60,8 @@
     return false;
 }
 
-/* The member's weight for the shard: the member with the highest one owns it. */
+/* Returns the member's weight for the shard. The eligible member with the highest weight owns the
+ * shard. */
 static uint64_t rendezvous_weight(const member_t *member, const char *shard)
 {
     uint64_t seed = XXH64(member->name, strlen(member->name), 0);
--- a/src/core/membership/redirection.c
+++ b/src/core/membership/redirection.c
@@ -5,25 +5,25 @@
 typedef struct redirected_worker {
     msec_t redirected_at;         /* when it was last redirected to its owner */
     msec_t retained_until;        /* 0: not retained */
-    bool is_waiting_for_probe;    /* retained because of a probe or of other workers' attempts, not
-                                     after an attempt of its own */
+    bool is_waiting_for_probe;    /* retained because of a probe or because others could not reach
+                                     the owner, not because it returned itself */
     msec_t heartbeat_received_at; /* when its last heartbeat arrived */
-    msec_t answer_delivered_at;   /* when a heartbeat last showed that our answer had arrived */
+    msec_t answer_delivered_at;   /* when a heartbeat last showed that an answer had arrived */
     uint64_t worker_epoch;
     uint64_t heartbeat_sequence;
 } redirected_worker_t;
 
-/* A controller that workers were redirected to. */
+/* A controller to which workers are redirected. */
 typedef struct owner {
-    char probe_machine[ID_BYTES]; /* the machine that was last redirected as a probe */
-    msec_t probed_at;             /* when that was */
-    msec_t unreachable_at;        /* when a worker last returned that could not reach it */
+    char probe_machine[ID_BYTES]; /* id of the machine of the last probe */
+    msec_t probed_at;             /* when the probe was redirected */
+    msec_t unreachable_at;        /* when a worker last returned without an answer of the owner */
 } owner_t;
 
 struct redirection {
     GHashTable *machines;   /* machine id (char *, owned) -> redirected_worker_t *, owned */
     GHashTable *owners;     /* owner's name (char *, owned) -> owner_t *, owned */
-    uint64_t fencing_token; /* of the view that made these owners */
+    uint64_t fencing_token; /* of the view that assigned these owners */
     msec_t cleared_at;      /* when that view was installed */
 };
 
@@ -49,7 +49,7 @@
     g_hash_table_remove_all(redirection->machines);
 }
 
-/* The worker's entry, which is made if there is none. */
+/* Returns the worker's entry, and creates it if there is none. */
 static redirected_worker_t *ensure_worker(redirection_t *redirection, const char *machine)
 {
     redirected_worker_t *worker = g_hash_table_lookup(redirection->machines, machine);
@@ -63,7 +63,7 @@
     return worker;
 }
 
-/* The owner's entry, which is made if there is none. */
+/* Returns the owner's entry, and creates it if there is none. */
 static owner_t *ensure_owner(redirection_t *redirection, const char *name)
 {
     owner_t *owner = g_hash_table_lookup(redirection->owners, name);
@@ -92,8 +92,8 @@
 static void record_heartbeat(redirected_worker_t *worker, const worker_heartbeat_t *heartbeat,
                              msec_t now)
 {
-    /* Had the answer that retained it not arrived, the worker would have waited for it and then
-     * turned to another controller. */
+    /* If the answer to the last heartbeat had not arrived, the worker would have waited for it and
+     * then sent its next heartbeat to another controller. */
     if (now < worker->retained_until &&
         now - worker->heartbeat_received_at < HEARTBEAT_ANSWERED_WITHIN_MS)
         worker->answer_delivered_at = now;
@@ -102,19 +102,20 @@
     worker->heartbeat_received_at = now;
 }
 
-/* Retains a worker that returned from its owner. */
+/* Retains a worker that returned after it was redirected to its owner. */
 static void retain_returned(redirected_worker_t *worker, owner_t *owner, msec_t now)
 {
-    /* A worker waits REDIRECT_TIMEOUT_MS for an answer. One that returns sooner was answered and
-     * refused, as by a controller that has just started. */
+    /* A worker waits REDIRECT_TIMEOUT_MS for an answer. If it returns sooner, the owner has
+     * answered and refused it, as a controller does that has just started. */
     bool was_refused = now - worker->redirected_at < REDIRECT_TIMEOUT_MS;
     worker->retained_until = now + (was_refused ? RETAIN_REFUSED_MS : RETAIN_MS);
     if (!was_refused)
         owner->unreachable_at = now;
 }
 
-/* Until when a worker is retained that made no attempt of its own to reach the owner; 0: it is to
- * be redirected, if need be as the owner's probe. */
+/* For a worker that has not just tried to reach the owner itself: returns the time until which it
+ * is retained, or 0 if it is to be redirected. Records the worker as the owner's probe if a new
+ * probe is needed. */
 static msec_t retain_or_probe(owner_t *owner, const char *machine, bool is_grace_over,
                               bool is_owner_reachable, msec_t now)
 {
@@ -126,8 +127,9 @@
         return 0;
     if (now - owner->probed_at < REDIRECT_PROBE_MS && strcmp(owner->probe_machine, machine) != 0)
         return owner->probed_at + REDIRECT_PROBE_MS;
-    /* A probe that stayed away for REDIRECT_PROBE_MS has reached the owner, and the others may
-     * follow: within as long again no new probe is chosen. */
+    /* A probe that has not returned within REDIRECT_PROBE_MS has reached the owner, and the other
+     * workers may follow it. No new probe is chosen until REDIRECT_PROBE_MS has passed once more.
+     */
     if (now - owner->probed_at >= 2 * (msec_t)REDIRECT_PROBE_MS) {
         owner->probed_at = now;
         g_strlcpy(owner->probe_machine, machine, sizeof owner->probe_machine);
--- a/tests/core/membership/test_connectivity.c
+++ b/tests/core/membership/test_connectivity.c
@@ -1,9 +1,9 @@
-/* Tests of a controller without answers of the key-value store: in an outage of all, refused alone,
- * or without any connection. */
+/* Tests of a controller that the key-value store does not answer: in an outage, when only this
+ * controller is refused, and when it has no connection at all. */
 #include "core/membership/connectivity.h"
 #include "unit_test.h"
 
-static void test_outage_of_all_is_waited_for(void **state)
+static void test_workers_are_served_during_kv_store_outage(void **state)
 {
     (void)state;
     connectivity_t connectivity = {
@@ -11,10 +11,12 @@
     assert_int_equal(connectivity_judge(&connectivity, 12000), CONNECTIVITY_GOOD);
     assert_int_equal(connectivity_judge(&connectivity, 20000), CONNECTIVITY_OUTAGE);
     connectivity.peer_message_at = 99000;
-    assert_true(connectivity_may_serve_workers(&connectivity, 100000)); /* other limits end it */
+    /* The lease renewal has another limit, which is not checked here: the age of the newest time up
+     * to which all cancellations are known. */
+    assert_true(connectivity_may_serve_workers(&connectivity, 100000));
 }
 
-static void test_refused_alone_is_recognized_by_a_sibling(void **state)
+static void test_answered_sibling_shows_that_only_this_controller_is_refused(void **state)
 {
     (void)state;
     connectivity_t connectivity = {
@@ -22,10 +24,10 @@
     assert_int_equal(connectivity_judge(&connectivity, 20000), CONNECTIVITY_REFUSED);
 }
 
-/* A controller that reaches its workers, and neither the key-value store nor siblings, may have
- * been replaced, and the others treat its workers as lost soon after. It stops renewing their
- * leases before that, and answers no users. */
-static void test_isolated_controller_lets_its_workers_go(void **state)
+/* A controller that reaches its workers but neither the key-value store nor any sibling may have
+ * been replaced. The other controllers then soon treat its workers as lost. Before they do, the
+ * controller must stop renewing the workers' leases, and it does not answer users. */
+static void test_isolated_controller_stops_renewing_worker_leases(void **state)
 {
     (void)state;
     connectivity_t connectivity = {
@@ -38,7 +40,7 @@
     assert_true(connectivity_may_serve_workers(&connectivity, 30100));
 }
 
-static void test_a_controller_without_siblings_is_not_isolated_by_their_silence(void **state)
+static void test_controller_without_siblings_is_never_isolated(void **state)
 {
     (void)state;
     connectivity_t connectivity = {.kv_answered_at = 10000, .has_no_siblings = true};
@@ -49,10 +51,10 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_outage_of_all_is_waited_for),
-        cmocka_unit_test(test_refused_alone_is_recognized_by_a_sibling),
-        cmocka_unit_test(test_isolated_controller_lets_its_workers_go),
-        cmocka_unit_test(test_a_controller_without_siblings_is_not_isolated_by_their_silence),
+        cmocka_unit_test(test_workers_are_served_during_kv_store_outage),
+        cmocka_unit_test(test_answered_sibling_shows_that_only_this_controller_is_refused),
+        cmocka_unit_test(test_isolated_controller_stops_renewing_worker_leases),
+        cmocka_unit_test(test_controller_without_siblings_is_never_isolated),
     };
     return cmocka_run_group_tests_name("connectivity", tests, NULL, NULL);
 }
--- a/tests/core/membership/test_election.c
+++ b/tests/core/membership/test_election.c
@@ -1,4 +1,4 @@
-/* Tests of elections: a process that restarts within a moment is a new one under a known name. */
+/* Tests of elections: a process that restarts quickly has a known name but is a new member. */
 #include "core/membership/election.h"
 #include "unit_test.h"
 
@@ -36,21 +36,22 @@
     return 0;
 }
 
-/* The leader restarts before its lease expires. The lease bears its name and an incarnation that is
- * gone: it need not wait, and it must not conclude that it leads. */
-static void test_leader_back_at_once_takes_its_lease_over(void **state)
+/* The leader restarts before its lease expires. The lease has its name and the incarnation of its
+ * earlier process. The new process may take the lease over without waiting, but until then it must
+ * not conclude that it leads. */
+static void test_restarted_leader_may_take_over_its_own_lease(void **state)
 {
     election_t *election = *state;
     election_record_lease(election, "controller-1", 100, 50);
     assert_true(election_is_vacant(election));
     assert_false(election_is_taken(election));
-    election_record_lease(election, "controller-1", 200, 60); /* ours now */
+    election_record_lease(election, "controller-1", 200, 60); /* now its own */
     assert_false(election_is_vacant(election));
 }
 
-/* A candidate that was slower by a moment sees the lease taken. The end of the earlier lease, which
- * arrives late, does not free it. */
-static void test_late_news_does_not_free_a_taken_lease(void **state)
+/* A candidate that lost a close race sees that another controller holds the lease. The deletion of
+ * the previous lease has a lower revision and arrives late; it must not make the lease vacant. */
+static void test_late_lease_change_does_not_make_the_lease_vacant(void **state)
 {
     election_t *election = *state;
     assert_true(election_is_vacant(election));
@@ -64,9 +65,10 @@
     assert_true(election_is_vacant(election));
 }
 
-/* A member that restarts within a moment makes a new view: its partition's placement requests,
- * reservations and messages were those of another process. */
-static void test_member_back_at_once_makes_a_new_view(void **state)
+/* A member that restarts quickly needs a new view, although the names of the members stay the same:
+ * the placement requests, reservations and messages of its partition belonged to its earlier
+ * process. */
+static void test_restarted_member_requires_a_new_view(void **state)
 {
     election_t *election = *state;
     view_t view = {0};
@@ -82,9 +84,10 @@
     assert_int_equal(incarnation_in(&next, "controller-2"), 31);
 }
 
-/* The request by which the earlier incarnation wrote its member's key is carried out after ours:
- * the key would name a process that is gone, and then be gone itself. */
-static void test_late_entry_of_an_earlier_incarnation_is_noticed(void **state)
+/* The key-value store carries out the write of the member key by the earlier incarnation after that
+ * by the current one. The key then names a process that no longer exists, and is deleted when that
+ * process's lease expires. */
+static void test_late_write_by_an_earlier_incarnation_is_detected(void **state)
 {
     election_t *election = *state;
     assert_true(election_is_displaced(election));
@@ -95,13 +98,13 @@
     view_t view = {0};
     election_fill_members(election, &view, 3000);
     assert_int_equal(incarnation_in(&view, "controller-1"),
-                     200); /* a leader lists itself by its own incarnation */
+                     200); /* a leader lists itself with its own incarnation */
 }
 
-/* A leader that was refused alone for 30 s was replaced. When it was answered again, its summaries
- * showed all its machines silent, and it scaled in 48 working ones in the moment before it received
- * the new view. */
-static void test_replaced_leader_leaves_the_cloud_alone(void **state)
+/* Guards against scale-in by a replaced leader. The key-value store refused only the leader for
+ * 30 s, and the leader was replaced. When the store answered it again, its summaries showed all its
+ * machines as silent, and it scaled in 48 working machines before it received the new view. */
+static void test_replaced_leader_may_not_act_on_the_cloud(void **state)
 {
     (void)state;
     view_t view = {.number = 7};
@@ -113,14 +116,14 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_leader_back_at_once_takes_its_lease_over, set_up,
+        cmocka_unit_test_setup_teardown(test_restarted_leader_may_take_over_its_own_lease, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(test_late_news_does_not_free_a_taken_lease, set_up,
-                                        tear_down),
-        cmocka_unit_test(test_replaced_leader_leaves_the_cloud_alone),
-        cmocka_unit_test_setup_teardown(test_member_back_at_once_makes_a_new_view, set_up,
+        cmocka_unit_test_setup_teardown(test_late_lease_change_does_not_make_the_lease_vacant,
+                                        set_up, tear_down),
+        cmocka_unit_test(test_replaced_leader_may_not_act_on_the_cloud),
+        cmocka_unit_test_setup_teardown(test_restarted_member_requires_a_new_view, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(test_late_entry_of_an_earlier_incarnation_is_noticed,
+        cmocka_unit_test_setup_teardown(test_late_write_by_an_earlier_incarnation_is_detected,
                                         set_up, tear_down),
     };
     return cmocka_run_group_tests_name("election", tests, NULL, NULL);
--- a/tests/core/membership/test_ownership.c
+++ b/tests/core/membership/test_ownership.c
@@ -1,4 +1,4 @@
-/* Tests of which member of a view owns a machine. */
+/* Tests of the assignment of machines to the members of a view. */
 #include "core/membership/ownership.h"
 #include "unit_test.h"
 
@@ -6,7 +6,7 @@
                                    {.name = "controller-1", .zone = "zone-b"},
                                    {.name = "controller-2", .zone = "zone-a"}};
 
-static void test_workers_stay_in_their_zone(void **state)
+static void test_owner_is_in_the_zone_of_the_machine(void **state)
 {
     (void)state;
     for (int i = 0; i < 50; i++) {
@@ -17,7 +17,7 @@
     }
 }
 
-static void test_lost_member_moves_only_its_own_machines(void **state)
+static void test_loss_of_a_member_moves_only_its_machines(void **state)
 {
     (void)state;
     guint moved = 0;
@@ -38,24 +38,24 @@
 static void test_excluded_member_owns_nothing(void **state)
 {
     (void)state;
-    member_t some[3];
-    memcpy(some, members, sizeof some);
-    some[1].is_excluded = true;
+    member_t with_excluded[3];
+    memcpy(with_excluded, members, sizeof with_excluded);
+    with_excluded[1].is_excluded = true;
     for (int i = 0; i < 50; i++) {
         char machine[ID_BYTES];
         g_snprintf(machine, sizeof machine, "m-%06d", i);
-        assert_int_not_equal(owner_of(some, 3, machine, "zone-b"), 1);
+        assert_int_not_equal(owner_of(with_excluded, 3, machine, "zone-b"), 1);
     }
-    some[0].is_excluded = some[2].is_excluded = true;
-    assert_int_equal(owner_of(some, 3, "m-000001", "zone-b"), 1);
+    with_excluded[0].is_excluded = with_excluded[2].is_excluded = true;
+    assert_int_equal(owner_of(with_excluded, 3, "m-000001", "zone-b"), 1);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_workers_stay_in_their_zone),
+        cmocka_unit_test(test_owner_is_in_the_zone_of_the_machine),
         cmocka_unit_test(test_excluded_member_owns_nothing),
-        cmocka_unit_test(test_lost_member_moves_only_its_own_machines),
+        cmocka_unit_test(test_loss_of_a_member_moves_only_its_machines),
     };
     return cmocka_run_group_tests_name("ownership", tests, NULL, NULL);
 }
--- a/tests/core/membership/test_redirection.c
+++ b/tests/core/membership/test_redirection.c
@@ -14,7 +14,7 @@
     return 0;
 }
 
-/* A heartbeat of the machine's first process. */
+/* Returns a heartbeat of the machine's first worker epoch. */
 static worker_heartbeat_t heartbeat_of(const char *machine, uint64_t heartbeat_sequence)
 {
     worker_heartbeat_t heartbeat = {.worker_epoch = 1, .heartbeat_sequence = heartbeat_sequence};
@@ -22,7 +22,7 @@
     return heartbeat;
 }
 
-/* A heartbeat of m-000001, whose owner no other worker is known to reach. */
+/* Handles a heartbeat of m-000001, whose owner no other worker is known to reach. */
 static redirection_verdict_t receive(redirection_t *redirection, uint64_t worker_epoch,
                                      uint64_t heartbeat_sequence, msec_t now)
 {
@@ -37,7 +37,7 @@
     return retained->len;
 }
 
-static void test_worker_that_comes_right_back_is_retained(void **state)
+static void test_worker_that_returns_soon_is_retained(void **state)
 {
     redirection_t *redirection = *state;
     assert_int_equal(receive(redirection, 1, 1, 1000), REDIRECTION_TO_OWNER);
@@ -45,28 +45,29 @@
     assert_int_equal(receive(redirection, 1, 3, 6000), REDIRECTION_RETAINED);
     assert_int_equal(retained_count(redirection, 6000), 1);
     assert_int_equal(receive(redirection, 1, 30, 5000 + RETAIN_MS),
-                     REDIRECTION_TO_OWNER); /* a new attempt */
+                     REDIRECTION_TO_OWNER); /* redirected again */
     assert_int_equal(retained_count(redirection, 5000 + RETAIN_MS), 0);
 }
 
-/* Copies of two old heartbeats look like a worker that returned: the leader would keep a dead
- * machine and its tasks. */
-static void test_copies_keep_no_machine_alive(void **state)
+/* Late copies of heartbeats must not look like a worker that returned from its owner. If they did,
+ * this controller would list the machine as retained, and the leader would keep a dead machine and
+ * its tasks. */
+static void test_copies_of_heartbeats_do_not_retain_a_machine(void **state)
 {
     redirection_t *redirection = *state;
     assert_int_equal(receive(redirection, 1, 5, 1000), REDIRECTION_TO_OWNER);
     assert_int_equal(receive(redirection, 1, 5, 2000), REDIRECTION_DUPLICATE);
     assert_int_equal(receive(redirection, 1, 4, 2000), REDIRECTION_DUPLICATE);
     assert_int_equal(receive(redirection, 1, 6, 5000),
-                     REDIRECTION_RETAINED); /* perhaps a late one: answered, and not listed */
+                     REDIRECTION_RETAINED); /* perhaps late: answered but not listed */
     assert_int_equal(retained_count(redirection, 5000), 0);
     assert_int_equal(receive(redirection, 1, 6, 5500), REDIRECTION_DUPLICATE);
     assert_int_equal(receive(redirection, 1, 7, 15000),
-                     REDIRECTION_RETAINED); /* 10 s later: no answer has arrived */
+                     REDIRECTION_RETAINED); /* 10 s later: no answer arrived */
     assert_int_equal(retained_count(redirection, 15000), 0);
 }
 
-static void test_copy_of_an_earlier_session_is_old(void **state)
+static void test_heartbeat_of_an_earlier_worker_epoch_is_a_duplicate(void **state)
 {
     redirection_t *redirection = *state;
     receive(redirection, 2, 5, 1000);
@@ -74,9 +75,8 @@
     assert_int_equal(receive(redirection, 3, 1, 2000), REDIRECTION_RETAINED);
 }
 
-/* A heartbeat of a worker that lost its owner: `now` counts from the end of the view's first
- * seconds.
- */
+/* Handles a heartbeat of a worker that lost its owner. `now` counts from the end of the period
+ * after a view change in which workers move to new owners. */
 static redirection_verdict_t receive_after_loss(redirection_t *redirection, const char *machine,
                                                 uint64_t heartbeat_sequence, msec_t now)
 {
@@ -85,17 +85,18 @@
                                         REDIRECTION_GRACE_MS + now);
 }
 
-/* Workers that had reached their owner in this view lost it all at once. Redirected to it again,
- * each waited 5 s for every controller that did not answer, until its lease had expired: of a fleet
- * that only one controller could reach, 1,405 tasks were killed. */
-static void test_a_probe_goes_to_the_owner_while_the_others_are_retained(void **state)
+/* Guards against the expiry of leases when all workers of an owner lose it at the same time. When
+ * every one of them was redirected to that owner again, each waited 5 s for every controller that
+ * did not answer, until its lease had expired. In a fleet that only one controller could reach,
+ * 1,405 tasks were killed. */
+static void test_one_probe_is_redirected_while_the_others_are_retained(void **state)
 {
     redirection_t *redirection = *state;
     assert_int_equal(receive_after_loss(redirection, "m-000001", 1, 1000), REDIRECTION_TO_OWNER);
     assert_int_equal(receive_after_loss(redirection, "m-000002", 1, 1100), REDIRECTION_RETAINED);
     assert_int_equal(receive_after_loss(redirection, "m-000003", 1, 1200), REDIRECTION_RETAINED);
     assert_int_equal(receive_after_loss(redirection, "m-000001", 2, 11500),
-                     REDIRECTION_RETAINED); /* it returned: the owner is unreachable */
+                     REDIRECTION_RETAINED); /* returned: the owner is unreachable */
     assert_int_equal(receive_after_loss(redirection, "m-000002", 9, 1000 + REDIRECT_PROBE_MS),
                      REDIRECTION_RETAINED);
     msec_t next = 11500 + RETAIN_MS;
@@ -107,15 +108,16 @@
                      REDIRECTION_RETAINED);
     assert_int_equal(
         receive_after_loss(redirection, "m-000002", 40, next + REDIRECT_PROBE_MS + 100),
-        REDIRECTION_TO_OWNER); /* it stayed */
+        REDIRECTION_TO_OWNER); /* the probe did not return */
     assert_int_equal(
         receive_after_loss(redirection, "m-000001", 40, next + REDIRECT_PROBE_MS + 200),
         REDIRECTION_TO_OWNER);
 }
 
-/* A controller that had just started refused one worker, which returned within a second: all the
- * others were retained for 20 s, without starts. */
-static void test_a_refused_worker_keeps_no_other_worker_from_the_owner(void **state)
+/* Guards against treating an owner as unreachable because it refused a worker. A controller that
+ * had just started refused one worker, which returned within a second. All other workers of that
+ * owner were then retained for 20 s without starts. */
+static void test_refusal_of_one_worker_does_not_retain_the_others(void **state)
 {
     redirection_t *redirection = *state;
     assert_int_equal(receive_after_loss(redirection, "m-000001", 1, 1000), REDIRECTION_TO_OWNER);
@@ -125,18 +127,18 @@
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false,
                                                   REDIRECTION_GRACE_MS + 2100),
                      REDIRECTION_TO_OWNER);
-    /* Nor is any worker retained for a probe while workers are on their way to new owners, whatever
-     * fencing token a command brought them. */
+    /* While workers move to new owners after a view change, none is retained to wait for a probe,
+     * whatever fencing token a command has given it. */
     g_strlcpy(heartbeat.machine, "m-000003", sizeof heartbeat.machine);
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false,
                                                   REDIRECTION_GRACE_MS + 2200),
                      REDIRECTION_TO_OWNER);
 }
 
-/* After a view the worker has another owner, which other workers could not reach a moment ago: it
- * is not redirected there. A controller that restarted counts as a new one, and it is redirected to
- * that. */
-static void test_a_view_redirects_no_worker_to_an_unreachable_owner(void **state)
+/* A new view gives a worker an owner that other workers could not reach shortly before. The worker
+ * is not redirected to it. If that owner has restarted, it counts as a new controller, and workers
+ * are redirected to it. */
+static void test_new_view_does_not_redirect_to_an_unreachable_owner(void **state)
 {
     redirection_t *redirection = *state;
     receive_after_loss(redirection, "m-000001", 1, 1000);
@@ -154,17 +156,17 @@
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-2", false,
                                                   REDIRECTION_GRACE_MS + 12000),
                      REDIRECTION_DUPLICATE);
-    heartbeat.heartbeat_sequence = 3; /* it returned at once from the restarted one */
+    heartbeat.heartbeat_sequence = 3; /* returned from the restarted owner */
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-1 anew",
                                                   false, REDIRECTION_GRACE_MS + 20000),
                      REDIRECTION_RETAINED);
 }
 
-/* Copies of heartbeats from before the view reach a controller just after it is installed, when
- * there is nothing to compare them with. The worker's own first heartbeat after them looked like
- * the return of one that could not reach its owner: it was retained for 20 s without starts, and
- * all other workers of that owner with it. */
-static void test_a_copy_from_before_the_view_redirects_nobody(void **state)
+/* Copies of heartbeats that were sent before the view may arrive just after it is installed, when
+ * there is no earlier heartbeat to compare them with. If they counted, the worker's first real
+ * heartbeat would look as if the worker had returned from an unreachable owner. The worker was then
+ * retained for 20 s without starts, and so were all other workers of that owner. */
+static void test_heartbeat_from_before_the_view_has_no_effect(void **state)
 {
     redirection_t *redirection = *state;
     worker_heartbeat_t heartbeat = heartbeat_of("m-000001", 5);
@@ -178,7 +180,7 @@
         REDIRECTION_UNVERIFIED);
     heartbeat.heartbeat_sequence = 9;
     heartbeat.fencing_token =
-        7; /* the worker itself: an answer, or its owner's command, brought it the fencing token */
+        7; /* sent by the worker after an answer or a command of its owner gave it the token */
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false,
                                                   1100 + REDIRECT_TIMEOUT_MS),
                      REDIRECTION_TO_OWNER);
@@ -190,10 +192,10 @@
     assert_int_equal(retained_count(redirection, 1200 + REDIRECT_TIMEOUT_MS), 0);
 }
 
-/* While a partition is not loaded, an answer still renews the lease of all that runs there: an
- * outage that began with a commit under way left cancelled tasks running for as long as it lasted.
- */
-static void test_an_answer_without_the_partition_stops_what_is_over(void **state)
+/* While the partition is not loaded, an answer still renews the lease of everything that runs on
+ * the worker, so it has to stop the attempts of ended jobs. Without these stops, an outage that
+ * began during a commit left cancelled tasks running until it ended. */
+static void test_attempts_of_ended_jobs_are_stopped(void **state)
 {
     (void)state;
     const reported_attempt_t attempts[] = {
@@ -214,16 +216,17 @@
         assert_int_equal(command->op, COMMAND_STOP);
         assert_string_equal(command->job, "j-000002");
         assert_true(command->task == 1 || command->task == 3);
-        assert_true(command->grace_s == 0); /* an attempt that saves gets no time to finish */
+        assert_true(command->grace_s == 0); /* an attempt that is saving gets no time to finish */
     }
     g_array_unref(commands);
     g_hash_table_unref(live);
     worker_heartbeat_clear(&heartbeat);
 }
 
-/* A machine that hung returns to a controller that does not own it, with other workers of its
- * owner: retained because of a probe, they were idle for 12 s, and one was terminated meanwhile. */
-static void test_workers_of_a_reachable_owner_go_there_at_once(void **state)
+/* Guards against needless waits for a probe. A machine that had hung, and other workers of the same
+ * owner, sent heartbeats to a controller that did not own them. They were retained to wait for a
+ * probe although the owner was reachable, were idle for 12 s, and one was terminated meanwhile. */
+static void test_workers_of_a_reachable_owner_are_redirected_at_once(void **state)
 {
     redirection_t *redirection = *state;
     msec_t now = REDIRECTION_GRACE_MS + 1000;
@@ -236,19 +239,20 @@
         REDIRECTION_TO_OWNER);
     owner_health_t health = {.answered_at = now - 500, .worker_heartbeat_at = now - 800};
     assert_true(redirection_owner_is_healthy(&health, now));
-    /* One that answers us and receives no heartbeat of a worker, or the reverse, may be cut off
-     * from its workers. */
+    /* An owner may be cut off from its workers if it answers this controller but receives no worker
+     * heartbeats. One that does not answer this controller is not known to be healthy either. */
     health.worker_heartbeat_at = now - OWNER_FRESH_MS;
     assert_false(redirection_owner_is_healthy(&health, now));
     health = (owner_health_t){.answered_at = now - OWNER_FRESH_MS, .worker_heartbeat_at = now};
     assert_false(redirection_owner_is_healthy(&health, now));
     health = (owner_health_t){0};
-    assert_false(redirection_owner_is_healthy(&health, 100)); /* it never answered */
+    assert_false(redirection_owner_is_healthy(&health, 100)); /* never answered */
 }
 
-/* All workers left their owner when processes stalled for a moment. One was redirected to it and
- * stayed; the others were retained, without starts, for 12 s more. */
-static void test_workers_follow_a_probe_that_reached_its_owner(void **state)
+/* Guards against retaining workers although their owner is known to be reachable. All workers left
+ * their owner when processes stalled for a short time. The probe was redirected to the owner and
+ * did not return, but the other workers were retained without starts for another 12 s. */
+static void test_waiting_workers_are_redirected_once_the_owner_is_reachable(void **state)
 {
     redirection_t *redirection = *state;
     msec_t now = REDIRECTION_GRACE_MS + 1000;
@@ -267,7 +271,7 @@
     assert_int_equal(
         redirection_handle_heartbeat(redirection, &other, "controller-1", true, now + 2100),
         REDIRECTION_TO_OWNER);
-    other.heartbeat_sequence++; /* its own attempt failed, so it is retained for the whole time */
+    other.heartbeat_sequence++; /* it returned itself, so it is retained for the full time */
     assert_int_equal(redirection_handle_heartbeat(redirection, &other, "controller-1", true,
                                                   now + 2100 + REDIRECT_TIMEOUT_MS),
                      REDIRECTION_RETAINED);
@@ -277,9 +281,9 @@
                      REDIRECTION_RETAINED);
 }
 
-/* A worker that a controller refused, because that had just started, was retained without starts
- * for 20 s. */
-static void test_one_that_was_turned_away_tries_again_soon(void **state)
+/* Guards against long idle times after a refusal. A worker that its owner had refused because the
+ * owner had just started was retained without starts for 20 s. */
+static void test_refused_worker_is_redirected_again_soon(void **state)
 {
     redirection_t *redirection = *state;
     assert_int_equal(receive(redirection, 1, 1, 1000), REDIRECTION_TO_OWNER);
@@ -289,9 +293,9 @@
     assert_int_equal(receive(redirection, 1, 4, 2000 + RETAIN_REFUSED_MS), REDIRECTION_TO_OWNER);
 }
 
-/* The leader terminated a machine that it retained itself: it read its own list from the key-value
- * store, which holds it seconds late. */
-static void test_retained_workers_are_known_to_their_controller_at_once(void **state)
+/* Guards against the termination of machines that the leader itself retains. It read its own list
+ * from the key-value store, where the list is seconds old, and terminated such a machine. */
+static void test_retained_workers_are_listed_locally_at_once(void **state)
 {
     redirection_t *redirection = *state;
     GHashTable *ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -299,7 +303,7 @@
     receive(redirection, 1, 2, 2000);
     redirection_add_retained(redirection, 2000, ids);
     assert_int_equal(g_hash_table_size(ids),
-                     0); /* perhaps copies: no answer is known to have arrived */
+                     0); /* no answer is known to have arrived: these may be copies */
     receive(redirection, 1, 3, 2500);
     redirection_add_retained(redirection, 2500, ids);
     assert_true(g_hash_table_contains(ids, "m-000001"));
@@ -309,28 +313,29 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_worker_that_comes_right_back_is_retained, set_up,
+        cmocka_unit_test_setup_teardown(test_worker_that_returns_soon_is_retained, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(test_copies_keep_no_machine_alive, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_copy_of_an_earlier_session_is_old, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(
-            test_a_probe_goes_to_the_owner_while_the_others_are_retained, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_a_refused_worker_keeps_no_other_worker_from_the_owner,
+        cmocka_unit_test_setup_teardown(test_copies_of_heartbeats_do_not_retain_a_machine, set_up,
+                                        tear_down),
+        cmocka_unit_test_setup_teardown(test_heartbeat_of_an_earlier_worker_epoch_is_a_duplicate,
                                         set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_a_view_redirects_no_worker_to_an_unreachable_owner,
+        cmocka_unit_test_setup_teardown(test_one_probe_is_redirected_while_the_others_are_retained,
                                         set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_a_copy_from_before_the_view_redirects_nobody, set_up,
-                                        tear_down),
-        cmocka_unit_test_setup_teardown(test_workers_of_a_reachable_owner_go_there_at_once, set_up,
+        cmocka_unit_test_setup_teardown(test_refusal_of_one_worker_does_not_retain_the_others,
+                                        set_up, tear_down),
+        cmocka_unit_test_setup_teardown(test_new_view_does_not_redirect_to_an_unreachable_owner,
+                                        set_up, tear_down),
+        cmocka_unit_test_setup_teardown(test_heartbeat_from_before_the_view_has_no_effect, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(test_workers_follow_a_probe_that_reached_its_owner, set_up,
+        cmocka_unit_test_setup_teardown(test_workers_of_a_reachable_owner_are_redirected_at_once,
+                                        set_up, tear_down),
+        cmocka_unit_test_setup_teardown(
+            test_waiting_workers_are_redirected_once_the_owner_is_reachable, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(test_refused_worker_is_redirected_again_soon, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(test_one_that_was_turned_away_tries_again_soon, set_up,
+        cmocka_unit_test_setup_teardown(test_retained_workers_are_listed_locally_at_once, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(test_retained_workers_are_known_to_their_controller_at_once,
-                                        set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_an_answer_without_the_partition_stops_what_is_over,
-                                        set_up, tear_down),
+        cmocka_unit_test_setup_teardown(test_attempts_of_ended_jobs_are_stopped, set_up, tear_down),
     };
     return cmocka_run_group_tests_name("redirection", tests, NULL, NULL);
 }
