--- a/src/core/replication/channel.c
+++ b/src/core/replication/channel.c
@@ -33,12 +33,13 @@
     g_array_append_val(channel->queue, item);
 }
 
-/* Moves the oldest items of the queue to the batch in flight, which is empty. */
+/* Moves the oldest items of the queue to the batch in flight, which must be empty. */
 static void fill_next_batch(channel_t *channel, guint max_count)
 {
     guint count = MIN(max_count, channel->queue->len);
     g_array_append_vals(channel->in_flight, channel->queue->data, count);
-    /* What the moved items own must not be freed when they leave the queue. */
+    /* The batch now owns the types of the moved items; their removal from the queue must not free
+     * them. */
     for (guint i = 0; i < count; i++)
         g_array_index(channel->queue, channel_item_t, i).request.types = NULL;
     g_array_remove_range(channel->queue, 0, count);
--- a/src/core/replication/channel.h
+++ b/src/core/replication/channel.h
@@ -1,11 +1,11 @@
 /** @file
- * One end of the exchange between the leader and a partition: batches of items that arrive once and
- * in order, whatever the transport between loses, repeats or delays.
+ * One endpoint of a channel between the leader and a partition. Batches of items are accepted
+ * exactly once and in order, even if the transport loses, repeats or delays messages.
  *
- * Stop-and-wait: a batch is sent, under its number, until the other end has acknowledged it; a
- * batch whose number is not the next one is a copy and is ignored. Batches are numbered from 1.
- * Both ends start anew with each view, so numbers are void with it. The caller holds the
- * controller's lock; no input or output.
+ * Stop-and-wait protocol: a batch is sent with its number until the other endpoint acknowledges it.
+ * A received batch whose number is not the next one is a copy and is ignored. Batches are numbered
+ * from 1. Both endpoints start again with each view, so batch numbers are valid only within a view.
+ * The caller holds the controller's lock; no input or output.
  */
 #ifndef PEPPERPULLEY_CHANNEL_H
 #define PEPPERPULLEY_CHANNEL_H
@@ -17,17 +17,17 @@
 typedef enum {
     CHANNEL_PLACEMENT_REQUEST,  /**< Leader to partition: place an attempt. */
     CHANNEL_ACKNOWLEDGE,        /**< Leader to partition: an attempt's result is durable. */
-    CHANNEL_WITHDRAW,           /**< Leader to partition: take a placed attempt back. */
+    CHANNEL_WITHDRAW,           /**< Leader to partition: withdraw a placed attempt. */
     CHANNEL_DRAIN,              /**< Leader to partition: drain a machine. */
     CHANNEL_MACHINE_TERMINATED, /**< Leader to partition: a machine no longer exists. */
-    CHANNEL_CANCEL_DRAIN,       /**< Leader to partition: a machine need not be drained any more. */
+    CHANNEL_CANCEL_DRAIN,       /**< Leader to partition: stop draining a machine. */
     CHANNEL_ATTEMPT_RESULT      /**< Partition to leader: an attempt is over, or a
                                      placement request was refused. */
 } channel_item_kind_t;
 
-/** An item. Which field counts depends on the kind; the others are zeros. */
+/** An item. The kind determines which field is used; the others are zero. */
 typedef struct channel_item {
-    channel_item_kind_t kind;    /**< What the item orders or reports. */
+    channel_item_kind_t kind;    /**< What the item requests or reports. */
     placement_request_t request; /**< Of CHANNEL_PLACEMENT_REQUEST; the item owns its types. */
     task_ref_t ref;              /**< Of CHANNEL_ACKNOWLEDGE and CHANNEL_WITHDRAW. */
     attempt_result_t result;     /**< Of CHANNEL_ATTEMPT_RESULT. */
@@ -35,16 +35,16 @@
                                       CHANNEL_CANCEL_DRAIN: id of the machine. */
 } channel_item_t;
 
-/** One end. Owns its items. */
+/** An endpoint. Owns its items. */
 typedef struct channel {
-    GArray *queue;                /**< channel_item_t, owned: not sent so far, oldest first. */
-    GArray *in_flight;            /**< channel_item_t, owned: the batch number last_sent_batch;
-                                       empty: it is acknowledged, or none was sent. */
-    uint64_t last_sent_batch;     /**< Number of the newest batch made here; 0: none. */
+    GArray *queue;            /**< channel_item_t, owned: not sent yet, oldest first. */
+    GArray *in_flight;        /**< channel_item_t, owned: the batch with the number last_sent_batch;
+                                   empty if it is acknowledged or none was sent. */
+    uint64_t last_sent_batch; /**< Number of the newest batch created here; 0: none. */
     uint64_t last_received_batch; /**< Number of the newest batch accepted here; 0: none. */
 } channel_t;
 
-/** Returns a new end (transfer full). */
+/** Returns a new endpoint (transfer full). */
 channel_t *channel_new(void);
 
 /** Frees @p channel with its items. */
@@ -54,20 +54,20 @@
 /** Queues @p item (transfer full). */
 void channel_push(channel_t *channel, channel_item_t item);
 
-/** Returns the batch that is to be sent now, number last_sent_batch: the one in flight or, if that
- * is acknowledged, a new one of at most @p max_count items. Array of channel_item_t (transfer none,
- * only to be read); empty: there is nothing to send. */
+/** Returns the batch to send now, which has the number last_sent_batch: the one in flight or, if
+ * none is in flight, a new one of at most @p max_count items. Array of channel_item_t (transfer
+ * none, read only); empty if there is nothing to send. */
 GArray *channel_current_batch(channel_t *channel, guint max_count);
 
 /** Returns whether any item is queued or in flight. */
 bool channel_is_busy(const channel_t *channel);
 
-/** The other end has received the batch @p acknowledged_batch: if it is the one in flight, its
- * items are freed; a late acknowledgement of another does nothing. */
+/** Handles the acknowledgement of the batch @p acknowledged_batch by the other endpoint. Frees its
+ * items if it is the batch in flight; a late acknowledgement of another batch does nothing. */
 void channel_acknowledge(channel_t *channel, uint64_t acknowledged_batch);
 
-/** Returns whether a batch that arrived as @p batch_number is the next one; it counts as received
- * then. False: a copy, whose items must not be handled again. */
+/** Returns whether the received batch @p batch_number is the next one, and if so records it as
+ * received. Otherwise the batch is a copy, whose items must not be handled again. */
 bool channel_accept(channel_t *channel, uint64_t batch_number);
 
 /** Returns an empty array of channel_item_t that frees what its items own (transfer full). */
--- a/src/core/replication/summary_update.c
+++ b/src/core/replication/summary_update.c
@@ -25,8 +25,8 @@
     version_clear(&sender->sent);
 }
 
-/* Machine id (char *) -> machine_summary_t, both borrowed from the array, which may be NULL;
- * transfer full. */
+/* Returns an index of the summaries (transfer full): machine id (char *) -> machine_summary_t *,
+ * both borrowed from the array, which may be NULL. */
 static GHashTable *index_by_machine(GArray *summaries)
 {
     GHashTable *index = g_hash_table_new(g_str_hash, g_str_equal);
@@ -42,7 +42,8 @@
     return left.cpus == right.cpus && left.gpus == right.gpus && left.memory == right.memory;
 }
 
-/* What becomes, on both sides, of a summary that is not sent again. */
+/* Advances the ages of a summary that is not sent again. The partition and the leader both do so,
+ * and must compute the same. */
 static void advance_ages(machine_summary_t *summary, msec_t elapsed_ms)
 {
     summary->known_ms += elapsed_ms;
@@ -50,16 +51,16 @@
         summary->idle_ms += elapsed_ms;
 }
 
-/* Whether both silences are below SUMMARY_SILENT_MS. Below it, no decision depends on how long a
- * machine has sent no heartbeat. */
+/* Returns whether both summaries have a silence below SUMMARY_SILENT_MS. Below it, no decision
+ * depends on how long a machine has sent no heartbeat. */
 static bool is_silence_irrelevant(const machine_summary_t *expected,
                                   const machine_summary_t *current)
 {
     return expected->silent_ms < SUMMARY_SILENT_MS && current->silent_ms < SUMMARY_SILENT_MS;
 }
 
-/* Whether the idle time that the leader works out is near enough. Of a machine with attempts it is
- * of no use. */
+/* Returns whether the idle time that the leader computes is close enough to the current one. The
+ * idle time of a machine with attempts is not used. */
 static bool is_idle_time_near(const machine_summary_t *expected, const machine_summary_t *current)
 {
     msec_t error_ms = current->idle_ms - expected->idle_ms;
@@ -67,7 +68,7 @@
            (error_ms < SUMMARY_IDLE_ERROR_MS && error_ms > -SUMMARY_IDLE_ERROR_MS);
 }
 
-/* Whether the values that do not grow with the time are equal. */
+/* Returns whether the values that do not grow with time are equal. */
 static bool are_values_equal(const machine_summary_t *expected, const machine_summary_t *current)
 {
     return expected->is_spot == current->is_spot && expected->is_open == current->is_open &&
@@ -78,9 +79,10 @@
            strcmp(expected->type, current->type) == 0 && strcmp(expected->zone, current->zone) == 0;
 }
 
-/* Whether `known`, of a version made `elapsed_ms` ago, need not be sent again: the leader works out
- * the current summary from it. Then `current` is set to what the leader works out, because small
- * errors that are not sent would add up otherwise. */
+/* Returns whether the leader can compute the current summary from `known`, which it received with a
+ * version created `elapsed_ms` ago, so that the summary need not be sent. If so, sets the idle time
+ * in `current` to the one that the leader computes; otherwise small errors that are not sent would
+ * accumulate. */
 static bool match_known(const machine_summary_t *known, machine_summary_t *current,
                         msec_t elapsed_ms)
 {
@@ -93,24 +95,24 @@
     return true;
 }
 
-/* Adds to the update what differs between the base and the current summaries, and sets the idle
- * times of the others to what the leader works out. */
+/* Adds the differences between the base and the current summaries to the update. Sets the idle
+ * times of the unchanged summaries to those that the leader computes. */
 static void find_changes(const summary_version_t *base, GArray *current, msec_t now,
                          summary_update_t *update)
 {
-    /* In the end it has the machines that no longer exist. */
-    g_autoptr(GHashTable) before = index_by_machine(base->summaries);
+    /* Machines that have no current summary so far; after the loop, those that no longer exist. */
+    g_autoptr(GHashTable) unmatched = index_by_machine(base->summaries);
     for (guint i = 0; i < current->len; i++) {
         machine_summary_t *summary = &g_array_index(current, machine_summary_t, i);
-        const machine_summary_t *known = g_hash_table_lookup(before, summary->machine);
+        const machine_summary_t *known = g_hash_table_lookup(unmatched, summary->machine);
         if (!known || !match_known(known, summary, now - base->updated_at))
             g_array_append_vals(update->summaries, summary, 1);
         if (known)
-            g_hash_table_remove(before, summary->machine);
+            g_hash_table_remove(unmatched, summary->machine);
     }
     GHashTableIter iter;
     gpointer machine;
-    g_hash_table_iter_init(&iter, before);
+    g_hash_table_iter_init(&iter, unmatched);
     while (g_hash_table_iter_next(&iter, &machine, NULL))
         g_ptr_array_add(update->terminated, g_strdup(machine));
 }
@@ -165,7 +167,7 @@
         else
             g_array_append_vals(added, summary, 1);
     }
-    /* Appended last: the array may move, and the index points into it. */
+    /* Appended only now, because appending may move the array, into which the index points. */
     g_array_append_vals(summaries, added->data, added->len);
 }
 
--- a/tests/core/replication/test_cancellation_log.c
+++ b/tests/core/replication/test_cancellation_log.c
@@ -1,15 +1,15 @@
-/* Tests of the log of cancellations that users were given as confirmed, and of the moment up to
- * which all of them are known. */
+/* Tests of the log of cancellations that were confirmed to users, and of the time up to which all
+ * of them are known ("complete until"). */
 #include "core/replication/cancellation_log.h"
 #include "unit_test.h"
 
-/* The moment up to which the watch of jobs/ is complete, unless a test names another. */
+/* The time up to which the watch of jobs/ is complete, unless a test uses another. */
 enum { JOBS_COMPLETE_UNTIL = 1000 };
 
 typedef struct fixture {
     cancellation_log_t own;
     cancellation_log_t siblings[2];
-    GHashTable *stopped; /* set of job ids (char *, owned) that the siblings named */
+    GHashTable *stopped; /* set of job ids (char *, owned) from the siblings' updates */
 } fixture_t;
 
 static int set_up(void **state)
@@ -34,14 +34,14 @@
     return 0;
 }
 
-/* Replaces the sibling's log by that of a new incarnation. */
+/* Replaces the sibling's log with that of a new incarnation. */
 static void restart_sibling(fixture_t *fixture, guint sibling, msec_t now)
 {
     cancellation_log_clear(&fixture->siblings[sibling]);
     cancellation_log_init(&fixture->siblings[sibling], 99, now);
 }
 
-/* Jobs of different ids, confirmed `step_ms` apart. */
+/* Appends `count` jobs with different ids, confirmed `step_ms` apart. */
 static void append_jobs(cancellation_log_t *log, guint count, msec_t from, msec_t step_ms)
 {
     char id[ID_BYTES];
@@ -51,7 +51,7 @@
     }
 }
 
-/* What the sibling would answer to a heartbeat now. */
+/* Returns the update with which the sibling would answer a heartbeat now. */
 static cancellation_update_t answer(const fixture_t *fixture, guint sibling, msec_t now)
 {
     const cancellation_replica_t *replica = &fixture->own.siblings[sibling];
@@ -67,7 +67,7 @@
     cancellation_log_apply(&fixture->own, sibling, update, sent_at, now);
 }
 
-/* A heartbeat that is sent and answered at once. */
+/* Exchanges a heartbeat sent at `sent_at` and its answer, made and received at `now`. */
 static void exchange(fixture_t *fixture, guint sibling, msec_t sent_at, msec_t now)
 {
     cancellation_update_t update = answer(fixture, sibling, now);
@@ -80,10 +80,11 @@
     return cancellation_log_complete_until(&fixture->own, 2, JOBS_COMPLETE_UNTIL);
 }
 
-/* The key-value store refuses the leader alone, a sibling confirms a cancellation, then the
- * key-value store refuses all. The cancellation is known, so that the job can be stopped, once the
- * leader's moment moves past it; the workers' other work keeps its leases. */
-static void test_entries_of_a_sibling_are_known_before_the_moment_moves(void **state)
+/* The key-value store refuses only the leader, a sibling confirms a cancellation, and then the
+ * key-value store refuses all controllers. "Complete until" may advance past the cancellation only
+ * once the leader knows it, so that the leader can stop the job. The other work keeps its leases.
+ */
+static void test_cancellations_are_known_before_complete_until_advances(void **state)
 {
     fixture_t *fixture = *state;
     exchange(fixture, 0, 900, 910);
@@ -97,7 +98,7 @@
     assert_int_equal(complete_until(fixture), 2000);
 }
 
-static void test_a_silent_sibling_stops_the_moment(void **state)
+static void test_sibling_without_answers_stops_complete_until(void **state)
 {
     fixture_t *fixture = *state;
     exchange(fixture, 0, 50000, 50010);
@@ -106,13 +107,13 @@
     exchange(fixture, 1, 20000, 20010);
     assert_int_equal(complete_until(fixture), 20000);
     assert_int_equal(cancellation_log_complete_until(&fixture->own, 2, 30000), 30000);
-    /* Without siblings the watch alone counts. */
+    /* Without siblings, only the watch counts. */
     assert_int_equal(cancellation_log_complete_until(&fixture->own, 0, JOBS_COMPLETE_UNTIL),
                      JOBS_COMPLETE_UNTIL);
 }
 
-/* A cancellation that is confirmed while the answer is on its way is not in it. */
-static void test_an_answer_counts_from_when_its_request_was_sent(void **state)
+/* A cancellation confirmed while an answer is in transit is not in that answer. */
+static void test_answer_counts_from_the_time_its_request_was_sent(void **state)
 {
     fixture_t *fixture = *state;
     exchange(fixture, 0, 900, 910);
@@ -124,7 +125,7 @@
     assert_int_equal(complete_until(fixture), 2900);
 }
 
-static void test_a_late_or_doubled_answer_takes_nothing_back(void **state)
+static void test_late_or_repeated_answer_reverts_nothing(void **state)
 {
     fixture_t *fixture = *state;
     exchange(fixture, 1, 9000, 9010);
@@ -139,9 +140,9 @@
     assert_int_equal(fixture->own.siblings[0].last_index, 2);
 }
 
-/* A restarted sibling does not know what its earlier incarnation confirmed last: the moment does
- * not move until the watch of jobs/ has passed the restart. */
-static void test_one_that_began_anew_counts_from_a_followed_moment(void **state)
+/* A restarted sibling does not know what its earlier incarnation confirmed last. "Complete until"
+ * must not advance by its answers until the watch of jobs/ is complete up to the restart. */
+static void test_restarted_sibling_counts_after_the_watch_passes_the_restart(void **state)
 {
     fixture_t *fixture = *state;
     exchange(fixture, 0, 1200, 1210);
@@ -155,8 +156,9 @@
     assert_int_equal(cancellation_log_complete_until(&fixture->own, 2, 1500), 5000);
 }
 
-/* The start of a sibling is worked out from an age by its own clock, and clocks drift apart. */
-static void test_the_age_of_a_start_is_uncertain(void **state)
+/* The start time of a sibling is computed from an age that its own clock measured. Clocks drift
+ * apart, so the computed time has to be late enough. */
+static void test_start_time_of_a_sibling_allows_for_clock_drift(void **state)
 {
     fixture_t *fixture = *state;
     restart_sibling(fixture, 0, 10000);
@@ -166,8 +168,8 @@
     assert_int_equal(cancellation_log_complete_until(&fixture->own, 2, 10200), 110000);
 }
 
-/* Entries for three messages: the moment moves with the last message, not before. */
-static void test_a_long_list_comes_in_several_updates(void **state)
+/* The entries need three messages. "Complete until" advances only with the last one. */
+static void test_long_log_is_sent_in_several_updates(void **state)
 {
     fixture_t *fixture = *state;
     exchange(fixture, 0, 900, 910);
@@ -182,7 +184,8 @@
     assert_int_equal(g_hash_table_size(fixture->stopped), 2 * CANCELLATION_UPDATE_COUNT + 1);
 }
 
-/* A log is bounded: a replica that fell behind must not count what is left as complete. */
+/* The log is bounded. A replica that has fallen behind must not treat the remaining entries as
+ * complete. */
 static void test_an_entry_dropped_before_it_was_fetched_is_a_gap(void **state)
 {
     fixture_t *fixture = *state;
@@ -198,7 +201,8 @@
         60000);
 }
 
-/* As by a status read or a repeated abort: the job is listed once, when it was first confirmed. */
+/* A status read or a repeated abort confirms a cancellation again. The job stays listed once, at
+ * its first confirmation. */
 static void test_a_repeated_cancellation_is_listed_once(void **state)
 {
     fixture_t *fixture = *state;
@@ -214,17 +218,19 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_entries_of_a_sibling_are_known_before_the_moment_moves,
+        cmocka_unit_test_setup_teardown(test_cancellations_are_known_before_complete_until_advances,
                                         set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_a_silent_sibling_stops_the_moment, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_an_answer_counts_from_when_its_request_was_sent,
-                                        set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_a_late_or_doubled_answer_takes_nothing_back, set_up,
+        cmocka_unit_test_setup_teardown(test_sibling_without_answers_stops_complete_until, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(test_one_that_began_anew_counts_from_a_followed_moment,
+        cmocka_unit_test_setup_teardown(test_answer_counts_from_the_time_its_request_was_sent,
                                         set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_the_age_of_a_start_is_uncertain, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_a_long_list_comes_in_several_updates, set_up,
+        cmocka_unit_test_setup_teardown(test_late_or_repeated_answer_reverts_nothing, set_up,
+                                        tear_down),
+        cmocka_unit_test_setup_teardown(
+            test_restarted_sibling_counts_after_the_watch_passes_the_restart, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(test_start_time_of_a_sibling_allows_for_clock_drift, set_up,
+                                        tear_down),
+        cmocka_unit_test_setup_teardown(test_long_log_is_sent_in_several_updates, set_up,
                                         tear_down),
         cmocka_unit_test_setup_teardown(test_an_entry_dropped_before_it_was_fetched_is_a_gap,
                                         set_up, tear_down),
--- a/tests/core/replication/test_channel.c
+++ b/tests/core/replication/test_channel.c
@@ -1,10 +1,11 @@
-/* Tests of channels: batches arrive once and in order, whatever is lost, repeated or late. */
+/* Tests of channels: batches are accepted once and in order, even if messages are lost, repeated or
+ * late. */
 #include "core/replication/channel.h"
 #include "unit_test.h"
 
 enum { BATCH_COUNT = 10 };
 
-/* Both ends of one channel. */
+/* Both endpoints of one channel. */
 typedef struct fixture {
     channel_t *leader;
     channel_t *partition;
@@ -34,7 +35,7 @@
     channel_push(channel, item);
 }
 
-static void test_lost_answer_repeats_the_batch_and_it_counts_once(void **state)
+static void test_batch_with_lost_acknowledgement_is_repeated_and_accepted_once(void **state)
 {
     const fixture_t *fixture = *state;
     channel_t *from = fixture->leader;
@@ -53,7 +54,7 @@
     assert_true(channel_accept(to, from->last_sent_batch));
 }
 
-static void test_late_batch_and_late_acknowledgement_change_nothing(void **state)
+static void test_late_batch_and_late_acknowledgement_are_ignored(void **state)
 {
     const fixture_t *fixture = *state;
     channel_t *from = fixture->leader;
@@ -76,9 +77,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_lost_answer_repeats_the_batch_and_it_counts_once,
-                                        set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_late_batch_and_late_acknowledgement_change_nothing,
+        cmocka_unit_test_setup_teardown(
+            test_batch_with_lost_acknowledgement_is_repeated_and_accepted_once, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(test_late_batch_and_late_acknowledgement_are_ignored,
                                         set_up, tear_down),
     };
     return cmocka_run_group_tests_name("channel", tests, NULL, NULL);
--- a/tests/core/replication/test_summary_update.c
+++ b/tests/core/replication/test_summary_update.c
@@ -1,4 +1,5 @@
-/* Tests of summary updates: whatever is lost on the way, the leader has what the partition has. */
+/* Tests of summary updates: even if messages are lost, the leader gets the summaries of the
+ * partition. */
 #include "core/replication/summary_update.h"
 
 #include "unit_test.h"
@@ -8,9 +9,9 @@
 typedef struct fixture {
     summary_sender_t sender;
     summary_replica_t replica;
-    GArray *current; /* machine_summary_t, owned: what the partition has */
+    GArray *current; /* machine_summary_t, owned: the summaries of the partition */
     msec_t now;
-    guint created_count; /* machines that have existed */
+    guint created_count; /* machines created so far */
 } fixture_t;
 
 static machine_summary_t summary_of(guint number)
@@ -40,7 +41,7 @@
     summary_replica_clear(&fixture->replica);
 }
 
-/* Lets time pass for every machine. */
+/* Advances the time by `ms` and the ages in all summaries with it. */
 static void advance(fixture_t *fixture, msec_t ms)
 {
     fixture->now += ms;
@@ -52,9 +53,9 @@
     }
 }
 
-static machine_summary_t *machine_at(const fixture_t *fixture, guint at)
+static machine_summary_t *machine_at(const fixture_t *fixture, guint position)
 {
-    return &g_array_index(fixture->current, machine_summary_t, at);
+    return &g_array_index(fixture->current, machine_summary_t, position);
 }
 
 static summary_update_t next_update(fixture_t *fixture)
@@ -62,8 +63,8 @@
     return summary_sender_next(&fixture->sender, g_array_copy(fixture->current), fixture->now);
 }
 
-/* Sends the next update, which may be lost, as its answer may; returns how many summaries it had.
- */
+/* Sends the next update. The update or its answer may be lost. Returns the number of summaries in
+ * the update. */
 static guint exchange(fixture_t *fixture, bool arrives, bool is_answered)
 {
     summary_update_t update = next_update(fixture);
@@ -109,7 +110,7 @@
     }
 }
 
-static void test_an_unchanged_partition_sends_nothing(void **state)
+static void test_unchanged_summaries_are_not_sent(void **state)
 {
     (void)state;
     fixture_t fixture = fixture_new(MACHINES_MAX);
@@ -125,9 +126,9 @@
     fixture_clear(&fixture);
 }
 
-/* The idle time of a machine that has short work again and again differs by less than is sent each
- * time: the leader's must not grow on. */
-static void test_small_errors_of_idle_times_do_not_add_up(void **state)
+/* If a machine repeatedly has short work, its idle time differs each time by less than the error
+ * for which a summary is sent. These errors must not accumulate in the leader's idle time. */
+static void test_errors_of_idle_times_do_not_accumulate(void **state)
 {
     (void)state;
     fixture_t fixture = fixture_new(3);
@@ -141,8 +142,9 @@
     fixture_clear(&fixture);
 }
 
-/* Terminating machines depends on how long they have been silent: that is sent each time. */
-static void test_silence_is_sent_as_it_grows(void **state)
+/* Whether a machine is terminated depends on how long it has been silent, so a long silence is sent
+ * with every update. */
+static void test_growing_silence_of_a_machine_is_sent(void **state)
 {
     (void)state;
     fixture_t fixture = fixture_new(5);
@@ -163,14 +165,14 @@
 static void change_something(fixture_t *fixture, GRand *random)
 {
     guint kind = (guint)g_rand_int_range(random, 0, 5);
-    guint at = (guint)g_rand_int_range(random, 0, MAX((gint)fixture->current->len, 1));
+    guint position = (guint)g_rand_int_range(random, 0, MAX((gint)fixture->current->len, 1));
     if (kind == 0 && fixture->current->len < MACHINES_MAX) {
         machine_summary_t summary = summary_of(fixture->created_count++);
         g_array_append_val(fixture->current, summary);
     } else if (kind == 1 && fixture->current->len > 1) {
-        g_array_remove_index(fixture->current, at);
-    } else if (at < fixture->current->len) {
-        machine_summary_t *summary = machine_at(fixture, at);
+        g_array_remove_index(fixture->current, position);
+    } else if (position < fixture->current->len) {
+        machine_summary_t *summary = machine_at(fixture, position);
         summary->is_open = kind != 2;
         summary->silent_ms = 0;
         summary->attempts = (guint)g_rand_int_range(random, 0, 3);
@@ -179,42 +181,42 @@
     }
 }
 
-/* Messages and answers are lost at random, and old messages arrive again. */
-static void test_losses_and_copies_leave_the_leader_what_the_partition_has(void **state)
+/* Messages and answers are lost at random, and delayed messages arrive after newer ones. */
+static void test_replica_is_current_despite_losses_and_copies(void **state)
 {
     (void)state;
     GRand *random = g_rand_new_with_seed(7);
     fixture_t fixture = fixture_new(10);
-    summary_update_t old = {0};
+    summary_update_t delayed = {0};
     for (guint i = 0; i < ROUNDS; i++) {
         advance(&fixture, g_rand_int_range(random, 50, 1500));
         for (gint changes = g_rand_int_range(random, 0, 4); changes > 0; changes--)
             change_something(&fixture, random);
         bool arrives = g_rand_int_range(random, 0, 10) > 0;
         exchange(&fixture, arrives, g_rand_int_range(random, 0, 10) > 0);
-        if (old.summaries)
-            assert_false(summary_replica_apply(&fixture.replica, &old, fixture.now));
-        summary_update_clear(&old);
+        if (delayed.summaries)
+            assert_false(summary_replica_apply(&fixture.replica, &delayed, fixture.now));
+        summary_update_clear(&delayed);
         if (fixture.replica.summaries && arrives)
             assert_replica_is_current(&fixture);
-        if (i % 50 == 0) { /* this one will arrive after a newer one */
-            old = next_update(&fixture);
+        if (i % 50 == 0) { /* this update arrives after a newer one */
+            delayed = next_update(&fixture);
             summary_sender_reset(&fixture.sender);
             exchange(&fixture, true, true);
         }
     }
-    summary_update_clear(&old);
+    summary_update_clear(&delayed);
     g_rand_free(random);
     fixture_clear(&fixture);
 }
 
-/* A leader that has another version applies no changes and is sent all summaries next. */
-static void test_a_leader_with_another_version_gets_all(void **state)
+/* A leader that has another version does not apply changes, and receives all summaries next. */
+static void test_leader_with_another_version_receives_all_summaries(void **state)
 {
     (void)state;
     fixture_t fixture = fixture_new(6);
     exchange(&fixture, true, true);
-    summary_replica_clear(&fixture.replica); /* as by a new view */
+    summary_replica_clear(&fixture.replica); /* as after a new view */
     machine_at(&fixture, 0)->attempts = 1;
     assert_int_equal(exchange(&fixture, true, true), 1);
     assert_null(fixture.replica.summaries);
@@ -226,11 +228,11 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_an_unchanged_partition_sends_nothing),
-        cmocka_unit_test(test_small_errors_of_idle_times_do_not_add_up),
-        cmocka_unit_test(test_silence_is_sent_as_it_grows),
-        cmocka_unit_test(test_losses_and_copies_leave_the_leader_what_the_partition_has),
-        cmocka_unit_test(test_a_leader_with_another_version_gets_all),
+        cmocka_unit_test(test_unchanged_summaries_are_not_sent),
+        cmocka_unit_test(test_errors_of_idle_times_do_not_accumulate),
+        cmocka_unit_test(test_growing_silence_of_a_machine_is_sent),
+        cmocka_unit_test(test_replica_is_current_despite_losses_and_copies),
+        cmocka_unit_test(test_leader_with_another_version_receives_all_summaries),
     };
     return cmocka_run_group_tests_name("summary_update", tests, NULL, NULL);
 }
