--- a/src/core/membership/redirection.h
+++ b/src/core/membership/redirection.h
@@ -28,7 +28,7 @@
 /** How a heartbeat is to be handled. */
 typedef enum {
     REDIRECTION_TO_OWNER,  /**< Redirect the worker to its owner. */
-    REDIRECTION_RETAINED,  /**< Answer the heartbeat here. */
+    REDIRECTION_RETAINED,  /**< Answer the heartbeat here, without starts. */
     REDIRECTION_DUPLICATE, /**< Refuse it: it is a copy, or older than one received before. */
     REDIRECTION_UNVERIFIED /**< The worker sent it before it knew the view that assigned these
                               owners, so it may be a late copy. Answer it, which gives the worker
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -67,7 +67,7 @@
     TASK_FETCHING, /**< The worker is fetching the image. */
     TASK_RUNNING,  /**< The task is running. */
     TASK_SAVING,   /**< The task is saving after a stop command. */
-    TASK_EXITED    /**< The attempt has ended; the cause is given separately. */
+    TASK_EXITED    /**< The attempt has ended; see cause_t. */
 } task_state_t;
 
 /** Why an attempt ended. The peer protocol uses the same numbers. */
@@ -76,11 +76,11 @@
     CAUSE_DONE,    /**< The task finished its work. */
     CAUSE_STOPPED, /**< A command stopped the task. */
     CAUSE_ERROR,   /**< The task failed. */
-    CAUSE_FULL,    /**< The worker refused the start because the resources were not free. */
+    CAUSE_FULL,    /**< The worker or the partition refused it: resources were not free. */
     CAUSE_BUSY,    /**< The worker refused the start with "in_use"; treated like CAUSE_FULL. */
     CAUSE_UNKNOWN, /**< The worker answered "no_such"; counted as a failure of the job. */
     CAUSE_PEERS,   /**< Another task of the same gang ended. */
-    CAUSE_ALONE    /**< Not all tasks of the gang started in time. */
+    CAUSE_ALONE    /**< The gang was not complete in time. */
 } cause_t;
 
 /** One task attempt as a worker's heartbeat lists it. */
--- a/tests/core/membership/test_redirection.c
+++ b/tests/core/membership/test_redirection.c
@@ -49,10 +49,10 @@
     assert_int_equal(retained_count(redirection, 5000 + RETAIN_MS), 0);
 }
 
-/* Late copies of heartbeats must not look like a worker that returned from its owner. If they did,
- * this controller would list the machine as retained, and the leader would keep a dead machine and
- * its tasks. */
-static void test_copies_of_heartbeats_do_not_retain_a_machine(void **state)
+/* Late copies of heartbeats do not prove that a worker is alive, although two of them look like a
+ * worker that returned from its owner. If this controller listed the machine as retained because of
+ * them, the leader would keep a dead machine and its tasks. */
+static void test_copies_of_heartbeats_do_not_list_a_machine_as_retained(void **state)
 {
     redirection_t *redirection = *state;
     assert_int_equal(receive(redirection, 1, 5, 1000), REDIRECTION_TO_OWNER);
@@ -315,8 +315,8 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(test_worker_that_returns_soon_is_retained, set_up,
                                         tear_down),
-        cmocka_unit_test_setup_teardown(test_copies_of_heartbeats_do_not_retain_a_machine, set_up,
-                                        tear_down),
+        cmocka_unit_test_setup_teardown(test_copies_of_heartbeats_do_not_list_a_machine_as_retained,
+                                        set_up, tear_down),
         cmocka_unit_test_setup_teardown(test_heartbeat_of_an_earlier_worker_epoch_is_a_duplicate,
                                         set_up, tear_down),
         cmocka_unit_test_setup_teardown(test_one_probe_is_redirected_while_the_others_are_retained,
