--- a/src/core/membership/election.c
+++ b/src/core/membership/election.c
@@ -6,23 +6,23 @@
 void election_init(election_t *election, const member_t *self)
 {
     *election = (election_t){.self = *self};
-    election->present = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+    election->live_members = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     election->excluded = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
 void election_clear(election_t *election)
 {
-    g_hash_table_remove_all(election->present);
+    g_hash_table_remove_all(election->live_members);
     election->lease_revision = 0;
 }
 
 void election_record_member(election_t *election, const char *name, const member_t *member,
                             msec_t now)
 {
-    g_hash_table_remove(election->present, name);
+    g_hash_table_remove(election->live_members, name);
     if (member) {
         member_t *copy = g_memdup2(member, sizeof *member);
-        g_hash_table_insert(election->present, copy->name, copy);
+        g_hash_table_insert(election->live_members, copy->name, copy);
     }
     election->present_changed_at = now;
 }
@@ -65,7 +65,7 @@
     view->count = 1;
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, election->present);
+    g_hash_table_iter_init(&iter, election->live_members);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const member_t *member = value;
         if (strcmp(member->name, election->self.name) != 0 && view->count < MEMBERS_MAX_COUNT)
@@ -103,6 +103,6 @@
 
 bool election_is_displaced(const election_t *election)
 {
-    const member_t *listed = g_hash_table_lookup(election->present, election->self.name);
+    const member_t *listed = g_hash_table_lookup(election->live_members, election->self.name);
     return !listed || listed->incarnation != election->self.incarnation;
 }
--- a/src/core/membership/election.h
+++ b/src/core/membership/election.h
@@ -25,12 +25,12 @@
 
 /** The values last read from view/lease and view/members/, and the exclusions of members. */
 typedef struct election {
-    member_t self;        /**< This controller; does not change. */
-    GHashTable *present;  /**< Name (char *, borrowed from the value) -> member_t *, owned: the
-                             members that hold a live lease. */
+    member_t self;            /**< This controller; does not change. */
+    GHashTable *live_members; /**< Name (char *, borrowed from the value) -> member_t *, owned: the
+                                 members that hold a live lease. */
     GHashTable *excluded; /**< Leader only. Name (char *, owned) -> msec_t *, owned: the time until
                              which the member owns no machines. */
-    msec_t present_changed_at;   /**< When `present` last changed. */
+    msec_t present_changed_at;   /**< When live_members last changed. */
     uint64_t lease_revision;     /**< The revision of view/lease; 0: no controller holds it. */
     char lease_holder[ID_BYTES]; /**< The name of the controller that holds view/lease. */
     uint64_t lease_incarnation;  /**< The incarnation of that controller. */
--- a/tests/core/membership/test_election.c
+++ b/tests/core/membership/test_election.c
@@ -15,7 +15,7 @@
 static int tear_down(void **state)
 {
     election_t *election = *state;
-    g_hash_table_unref(election->present);
+    g_hash_table_unref(election->live_members);
     g_hash_table_unref(election->excluded);
     g_free(election);
     return 0;
