--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -31,24 +31,25 @@
     controller_share_rate_limits(controller, settings->siblings->len + 1);
 }
 
-/* Time limits of waits are of the steady clock. */
+/* The condition variables use the steady clock (CLOCK_MONOTONIC), because the deadlines of timed
+ * waits are computed from it. */
 static void init_conditions(controller_t *controller)
 {
-    pthread_condattr_t steady;
-    pthread_condattr_init(&steady);
-    pthread_condattr_setclock(&steady, CLOCK_MONOTONIC);
-    pthread_cond_init(&controller->placement.ready, &steady);
+    pthread_condattr_t attributes;
+    pthread_condattr_init(&attributes);
+    pthread_condattr_setclock(&attributes, CLOCK_MONOTONIC);
+    pthread_cond_init(&controller->placement.ready, &attributes);
     for (guint i = 0; i < DISPATCHERS_COUNT; i++)
-        pthread_cond_init(&controller->dispatch.ready[i], &steady);
-    pthread_cond_init(&controller->kv_clients.available, &steady);
-    pthread_cond_init(&controller->membership.changed, &steady);
-    pthread_cond_init(&controller->status_batches.finished, &steady);
-    pthread_cond_init(&controller->peers.item_available, &steady);
-    pthread_cond_init(&controller->peers.relay_ready, &steady);
-    pthread_cond_init(&controller->autoscaler_ready, &steady);
-    pthread_cond_init(&controller->jobs.cancellation_appended, &steady);
-    pthread_cond_init(&controller->requests.workers_busy, &steady);
-    pthread_condattr_destroy(&steady);
+        pthread_cond_init(&controller->dispatch.ready[i], &attributes);
+    pthread_cond_init(&controller->kv_clients.available, &attributes);
+    pthread_cond_init(&controller->membership.changed, &attributes);
+    pthread_cond_init(&controller->status_batches.finished, &attributes);
+    pthread_cond_init(&controller->peers.item_available, &attributes);
+    pthread_cond_init(&controller->peers.relay_ready, &attributes);
+    pthread_cond_init(&controller->autoscaler_ready, &attributes);
+    pthread_cond_init(&controller->jobs.cancellation_appended, &attributes);
+    pthread_cond_init(&controller->requests.workers_busy, &attributes);
+    pthread_condattr_destroy(&attributes);
 }
 
 static void init_membership(membership_t *membership, const settings_t *settings,
@@ -93,11 +94,11 @@
     request_queue_init(&requests->queue, REQUESTS_WAITING_COUNT);
 }
 
-static uint64_t draw_incarnation(void)
+static uint64_t generate_incarnation(void)
 {
     uint64_t incarnation;
     arc4random_buf(&incarnation, sizeof incarnation);
-    return incarnation >> 2; /* fits a signed JSON integer */
+    return incarnation >> 2; /* keeps it within a signed 64-bit JSON integer */
 }
 
 controller_t *controller_new(const settings_t *settings, const policy_t *policy)
@@ -107,7 +108,7 @@
     controller->settings = settings;
     controller->policy = policy;
     controller->metrics = metrics_new();
-    controller->incarnation = draw_incarnation();
+    controller->incarnation = generate_incarnation();
     kv_store_init(&controller->kv_store, settings->kv_store_address);
     init_limiters(controller, now);
     init_requests(&controller->requests);
@@ -130,9 +131,10 @@
 
 void controller_wait(controller_t *controller, pthread_cond_t *condition, msec_t ms)
 {
-    msec_t end_at = clock_steady() + ms;
-    struct timespec end = {.tv_sec = end_at / MS_PER_S, .tv_nsec = end_at % MS_PER_S * NS_PER_MS};
-    pthread_cond_timedwait(condition, &controller->lock, &end);
+    msec_t deadline_at = clock_steady() + ms;
+    struct timespec deadline = {.tv_sec = deadline_at / MS_PER_S,
+                                .tv_nsec = deadline_at % MS_PER_S * NS_PER_MS};
+    pthread_cond_timedwait(condition, &controller->lock, &deadline);
 }
 
 msec_t controller_paced(const controller_t *controller, msec_t ms)
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,8 +1,9 @@
 /** @file
- * What the threads of one controller share: a struct for each concern, under one lock.
+ * The state that the threads of one controller share: one struct per concern, all guarded by one
+ * lock.
  *
- * Each concern's struct and functions stand in a header of their own. startup.h lists the threads
- * and what each of them waits for.
+ * The struct and the functions of each concern are in a header of their own. startup.h lists the
+ * threads and what each of them waits for.
  */
 #ifndef PEPPERPULLEY_CONTROLLER_H
 #define PEPPERPULLEY_CONTROLLER_H
@@ -26,53 +27,57 @@
 #include "io/rate_limiter.h"
 #include "io/settings.h"
 
-/** What the threads of a controller share. The fields before `lock` never change, or have a lock of
- * their own. */
+/** The state that the threads of a controller share. The fields before `lock` are constant after
+ * initialization or safe to use from any thread without it. */
 struct controller {
     const settings_t *settings; /**< Borrowed for the life of the process. */
     const policy_t *policy;     /**< Borrowed for the life of the process. */
     metrics_t *metrics;         /**< Owned; has a lock of its own. */
-    uint64_t incarnation;       /**< Random number, drawn at each start of the process. */
-    kv_store_t kv_store;        /**< The key-value store; each thread brings its own client. */
-    rate_limiter_t core_request_limiter; /**< The loops' requests to the key-value store. */
-    rate_limiter_t core_write_limiter;   /**< Keys of the key-value store that the loops write. */
-    rate_limiter_t api_request_limiter;  /**< Requests to the key-value store on behalf of users. */
-    rate_limiter_t api_write_limiter;    /**< Keys written on behalf of users. */
-    request_pool_t requests; /**< Users' requests that wait; has a lock of its own, which is never
-                                taken together with `lock`. */
+    uint64_t incarnation;       /**< Random number, generated at each start of the process. */
+    kv_store_t kv_store;        /**< The key-value store; each thread uses its own HTTP client. */
+    rate_limiter_t core_request_limiter; /**< Limits the loops' requests to the key-value store. */
+    rate_limiter_t
+        core_write_limiter; /**< Limits the keys that the loops write to the key-value store. */
+    rate_limiter_t
+        api_request_limiter; /**< Limits requests to the key-value store on behalf of users. */
+    rate_limiter_t api_write_limiter; /**< Limits keys written on behalf of users. */
+    request_pool_t requests; /**< Queued user requests. Has a lock of its own; no thread holds that
+                                one and `lock` at the same time. */
 
-    pthread_mutex_t lock;        /**< Guards all fields below. Never held during input or output. */
-    membership_t membership;     /**< The view, the election and this controller's place. */
-    job_directory_t jobs;        /**< The jobs that are known. */
-    placement_state_t placement; /**< The data that the records of a view are loaded into. */
-    dispatch_state_t dispatch;   /**< The command dispatchers. */
-    peer_state_t peers;          /**< The exchange with the other controllers. */
-    status_batches_t status_batches; /**< Status reads that go to the key-value store together. */
+    pthread_mutex_t lock;    /**< Guards all fields below. Never held during I/O. */
+    membership_t membership; /**< The view, the election and this controller's membership. */
+    job_directory_t jobs;    /**< The jobs known to this controller. */
+    placement_state_t
+        placement; /**< The partition and leader data, loaded from the records of a view. */
+    dispatch_state_t dispatch;       /**< The command dispatchers. */
+    peer_state_t peers;              /**< Communication with the other controllers. */
+    status_batches_t status_batches; /**< Status reads that are batched into one request to the
+                                        key-value store. */
     kv_client_pool_t kv_clients;     /**< Connections to the key-value store for users' requests. */
-    stall_detector_t stalls;         /**< When the process last stalled. */
-    autoscaler_t *autoscaler;        /**< Owned; NULL: the data of no view were loaded yet. */
-    pthread_cond_t autoscaler_ready; /**< Signalled when the data of a view were loaded; the
+    stall_detector_t stalls;         /**< Detects stalls of this process. */
+    autoscaler_t *autoscaler; /**< Owned. NULL until the records of a view are first loaded. */
+    pthread_cond_t autoscaler_ready; /**< Signalled when the records of a view have been loaded; the
                                         autoscaler's loop waits for it. */
 };
 
-/** Returns a controller without threads (transfer full; it lives as long as the process). Both
- * arguments are borrowed for the life of the process. */
+/** Returns a new controller whose threads are not started yet (transfer full; it lives as long as
+ * the process). Both arguments are borrowed for the life of the process. */
 controller_t *controller_new(const settings_t *settings, const policy_t *policy);
 
-/** Sets this controller's shares of the key-value store's limits, which hold for all @p members
- * together. The leader has a larger share of the writes. Called with the lock held, or before the
- * threads start. */
+/** Sets this controller's rate limits at the key-value store. The store's limits apply to all
+ * @p members together, so each controller takes a share; the leader's share of the writes is
+ * larger. Called with the lock held, or before the threads start. */
 void controller_share_rate_limits(controller_t *controller, guint members);
 
 /** Wakes the placement loop. Called with the lock held. */
 void controller_notify_placement(controller_t *controller);
 
-/** Waits for the condition, @p ms at most; may return earlier for no reason. Called with the lock
- * held, which is released during the wait. */
+/** Waits until the condition is signalled, for at most @p ms. Spurious wake-ups are possible.
+ * Called with the lock held; the lock is released during the wait. */
 void controller_wait(controller_t *controller, pthread_cond_t *condition, msec_t ms);
 
-/** Returns the pause to make in place of one of @p ms: longer on a small share of a processor
- * (settings_t.pace). */
+/** Returns @p ms multiplied by settings_t.pace, which lengthens pauses if the process has only a
+ * small share of a processor. */
 msec_t controller_paced(const controller_t *controller, msec_t ms);
 
 /** Sleeps for @p ms. The lock must not be held. */
--- a/src/controller/kv_watch_loop.c
+++ b/src/controller/kv_watch_loop.c
@@ -6,7 +6,7 @@
     controller_t *controller;
     const kv_watch_t *watch;
     http_client_t *client;
-    uint64_t revision; /* up to which changes were applied */
+    uint64_t revision; /* all changes up to this one were applied */
 } kv_watch_loop_t;
 
 static bool read_all(kv_watch_loop_t *loop)
@@ -25,7 +25,7 @@
     return true;
 }
 
-/* Waits for changes, KV_WATCH_BLOCK_MS at most, and applies them. */
+/* Waits for changes for at most KV_WATCH_BLOCK_MS and applies them. */
 static kv_result_t watch_changes(kv_watch_loop_t *loop)
 {
     controller_t *controller = loop->controller;
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -32,8 +32,8 @@
     [TIME_PUSH] = "push_ms",
 };
 
-/* Edges of the histograms, in ms. They double: what matters is whether an answer took 5, 50 or 500.
- */
+/* Bin edges of the histograms, in ms. Each is twice the previous one, because the order of
+ * magnitude of a latency matters (5, 50 or 500 ms), not its exact value. */
 static const double histogram_edges_ms[] = {0,   1,   2,   4,    8,    16,   32, 64,
                                             128, 256, 512, 1024, 2048, 4096, 1e9};
 
@@ -69,7 +69,7 @@
     pthread_mutex_unlock(&metrics->lock);
 }
 
-/* Writes the sum, and a line for each bin that is not empty. */
+/* Writes the total count, and a line for each bin that is not empty. */
 static void write_histogram(GString *text, const char *name, const gsl_histogram *histogram)
 {
     g_string_append_printf(text, "%s_count %.0f\n", name, gsl_histogram_sum(histogram));
@@ -79,7 +79,8 @@
                                    histogram_edges_ms[i + 1], gsl_histogram_get(histogram, i));
 }
 
-/* Writes what the process as a whole has used. A voluntary context switch is a wait of a thread. */
+/* Writes the resource usage of the whole process. The context switches are the voluntary ones: one
+ * for each time that a thread blocks. */
 static void write_usage(GString *text)
 {
     struct rusage usage;
--- a/src/controller/stall_detector.h
+++ b/src/controller/stall_detector.h
@@ -1,7 +1,8 @@
 /** @file
- * Notices that the process stood still, for instance because its host was frozen.
+ * Detects that the process was not running for a while, for instance because its host was
+ * suspended.
  *
- * What a controller knew before a stall may be out of date after it: see worker_lease.h.
+ * After a stall, what the controller knew before it may be out of date: see worker_lease.h.
  */
 #ifndef PEPPERPULLEY_STALL_DETECTOR_H
 #define PEPPERPULLEY_STALL_DETECTOR_H
@@ -12,14 +13,15 @@
 /** The stall detector's state. Guarded by the controller's lock. */
 typedef struct stall_detector {
     msec_t last_observed_at; /**< When the clock was read last. */
-    msec_t last_stall_at;    /**< When the end of a stall was last noticed; 0: never. */
+    msec_t last_stall_at;    /**< When a stall was last detected, which is at its end; 0 if never.
+                              */
 } stall_detector_t;
 
-/** Records that the clock reads @p now: a long gap since the last reading is a stall. Called with
- * the lock held. */
+/** Records the clock reading @p now. A gap of more than STALL_MS since the last reading is a stall,
+ * which is logged. Called with the lock held. */
 void stall_detector_observe(controller_t *controller, msec_t now);
 
-/** The thread's loop: observes the clock at short intervals. @p data is the controller_t. Never
+/** The thread's loop: reads the clock every STALL_CHECK_MS. @p data is the controller_t. Never
  * returns. */
 void *stall_detector_run(void *data);
 
--- a/src/controller/threads.c
+++ b/src/controller/threads.c
@@ -13,17 +13,17 @@
     const char *role;     /* constant */
     void *(*run)(void *); /* NULL: started by a library */
     void *data;           /* argument of run */
-    clockid_t clock;      /* its processor time; valid while it runs */
+    clockid_t clock;      /* reads the thread's processor time; valid while it runs */
 } thread_t;
 
-/* What is known of the threads of a role. */
+/* The statistics of one role. */
 typedef struct role {
     guint running_count;
-    gint64 ended_us; /* processor time of those that have ended */
+    gint64 ended_us; /* processor time of the role's threads that have ended */
 } role_t;
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-/* Both are made at the first use and guarded by lock. */
+/* Both are created on first use and guarded by lock. */
 static GPtrArray *running_threads; /* thread_t *, borrowed from the threads themselves */
 static GHashTable *roles;          /* role (char *, constant) -> role_t *, owned */
 static _Thread_local bool is_adopted;
@@ -35,7 +35,7 @@
     return (gint64)time.tv_sec * MS_PER_S * US_PER_MS + time.tv_nsec / (NS_PER_MS / US_PER_MS);
 }
 
-/* The role's entry, which is made if there is none. */
+/* Returns the role's entry, which is created if it does not exist. */
 static role_t *ensure_role_locked(const char *name)
 {
     if (!roles)
@@ -60,7 +60,7 @@
     pthread_mutex_unlock(&lock);
 }
 
-/* Removes the calling thread, which is about to end, and frees its entry. */
+/* Removes the calling thread, which is about to end, from the registry and frees its entry. */
 static void unregister_thread(thread_t *thread)
 {
     pthread_mutex_lock(&lock);
--- a/src/controller/worker_lease.c
+++ b/src/controller/worker_lease.c
@@ -10,8 +10,8 @@
                             .has_no_siblings = controller->settings->siblings->len == 0};
 }
 
-/* The moment up to which every cancellation that any controller informed a user of is known here:
- * from the watch of jobs/, or from the logs of all siblings. */
+/* Returns the time until which every cancellation that any controller confirmed to a user is known
+ * here, either from the watch of jobs/ or from the cancellation logs of all siblings. */
 static msec_t cancellations_complete_until(const controller_t *controller)
 {
     return cancellation_log_complete_until(&controller->jobs.cancellations,
@@ -19,16 +19,18 @@
                                            controller->jobs.complete_until);
 }
 
-/* How old the moment may be, in ms, up to which cancellations are known, for a lease to be renewed.
+/* Returns for how long, in ms, leases may be renewed after the time until which the cancellations
+ * are complete.
  *
- * A job may be cancelled at any moment through a controller that reaches the key-value store. Its
- * tasks must be gone within cancel_s, and a worker keeps them for lease_s after our last answer. So
- * answers end cancel_s - lease_s, less a margin for a heartbeat on its way, after the last moment
- * up to which every cancellation that users were informed of is known. */
+ * A job may be cancelled at any time through a controller that reaches the key-value store. Its
+ * tasks must have ended within cancel_s, and a worker may run them for lease_s after this
+ * controller's last answer. Leases may therefore be renewed for cancel_s - lease_s after the last
+ * time until which all cancellations confirmed to users are known, less a margin for a heartbeat
+ * answer that is in transit. */
 static msec_t renewal_limit_ms(const settings_t *settings)
 {
-    double spare_s = settings->cancel_s - settings->lease_s;
-    return (msec_t)(spare_s * MS_PER_S) - CANCEL_MARGIN_MS;
+    double slack_s = settings->cancel_s - settings->lease_s;
+    return (msec_t)(slack_s * MS_PER_S) - CANCEL_MARGIN_MS;
 }
 
 bool worker_lease_may_renew(const controller_t *controller, msec_t now)
--- a/src/controller/worker_lease.h
+++ b/src/controller/worker_lease.h
@@ -1,39 +1,43 @@
 /** @file
- * What a controller may do with what it knows: renew workers' leases, and send starts.
+ * Decides whether this controller's knowledge of cancellations is recent enough to renew workers'
+ * leases and to send starts.
  *
- * A user may be informed of a cancellation by any controller. The job's tasks must be gone within
- * cancel_s after that, also on workers that this controller alone reaches. So a worker's lease is
- * renewed, and a start is sent, only while every cancellation that any user was informed of up to a
- * moment ago is known here: the cancellations are "complete until" that moment.
+ * Any controller may confirm a cancellation to a user. The job's tasks must have ended within
+ * cancel_s after that, even on workers that only this controller can reach. A worker's lease is
+ * therefore renewed, and a start sent, only if this controller knows every cancellation that any
+ * controller confirmed up to a recent moment. The cancellations known here are "complete until"
+ * that moment.
  *
- * All functions are called with the controller's lock held. Times are of the steady clock, in ms.
+ * All functions are called with the controller's lock held. Times are in ms of the steady clock.
  */
 #ifndef PEPPERPULLEY_WORKER_LEASE_H
 #define PEPPERPULLEY_WORKER_LEASE_H
 
 #include "controller/controller.h"
 
-/** Returns how this controller is connected, from its messages and the key-value store's answers.
- */
+/** Returns when the key-value store last answered this controller and its siblings, and when a
+ * sibling's message last arrived. */
 connectivity_t worker_lease_connectivity(const controller_t *controller);
 
-/** Returns whether heartbeats may be answered at @p now, which renews the workers' leases: this
- * controller is not isolated, and the cancellations are complete until a moment that is not too
- * long ago. */
+/** Returns whether worker heartbeats may be answered at @p now, which renews the workers' leases.
+ * This requires that the controller is not isolated, and that the time until which the
+ * cancellations are complete is less than cancel_s - lease_s - CANCEL_MARGIN_MS ago. */
 bool worker_lease_may_renew(const controller_t *controller, msec_t now);
 
-/** Returns whether starts may be sent at @p now: the cancellations are complete until a moment that
- * is at most START_WATERMARK_MS ago and not before the end of the last stall. What was known before
- * a stall is as old as the stall was long. Also observes the clock for the stall detector. */
+/** Returns whether starts may be sent at @p now. This requires that the cancellations are complete
+ * until a time less than START_WATERMARK_MS ago, and at least until the end of the last stall:
+ * cancellations made during the stall are not known here. Also reports @p now to the stall
+ * detector. */
 bool worker_lease_may_start(controller_t *controller, msec_t now);
 
 /** Returns whether commands that a dispatcher took at @p taken_at may still be sent at @p now. If
- * it stalled since then, the commands may be out of date (the start of a cancelled job among them):
- * they are returned to the partition, which decides anew, and the result is false.
+ * more than STALL_MS have passed, the process stalled and the commands may be out of date; one may
+ * start a job that was cancelled meanwhile. The commands are then returned to the partition, which
+ * decides again, and the result is false.
  *
- * @p machine: the machine's id. @p generation: that of the data which the commands were taken from;
- * the commands are returned only if it still is the loaded one. @p commands: array of
- * worker_command_t; transfer none. */
+ * @p machine: the machine's id. @p generation: the generation of the data that the commands were
+ * taken from; the commands are returned only if that generation is still loaded. @p commands: array
+ * of worker_command_t; transfer none. */
 bool worker_lease_may_push(controller_t *controller, const char *machine, uint64_t generation,
                            const GArray *commands, msec_t taken_at, msec_t now);
 
