--- a/src/controller/jobs/job_directory.c
+++ b/src/controller/jobs/job_directory.c
@@ -19,7 +19,7 @@
     controller_notify_placement(controller);
 }
 
-static void cache_terminal_job(job_directory_t *jobs, const char *id)
+static void record_terminal_id(job_directory_t *jobs, const char *id)
 {
     if (g_hash_table_contains(jobs->terminal, id))
         return;
@@ -32,7 +32,7 @@
 
 void job_directory_remove(controller_t *controller, const char *id)
 {
-    cache_terminal_job(&controller->jobs, id);
+    record_terminal_id(&controller->jobs, id);
     if (controller->placement.partition)
         partition_end_job(controller->placement.partition, id);
     if (controller->placement.leader)
@@ -45,8 +45,8 @@
 
 void job_directory_record_terminal(controller_t *controller, const char *id, bool is_done)
 {
-    /* Appended for the siblings before another thread can find the state, or this one can answer
-     * with it. */
+    /* The log entry for the siblings must exist before any thread can answer a user with the
+     * cancellation. */
     if (!is_done) {
         cancellation_log_append(&controller->jobs.cancellations, id, clock_steady());
         pthread_cond_broadcast(&controller->jobs.cancellation_appended);
@@ -55,8 +55,9 @@
         g_hash_table_remove_all(controller->jobs.terminal_states);
     g_hash_table_insert(controller->jobs.terminal_states, g_strdup(id),
                         GINT_TO_POINTER(is_done ? TERMINAL_DONE : TERMINAL_CANCELLED));
-    /* The change of jobs/ may never be received: in an outage that began just after the commit, the
-     * controller that had cancelled a job was the only one to keep its tasks running. */
+    /* Remove the job now, because the watch may never report the change of jobs/. Without this, in
+     * an outage of the key-value store that began just after the commit, the controller that had
+     * cancelled the job was the only one that kept its tasks running. */
     if (!g_hash_table_contains(controller->jobs.terminal, id))
         job_directory_remove(controller, id);
 }
--- a/src/controller/jobs/job_directory.h
+++ b/src/controller/jobs/job_directory.h
@@ -1,6 +1,6 @@
 /** @file
- * The jobs that a controller knows: the live jobs, those that have ended, and the terminal states
- * that were found.
+ * The jobs known to a controller: the live jobs, the ids of jobs that have ended, and a cache of
+ * terminal states.
  *
  * All functions are called with the controller's lock held, which guards the directory.
  */
@@ -16,47 +16,47 @@
 /** A job that is neither done nor cancelled. */
 typedef struct live_job {
     job_spec_t spec;   /**< Owned. */
-    uint64_t revision; /**< The revision of jobs/ID. */
+    uint64_t revision; /**< Revision of the key jobs/ID. */
 } live_job_t;
 
 /** A job's terminal state. */
 typedef enum {
-    TERMINAL_UNKNOWN,  /**< Not found yet; the job may be live. */
+    TERMINAL_UNKNOWN,  /**< Not known here; the job may be live. */
     TERMINAL_DONE,     /**< All tasks are done. */
     TERMINAL_CANCELLED /**< A user cancelled it. */
 } terminal_state_t;
 
 /** The directory's state. Guarded by the controller's lock. */
 typedef struct job_directory {
-    GHashTable *live;      /**< Id (char *, borrowed from the value) -> live_job_t *, owned. */
-    bool is_synced;        /**< jobs/ was read whole and is watched. */
-    msec_t complete_until; /**< Every job accepted or cancelled before this moment (steady clock,
+    GHashTable *live; /**< Id (char *, borrowed from the value) -> live_job_t *, owned. */
+    bool is_synced;   /**< Whether all of jobs/ has been read, so that its changes are watched. */
+    msec_t complete_until; /**< Every job accepted or cancelled before this time (steady clock,
                               ms) is known. */
-    job_counts_replica_t counts; /**< The leader's counts of tasks, or those that this controller
-                                    made when it last led. */
-    GHashTable *terminal;        /**< Set of ids (char *, owned) of jobs that have ended, the last
-                                    TERMINAL_JOBS_COUNT. */
+    job_counts_replica_t counts; /**< The leader's task counts per job, or those that this
+                                    controller computed when it was last the leader. */
+    GHashTable *terminal;        /**< Set of the ids (char *, owned) of the last TERMINAL_JOBS_COUNT
+                                    jobs that ended. */
     GQueue *terminal_order;      /**< The same ids (char *, borrowed), oldest first. */
     GHashTable *terminal_states; /**< Id (char *, owned) -> terminal_state_t by GINT_TO_POINTER: a
-                                    cache of TERMINAL_STATE_CACHE_COUNT at most. */
-    cancellation_log_t cancellations; /**< Those that users of this controller and of its siblings
-                                         were informed of. */
+                                    cache of at most TERMINAL_STATE_CACHE_COUNT entries. */
+    cancellation_log_t cancellations; /**< The cancellations that this controller and its siblings
+                                         confirmed to users. */
     pthread_cond_t cancellation_appended; /**< Broadcast when a cancellation is appended to the log;
                                              answers to peer heartbeats wait for it. */
 } job_directory_t;
 
-/** Adds a live job (@p spec is copied) at this revision of jobs/ID, unless it is known or has
- * ended. Wakes the placement loop. */
+/** Adds a live job (@p spec is copied), unless it is known already or has ended. @p revision: the
+ * revision of jobs/ID. Wakes the placement loop. */
 void job_directory_add(controller_t *controller, const job_spec_t *spec, uint64_t revision);
 
-/** Removes a job that has ended, here and from the data of partition and leader. It is remembered,
- * so that an older list of jobs does not bring it back. Wakes the placement loop and the command
- * dispatchers. */
+/** Removes a job that has ended from the directory and from the data of the partition and the
+ * leader. Keeps its id, so that an older list of jobs does not add it again. Wakes the placement
+ * loop and the command dispatchers. */
 void job_directory_remove(controller_t *controller, const char *id);
 
-/** Records a job's terminal state. It is called before any user is informed of that state. A
- * cancellation is also appended to the log that the siblings receive. @p is_done: done, not
- * cancelled. */
+/** Records a job's terminal state. Must be called before any user is informed of that state. A
+ * cancellation is also appended to the log that the siblings receive. @p is_done: true if the job
+ * is done, false if it was cancelled. */
 void job_directory_record_terminal(controller_t *controller, const char *id, bool is_done);
 
 #endif
--- a/src/controller/jobs/job_watch.c
+++ b/src/controller/jobs/job_watch.c
@@ -26,8 +26,8 @@
     job_spec_clear(&spec);
 }
 
-/* The ids of live jobs that are not in the set `listed` (char * keys). The array owns them:
- * removing a job from the directory frees its own. */
+/* Returns copies of the ids of the live jobs that are not in the set `listed` (char * keys). The
+ * ids are copied because removing a job from the directory frees its id. */
 static GPtrArray *copy_unlisted_ids(const controller_t *controller, GHashTable *listed)
 {
     GPtrArray *unlisted = g_ptr_array_new_with_free_func(g_free);
--- a/src/controller/placement/command_dispatcher.c
+++ b/src/controller/placement/command_dispatcher.c
@@ -1,11 +1,13 @@
-/* Pushes commands: starts and stops reach their worker at once; its heartbeats are the fallback.
+/* Pushes start and stop commands to workers at once. Commands that can't be pushed are sent in the
+ * answers to heartbeats.
  *
- * The process may stall between taking commands and sending them, while a job is cancelled
- * elsewhere. So whether they may leave is checked again right before they do. What remains is a
- * stall within the call itself, or on the way: such a start is under way when the job is cancelled,
- * like any that the network delays. Its record stands until there is proof, the stop that follows
- * the cancellation is repeated for as long as the worker lists the attempt, and when the lease has
- * run out, the worker epoch that the start was sent for is over.
+ * The process may stall between taking commands and sending them, and a job may be cancelled at
+ * another controller meanwhile. Whether the commands may still be sent is therefore checked again
+ * right before the call. A stall within the call, or a delay on the network, is not caught by this
+ * check: the start is then in transit when the job is cancelled. It is handled like any delayed
+ * start: its record is kept until there is proof that the attempt is over, the stop that follows
+ * the cancellation is repeated as long as the worker lists the attempt, and once the worker's lease
+ * has expired, the worker epoch that the start names has ended.
  */
 #include "controller/placement/command_dispatcher.h"
 
@@ -18,19 +20,19 @@
 #include "io/codec/codec.h"
 #include "io/log.h"
 
-/* One push, copied out under the lock. */
+/* One push to a machine, copied from the loaded data under the lock. */
 typedef struct push {
     char machine[ID_BYTES];
     char url[URL_BYTES];
     uint64_t fencing_token;
     uint64_t worker_epoch;
-    uint64_t generation; /* of the loaded data that it was taken from */
+    uint64_t generation; /* of the loaded data that the commands were taken from */
     msec_t taken_at;
-    GArray *commands; /* of worker_command_t; transfer none: the dispatcher's, reused */
+    GArray *commands; /* of worker_command_t; transfer none: the dispatcher owns and reuses it */
 } push_t;
 
-/* A dispatcher. It keeps connections to its machines, and serves others only while their dispatcher
- * is busy. */
+/* A dispatcher. It keeps connections to its own machines, and pushes to other machines only while
+ * their dispatcher is busy. */
 typedef struct dispatcher {
     controller_t *controller;
     guint dispatcher_index;
@@ -46,12 +48,12 @@
         return PUSH_REFUSED;
     case HTTP_NOT_SENT:
         return PUSH_NOT_SENT;
-    default: /* any other number */
+    default: /* any other status, or no answer */
         return PUSH_UNANSWERED;
     }
 }
 
-/* heartbeat: the answer's body; NULL: it has none that can be read. */
+/* heartbeat: the body of the answer; NULL if there is no valid one. */
 static void apply_push_result_locked(controller_t *controller, const push_t *push,
                                      push_result_t result, const worker_heartbeat_t *heartbeat)
 {
@@ -68,7 +70,7 @@
         controller_notify_placement(controller);
 }
 
-/* Records the answer to a push, whose body is a worker heartbeat. */
+/* Records the answer to a push. The answer's body is a worker heartbeat. */
 static void record_push_result(controller_t *controller, const push_t *push, int status,
                                const http_client_t *client)
 {
@@ -80,8 +82,8 @@
     log_debug("event=commands_pushed machine=%s commands=%u status=%d", push->machine,
               push->commands->len, status);
     pthread_mutex_lock(&controller->lock);
-    /* A view that was loaded meanwhile has its own data and a higher fencing token, under which
-     * this push is void. */
+    /* If another generation was loaded meanwhile, its data know nothing of this push, and its
+     * higher fencing token makes the push void. */
     if (controller->placement.generation == push->generation && controller->placement.is_loaded)
         apply_push_result_locked(controller, push, push_result(status, has_heartbeat),
                                  has_heartbeat ? &heartbeat : NULL);
@@ -89,24 +91,25 @@
     worker_heartbeat_clear(&heartbeat);
 }
 
-/* Returns whether the push may leave; if not, its commands were given back to be decided again. */
-static bool check_push_may_leave(controller_t *controller, const push_t *push)
+/* Returns whether the push may still be sent. If not, its commands are returned to the partition,
+ * which decides again. */
+static bool recheck_push(controller_t *controller, const push_t *push)
 {
     pthread_mutex_lock(&controller->lock);
-    bool may_leave = worker_lease_may_push(controller, push->machine, push->generation,
-                                           push->commands, push->taken_at, clock_steady());
+    bool may_push = worker_lease_may_push(controller, push->machine, push->generation,
+                                          push->commands, push->taken_at, clock_steady());
     pthread_mutex_unlock(&controller->lock);
-    if (!may_leave)
+    if (!may_push)
         log_info("event=commands_discarded machine=%s commands=%u", push->machine,
                  push->commands->len);
-    return may_leave;
+    return may_push;
 }
 
 static void send_push(controller_t *controller, const push_t *push, http_client_t *client)
 {
     json_auto_t *body =
         codec_build_pushed_commands(push->fencing_token, push->worker_epoch, push->commands);
-    if (!check_push_may_leave(controller, push))
+    if (!recheck_push(controller, push))
         return;
     msec_t sent_at = clock_steady();
     int status = http_call(client, "POST", push->url, body, PUSH_TIMEOUT_MS, NULL);
@@ -116,28 +119,28 @@
     record_push_result(controller, push, status, client);
 }
 
-/* Waits until there may be commands to push. A machine that becomes reachable again is no event, so
- * one idle dispatcher polls for such machines; the others wait until they are notified. */
+/* Waits until there may be commands to push. No event signals that a machine has become reachable
+ * again, so one idle dispatcher polls for such machines; the others wait to be notified. */
 static void wait_for_commands_locked(const dispatcher_t *dispatcher)
 {
     dispatch_state_t *dispatch = &dispatcher->controller->dispatch;
     uint32_t own_bit = 1U << dispatcher->dispatcher_index;
     pthread_cond_t *ready = &dispatch->ready[dispatcher->dispatcher_index];
-    /* What busy dispatchers left goes to those that have become idle meanwhile. */
+    /* Commands of busy dispatchers go to dispatchers that have become idle meanwhile. */
     command_dispatcher_notify(dispatcher->controller);
     dispatch->idle |= own_bit;
-    if (dispatch->has_polling) {
+    if (dispatch->is_polled) {
         pthread_cond_wait(ready, &dispatcher->controller->lock);
     } else {
-        dispatch->has_polling = true;
+        dispatch->is_polled = true;
         controller_wait(dispatcher->controller, ready, DISPATCHER_IDLE_MS);
-        dispatch->has_polling = false;
+        dispatch->is_polled = false;
     }
     dispatch->idle &= ~own_bit;
 }
 
-/* Takes the commands of the next machine of this dispatcher's, or of a busy dispatcher's. Returns
- * that machine, transfer none; NULL: none is due. */
+/* Takes the commands of the next machine that is due and belongs to this dispatcher or to a busy
+ * one. Returns that machine, transfer none, or NULL if none is due. */
 static machine_t *take_commands_locked(const dispatcher_t *dispatcher, msec_t now, GArray *commands)
 {
     controller_t *controller = dispatcher->controller;
@@ -149,8 +152,8 @@
     return partition_take_push(controller->placement.partition, dispatchers, now, commands);
 }
 
-/* Takes the next push, into push and its commands. Returns whether there is one; if not, it has
- * waited until there may be. */
+/* Takes the next push, with its commands, into *push. If there is none, waits until there may be
+ * one and returns false. */
 static bool take_push(const dispatcher_t *dispatcher, push_t *push)
 {
     controller_t *controller = dispatcher->controller;
@@ -184,7 +187,7 @@
     return NULL;
 }
 
-/* Wakes the dispatcher, or starts its thread. */
+/* Wakes the dispatcher, or starts its thread if it has none yet. */
 static void notify_dispatcher_locked(controller_t *controller, guint dispatcher_index)
 {
     if (controller->dispatch.started >> dispatcher_index & 1) {
@@ -206,8 +209,8 @@
         partition_due_dispatchers(controller->placement.partition, clock_steady());
     uint32_t chosen = dispatchers & controller->dispatch.idle;
     uint32_t others = controller->dispatch.idle & ~chosen;
-    /* For each busy dispatcher that has machines due, wake another idle one: the busy one may be
-     * held up by a machine that hangs. */
+    /* For each busy dispatcher whose machines have commands to push, wake another idle one, because
+     * the busy one may be blocked by a machine that hangs. */
     for (uint32_t busy = dispatchers & ~chosen; busy && others; busy &= busy - 1) {
         chosen |= others & -others;
         others &= others - 1;
--- a/src/controller/placement/dispatch_state.h
+++ b/src/controller/placement/dispatch_state.h
@@ -1,5 +1,5 @@
 /** @file
- * Which command dispatchers run, wait or work.
+ * The state of the command dispatchers: which are started, idle or polling.
  */
 #ifndef PEPPERPULLEY_DISPATCH_STATE_H
 #define PEPPERPULLEY_DISPATCH_STATE_H
@@ -14,10 +14,10 @@
 typedef struct dispatch_state {
     pthread_cond_t ready[DISPATCHERS_COUNT]; /**< For each dispatcher: signalled when there are
                                                 commands for it to push. */
-    uint32_t idle;    /**< A bit for each dispatcher that waits or has no thread yet. */
-    uint32_t started; /**< A bit for each dispatcher that has a thread. */
-    bool has_polling; /**< One idle dispatcher polls: it waits with a time limit, on behalf of
-                         all. */
+    uint32_t idle;    /**< Bit mask of the dispatchers that wait or have no thread yet. */
+    uint32_t started; /**< Bit mask of the dispatchers that have a thread. */
+    bool is_polled;   /**< Whether an idle dispatcher polls: it waits with a time limit, on behalf
+                         of all. */
 } dispatch_state_t;
 
 #endif
--- a/src/controller/placement/partition_items.c
+++ b/src/controller/placement/partition_items.c
@@ -1,10 +1,10 @@
-/* What happens for each item that the leader and a partition exchange. */
+/* Sends and handles the items that the leader and the partitions exchange. */
 #include "controller/placement/partition_items.h"
 
 #include "io/clock.h"
 #include "io/log.h"
 
-/* Appends the machine's summary to data, an array of machine_summary_t. */
+/* Appends the machine's summary to data, a GArray of machine_summary_t. */
 static void append_summary(const machine_status_t *status, gpointer data)
 {
     GArray *summaries = data;
@@ -42,7 +42,7 @@
     return cpus_of_teams;
 }
 
-/* Puts the item into the channel to another member; takes it over. */
+/* Puts the item (transfer full) into the channel to another member. */
 static void push_to_channel(controller_t *controller, guint partition, channel_item_t item)
 {
     GPtrArray *channels = controller->peers.channels;
@@ -52,22 +52,23 @@
     pthread_cond_broadcast(&controller->peers.item_available);
 }
 
-/* Withdraws a placement of this controller's partition. */
-static void withdraw_own(controller_t *controller, const task_ref_t *ref, msec_t now)
+/* Withdraws a placement from this controller's own partition. */
+static void withdraw_locally(controller_t *controller, const task_ref_t *ref, msec_t now)
 {
     partition_withdraw(controller->placement.partition, ref, now);
     controller_notify_placement(controller);
 }
 
-/* One task of a gang found no machine: what the partitions hold for the others is freed. */
+/* Withdraws all outstanding placements of a gang, one of whose tasks found no machine, so that the
+ * partitions free the resources reserved for the other tasks. */
 static void withdraw_gang(controller_t *controller, const char *job)
 {
-    /* Of partition_attempt_t. */
+    /* Array of partition_attempt_t. */
     g_autoptr(GArray) outstanding = leader_outstanding(controller->placement.leader, job);
     for (guint i = 0; i < outstanding->len; i++) {
         const partition_attempt_t *attempt = &g_array_index(outstanding, partition_attempt_t, i);
         if (attempt->partition == controller->membership.own_index)
-            withdraw_own(controller, &attempt->ref, clock_steady());
+            withdraw_locally(controller, &attempt->ref, clock_steady());
         else
             push_to_channel(controller, attempt->partition,
                             (channel_item_t){.kind = CHANNEL_WITHDRAW, .ref = attempt->ref});
@@ -91,13 +92,14 @@
     leader_t *leader = controller->placement.leader;
     log_result(result);
     const job_t *job = leader_find_job(leader, result->ref.job);
-    bool is_refused_gang = job && job->spec.kind == KIND_GANG && result->cause == CAUSE_FULL;
+    bool is_gang_refused = job && job->spec.kind == KIND_GANG && result->cause == CAUSE_FULL;
     leader_handle_result(leader, partition, result, now);
-    if (is_refused_gang)
+    if (is_gang_refused)
         withdraw_gang(controller, result->ref.job);
 }
 
-/* The leader's own data get the refusal at once; another leader gets it with the next exchange. */
+/* Reports to the leader that the partition refuses the request. If this controller is the leader,
+ * the refusal is handled at once, otherwise it is sent with the next exchange. */
 static void refuse_placement(controller_t *controller, const placement_request_t *request,
                              msec_t now)
 {
@@ -136,7 +138,7 @@
         controller_notify_placement(controller);
         break;
     case CHANNEL_WITHDRAW:
-        withdraw_own(controller, &item->ref, now);
+        withdraw_locally(controller, &item->ref, now);
         break;
     case CHANNEL_DRAIN:
         partition_set_draining(partition, item->machine, true);
@@ -149,7 +151,7 @@
         controller_notify_placement(controller);
         break;
     case CHANNEL_ATTEMPT_RESULT:
-        break; /* sent by partitions only */
+        break; /* only partitions send it */
     }
 }
 
--- a/src/controller/placement/placement_loop.c
+++ b/src/controller/placement/placement_loop.c
@@ -1,5 +1,5 @@
-/* The placement loop: handles attempt results, sends placement requests, commits what changed and
- * acknowledges it, round after round. */
+/* The placement loop. Each round handles attempt results, sends placement requests, commits the
+ * changes and acknowledges them. */
 #include "controller/placement/placement_loop.h"
 
 #include "controller/controller.h"
@@ -10,22 +10,22 @@
 #include "io/clock.h"
 #include "io/log.h"
 
-/* The loop's own data. */
+/* Data that only the loop's thread uses. */
 typedef struct placement_loop {
     controller_t *controller;
     http_client_t *client;            /* owned; to the key-value store */
-    msec_t fencing_token_advanced_at; /* when this loop last did so; 0: never */
+    msec_t fencing_token_advanced_at; /* when this loop last advanced it; 0: never */
 } placement_loop_t;
 
-/* What one round prepared under the lock, to be carried out without it. */
+/* What a round prepares under the lock and carries out without it. */
 typedef struct placement_round {
     record_batch_t batch;
-    bool has_changes;             /* the batch is to be committed */
-    bool needs_new_fencing_token; /* something waits for the fencing token to advance */
-    uint64_t view_revision;       /* of view/number, when the batch was taken */
+    bool has_changes;             /* whether there is anything to commit */
+    bool needs_new_fencing_token; /* whether the partition waits for a higher fencing token */
+    uint64_t view_revision;       /* revision of view/number when the batch was taken */
 } placement_round_t;
 
-/* Hands the partition's attempt results to the leader. */
+/* Passes the partition's attempt results on to the leader. */
 static void forward_results_locked(controller_t *controller, msec_t now)
 {
     partition_t *partition = controller->placement.partition;
@@ -42,16 +42,16 @@
     partition_clear_results(partition);
 }
 
-static void send_placement_request_locked(controller_t *controller, const leader_request_t *made)
+static void send_placement_request_locked(controller_t *controller, const leader_request_t *routed)
 {
-    const placement_request_t *request = &made->request;
+    const placement_request_t *request = &routed->request;
     task_ref_t ref = task_ref(request->job, request->task, request->attempt);
-    /* One that is not outstanding any more is of a gang that was withdrawn meanwhile. */
+    /* The request is no longer outstanding if its gang was withdrawn meanwhile. */
     if (!leader_is_outstanding(controller->placement.leader, &ref))
         return;
     channel_item_t item = {.kind = CHANNEL_PLACEMENT_REQUEST, .request = *request};
     item.request.types = g_strdupv(request->types);
-    partition_items_send(controller, made->partition, item);
+    partition_items_send(controller, routed->partition, item);
 }
 
 /* Lets the leader choose a partition for each task that is due, and sends the requests. */
@@ -64,13 +64,14 @@
     leader_set_summaries(leader, own_index, partition_items_summaries(controller, now));
     leader_set_cpus_being_preempted(leader, own_index,
                                     partition_items_cpus_being_preempted(controller));
-    /* Of leader_request_t. */
+    /* Array of leader_request_t. */
     g_autoptr(GArray) requests = leader_schedule(leader, now, clock_day(), max_requests);
     for (guint i = 0; i < requests->len; i++)
         send_placement_request_locked(controller, &g_array_index(requests, leader_request_t, i));
 }
 
-/* Returns what the rate limit for writes permits the leader's progress to take. */
+/* Returns the limits for the leader's progress in the transaction: the writes that the rate limit
+ * permits now, and half of the bytes. */
 static kv_txn_usage_t progress_limits(controller_t *controller, msec_t now)
 {
     guint txn_ops = controller->settings->txn_ops;
@@ -80,25 +81,25 @@
                             .max_bytes = KV_TXN_VALUES_BYTES / 2};
 }
 
-/* Returns what is left of the transaction for the partition's records. max_ops: the writes that the
- * rate limit permits in this round. */
+/* Returns how much of the transaction is left for the partition's records. max_ops: the writes that
+ * the rate limit permits in this round. */
 static partition_limits_t record_limits(const settings_t *settings, const kv_txn_usage_t *usage,
                                         guint max_ops)
 {
     guint max_conditions = 4 * settings->txn_ops;
-    /* The view, and two for each key written. */
+    /* One condition for the view, and two for each key written. */
     guint reserved_conditions = 1 + 2 * MAX(max_ops, usage->ops);
     gsize settings_value_max = (gsize)(settings->value_kb * BYTES_PER_KIB);
     return (partition_limits_t){
-        /* Records that took each write as the rate limit permits it would leave none for the end of
-         * a job, which takes several at once. */
+        /* If the records used every write as soon as the rate limit permits it, none would be left
+         * for the end of a job, which needs several at once. */
         .ops = usage->has_waiting_end ? 0 : max_ops - MIN(max_ops, usage->ops),
         .jobs = max_conditions - MIN(max_conditions, reserved_conditions),
         .value_max = MIN(settings_value_max, (gsize)KV_TXN_VALUES_BYTES / 3),
         .bytes = KV_TXN_VALUES_BYTES - usage->bytes};
 }
 
-/* Takes the leader's progress that has waited for min_age_ms into the batch. */
+/* Adds the leader's progress that has waited for at least min_age_ms to the batch. */
 static void take_progress_locked(controller_t *controller, record_batch_t *batch, msec_t now,
                                  msec_t min_age_ms)
 {
@@ -106,7 +107,7 @@
                          &batch->usage);
 }
 
-/* Takes the partition's changed records into the batch. */
+/* Adds the partition's changed records to the batch. */
 static void take_records_locked(controller_t *controller, record_batch_t *batch, msec_t now,
                                 guint max_ops)
 {
@@ -116,8 +117,8 @@
     batch->usage.bytes += batch->machines->bytes;
 }
 
-/* Takes what is to be committed: first the progress that is late, then the partition's records,
- * then other progress where there is space left. */
+/* Fills the batch: first with progress that is overdue, then with the partition's records, then
+ * with other progress if there is space left. */
 static void take_batch_locked(controller_t *controller, record_batch_t *batch, msec_t now)
 {
     bool is_leader = controller->membership.is_leader;
@@ -150,8 +151,9 @@
     round->view_revision = controller->membership.view.revision;
 }
 
-/* The loaded data can't be trusted any more: a new fencing token voids what is under way, then the
- * next round reads all records again. */
+/* Discards the loaded data after a commit whose result is unknown or that contradicts them.
+ * Advances the fencing token, so that a transaction in transit can no longer be applied; the next
+ * round then reads all records again. */
 static void discard_loaded_data(placement_loop_t *loop, commit_result_t commit_result)
 {
     controller_t *controller = loop->controller;
@@ -185,7 +187,7 @@
     }
 }
 
-/* Carries out what the round prepared, then pauses. */
+/* Commits what the round prepared and advances the fencing token if necessary, then pauses. */
 static void finish_round(placement_loop_t *loop, placement_round_t *round)
 {
     controller_t *controller = loop->controller;
@@ -197,7 +199,8 @@
     controller_sleep(controller_paced(controller, COMMIT_GAP_MS));
 }
 
-/* Waits until something may be due, then runs a round; or loads the records, if they are not. */
+/* Waits until there may be something to do, then runs a round. If the records are not loaded, loads
+ * them instead. */
 static void run_round(placement_loop_t *loop)
 {
     controller_t *controller = loop->controller;
--- a/src/controller/placement/placement_loop.h
+++ b/src/controller/placement/placement_loop.h
@@ -1,5 +1,6 @@
 /** @file
- * The placement loop: the reconciliation loop of this controller's partition, and of the leader.
+ * The placement loop: the reconciliation loop of this controller's partition and, if this
+ * controller is the leader, of the leader's data.
  */
 #ifndef PEPPERPULLEY_PLACEMENT_LOOP_H
 #define PEPPERPULLEY_PLACEMENT_LOOP_H
--- a/src/controller/placement/record_commit.c
+++ b/src/controller/placement/record_commit.c
@@ -1,4 +1,4 @@
-/* Commits what a placement round changed, and judges the result. */
+/* Commits the changes of a placement round and handles the result. */
 #include "controller/placement/record_commit.h"
 
 #include <string.h>
@@ -26,9 +26,8 @@
     return names[result];
 }
 
-/* Acknowledges to the partitions the results that are durable. acknowledged: of
- * partition_attempt_t.
- */
+/* Acknowledges durable attempt results to the partitions. acknowledged: array of
+ * partition_attempt_t. */
 static void send_acknowledgements_locked(controller_t *controller, const GArray *acknowledged)
 {
     for (guint i = 0; i < acknowledged->len; i++) {
@@ -38,7 +37,7 @@
     }
 }
 
-/* progress: of progress_t. */
+/* progress: array of progress_t. */
 static void remove_done_jobs_locked(controller_t *controller, const GArray *progress)
 {
     for (guint i = 0; i < progress->len; i++) {
@@ -76,8 +75,10 @@
         leader_progress_undo(controller->placement.leader, batch->progress);
 }
 
-/* Returns what the failed conditions mean. failed_keys: char *, in the order of the conditions. */
-static commit_result_t judge_conflict_locked(controller_t *controller, const GPtrArray *failed_keys)
+/* Returns the result that the failed conditions stand for. failed_keys: array of char *, in the
+ * order of the conditions. */
+static commit_result_t classify_conflict_locked(controller_t *controller,
+                                                const GPtrArray *failed_keys)
 {
     for (guint i = 0; i < failed_keys->len; i++) {
         const char *key = g_ptr_array_index(failed_keys, i);
@@ -88,7 +89,7 @@
     }
     if (failed_keys->len == 0)
         return COMMIT_CONDITION_FAILED;
-    /* Only jobs: they were cancelled. */
+    /* Only conditions on jobs failed: these jobs were cancelled. */
     for (guint i = 0; i < failed_keys->len; i++) {
         const char *key = g_ptr_array_index(failed_keys, i);
         job_directory_remove(controller, key + strlen("jobs/"));
@@ -106,7 +107,7 @@
         return COMMIT_APPLIED;
     case KV_CONFLICT:
         undo_batch_locked(controller, batch);
-        return judge_conflict_locked(controller, failed_keys);
+        return classify_conflict_locked(controller, failed_keys);
     case KV_NOT_EXECUTED:
         undo_batch_locked(controller, batch);
         return COMMIT_UNDONE;
--- a/src/controller/placement/record_loader.c
+++ b/src/controller/placement/record_loader.c
@@ -10,10 +10,10 @@
 #include "io/codec/codec.h"
 #include "io/log.h"
 
-/* The records as read. */
+/* The entries read from the key-value store. */
 typedef struct listing {
     GArray *machines; /* of kv_entry_t, owned: machines/ */
-    GArray *done;     /* of kv_entry_t, owned: done/, of the leader only */
+    GArray *done;     /* of kv_entry_t, owned: done/, read by the leader only */
     GArray *jobs;     /* of kv_entry_t, owned: jobs/ */
 } listing_t;
 
@@ -36,8 +36,8 @@
     return kv_list(&controller->kv_store, client, prefix, entries, NULL) == KV_OK;
 }
 
-/* Returns whether all was read. Jobs are read last: the finished tasks of a job that is listed then
- * were read before it, and a job that is not listed is over. */
+/* Returns whether everything was read. Jobs are read last: a job that is listed was still live when
+ * its finished tasks were read, and a job that is not listed has ended. */
 static bool read_listing(controller_t *controller, http_client_t *client, bool is_leader,
                          listing_t *listing)
 {
@@ -60,7 +60,8 @@
     }
 }
 
-/* Loads a chunk of a job's finished tasks: done/<job>/<chunk>, a bit for each task. */
+/* Loads a chunk of a job's finished tasks: the key is done/<job>/<chunk>, the value has a bit for
+ * each task. */
 static void load_chunk_locked(controller_t *controller, const kv_entry_t *entry)
 {
     g_auto(GStrv) key_fields = g_strsplit(entry->key, "/", 3);
@@ -78,8 +79,8 @@
         load_chunk_locked(controller, &g_array_index(entries, kv_entry_t, i));
 }
 
-/* Loads the attempts of a machine into the leader, and ends those of jobs that are over. live_jobs:
- * set of ids. */
+/* Loads the attempts on a machine into the leader's data. In this controller's own partition, ends
+ * the attempts of jobs that are not live. live_jobs: set of ids. */
 static void load_attempts_locked(controller_t *controller, const machine_record_t *record,
                                  guint owner, GHashTable *live_jobs)
 {
@@ -107,8 +108,8 @@
                              live_jobs);
 }
 
-/* Returns whether none of the page's machines is in another page too: its attempts would be removed
- * from one page only. Adds them to the set of ids, which owns them. */
+/* Adds the ids of the page's machines to the set, which owns them. Returns false if any machine was
+ * in an earlier page already: its attempts would later be removed from one of the pages only. */
 static bool add_unique_machines(GHashTable *machines, const page_record_t *page, const char *key)
 {
     bool is_unique = true;
@@ -122,9 +123,9 @@
     return is_unique;
 }
 
-/* Returns the jobs that are live, a set of ids (char *, borrowed from the entries). A job may have
- * been cancelled since it was listed, and its tasks must stop: the data of the view before recorded
- * that, but they are void, and no other notice follows. */
+/* Returns the ids of the live jobs, a set (char *, borrowed from the entries). A job that has been
+ * cancelled since it was listed is left out, so that its tasks are stopped: the cancellation was
+ * recorded in the data that this load replaces, and it is not reported a second time. */
 static GHashTable *live_job_ids_locked(const controller_t *controller, const GArray *job_entries)
 {
     GHashTable *live_jobs = g_hash_table_new(g_str_hash, g_str_equal);
@@ -136,8 +137,8 @@
     return live_jobs;
 }
 
-/* Returns whether every record is valid; each invalid one is logged. Loading ends at the first: if
- * it were taken for empty, its tasks would run twice. */
+/* Returns whether every record is valid. Logs each invalid record, and loads no page from the first
+ * invalid one on: if such a record were treated as empty, its tasks would run twice. */
 static bool load_machines_locked(controller_t *controller, const listing_t *listing, msec_t now)
 {
     bool is_valid = true;
@@ -162,18 +163,18 @@
     return is_valid;
 }
 
-/* Replaces the partition by an empty one, which keeps the drains of the old one. */
-static void renew_partition_locked(controller_t *controller)
+/* Replaces the partition by an empty one, which inherits the drains of the old one. */
+static void replace_partition_locked(controller_t *controller)
 {
     const settings_t *settings = controller->settings;
     msec_t reservation_ttl_ms =
         (msec_t)(tunable_value(controller->policy, TUNABLE_RESERVATION_TTL) * MS_PER_S);
-    partition_t *earlier = controller->placement.partition;
+    partition_t *old_partition = controller->placement.partition;
     partition_t *partition =
         partition_new(controller->placement.machine_types, settings->teams, reservation_ttl_ms);
-    if (earlier) {
-        partition_inherit_drains(partition, earlier);
-        partition_free(earlier);
+    if (old_partition) {
+        partition_inherit_drains(partition, old_partition);
+        partition_free(old_partition);
     }
     partition_set_view(partition, controller->membership.view.number);
     partition_set_heartbeat_interval(partition, settings->heartbeat_interval_s);
@@ -194,7 +195,7 @@
     load_finished_tasks_locked(controller, listing->done);
 }
 
-/* Wakes the threads that wait for loaded data. */
+/* Wakes the threads that wait for the records to be loaded. */
 static void notify_loaded_locked(controller_t *controller)
 {
     pthread_cond_broadcast(&controller->peers.item_available);
@@ -209,7 +210,7 @@
     g_clear_pointer(&placement->leader, leader_free);
     if (!controller->autoscaler)
         controller->autoscaler = autoscaler_new();
-    renew_partition_locked(controller);
+    replace_partition_locked(controller);
     if (controller->membership.is_leader)
         load_leader_locked(controller, listing);
     placement->is_loaded = load_machines_locked(controller, listing, now);
