--- a/src/constants.h
+++ b/src/constants.h
@@ -261,8 +261,8 @@
      * this long. Their new owner is elected after 5 s and waits 15 s before it releases them. */
     SERVE_ALONE_MS = 8000,
     CANCEL_MARGIN_MS = 3000, /**< Subtracted from cancel_s - lease_s for a heartbeat in transit. */
-    /** No start is sent if the cancellations are known only up to a time longer ago than this. A
-     * watch answers every 2 s; slow answers take longer. */
+    /** No start is sent if the last time until which all cancellations are known is longer ago than
+     * this. A watch answers every 2 s; slow answers take longer. */
     START_WATERMARK_MS = 6000,
     STALL_MS = 1000, /**< A gap between clock readings that is longer than this is a stall. */
     /** Interval between clock readings if no other thread reads the clock. */
@@ -309,7 +309,7 @@
  * the quality of the result. What safety depends on is not slowed down: leases, known
  * cancellations, proof that attempts have ended, and deadlines after a stall. */
 
-/** Share of a core from which on no pause is lengthened. */
+/** Share of a core at or above which no pause is lengthened. */
 static const double USUAL_CORE_SHARE = 0.09;
 /** Highest factor of the pauses. With it, starts are still sent within a quarter of a second. */
 static const double PACE_MAX = 2;
@@ -337,7 +337,7 @@
     PREEMPT_PROTECT_MS = 2000 /**< A task is not preempted within this time after its start. */
 };
 
-/** Fraction of the sum of all guarantees: the lowest fair-share weight of a team. */
+/** Fraction of the sum of all guarantees: lowest fair-share weight, even without a guarantee. */
 static const double UNGUARANTEED_TEAM_FRACTION = 0.1;
 /** Fraction of the weight of a team without a guarantee that applies to its work of a class without
  * an SLO. With 0.25, only half of such a class was served by the end of a day; with 0.5, nearly all
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -35,27 +35,24 @@
     metrics_t *metrics;         /**< Owned; has a lock of its own. */
     uint64_t incarnation;       /**< Random number, generated at each start of the process. */
     kv_store_t kv_store;        /**< The key-value store; each thread uses its own HTTP client. */
-    rate_limiter_t core_request_limiter; /**< Limits the loops' requests to the key-value store. */
-    rate_limiter_t
-        core_write_limiter; /**< Limits the keys that the loops write to the key-value store. */
-    rate_limiter_t
-        api_request_limiter; /**< Limits requests to the key-value store on behalf of users. */
-    rate_limiter_t api_write_limiter; /**< Limits keys written on behalf of users. */
+    /* Rate limits at the key-value store. */
+    rate_limiter_t core_request_limiter; /**< Requests by this controller's loops. */
+    rate_limiter_t core_write_limiter;   /**< Keys written by this controller's loops. */
+    rate_limiter_t api_request_limiter;  /**< Requests on behalf of users. */
+    rate_limiter_t api_write_limiter;    /**< Keys written on behalf of users. */
     request_pool_t requests; /**< Queued user requests. Has a lock of its own; no thread holds that
                                 one and `lock` at the same time. */
 
-    pthread_mutex_t lock;    /**< Guards all fields below. Never held during I/O. */
-    membership_t membership; /**< The view, the election and this controller's membership. */
-    job_directory_t jobs;    /**< The jobs known to this controller. */
-    placement_state_t
-        placement; /**< The partition and leader data, loaded from the records of a view. */
-    dispatch_state_t dispatch;       /**< The command dispatchers. */
-    peer_state_t peers;              /**< Communication with the other controllers. */
-    status_batches_t status_batches; /**< Status reads that are batched into one request to the
-                                        key-value store. */
+    pthread_mutex_t lock;        /**< Guards all fields below. Never held during I/O. */
+    membership_t membership;     /**< The view, the election and this controller's membership. */
+    job_directory_t jobs;        /**< The jobs known to this controller. */
+    placement_state_t placement; /**< The data loaded from the records of a view. */
+    dispatch_state_t dispatch;   /**< The command dispatchers. */
+    peer_state_t peers;          /**< Communication with the other controllers. */
+    status_batches_t status_batches; /**< Status reads, batched for the key-value store. */
     kv_client_pool_t kv_clients;     /**< Connections to the key-value store for users' requests. */
     stall_detector_t stalls;         /**< Detects stalls of this process. */
-    autoscaler_t *autoscaler; /**< Owned. NULL until the records of a view are first loaded. */
+    autoscaler_t *autoscaler; /**< Owned; NULL until the records of a view are first loaded. */
     pthread_cond_t autoscaler_ready; /**< Signalled when the records of a view have been loaded; the
                                         autoscaler's loop waits for it. */
 };
--- a/src/controller/kv_watch_loop.h
+++ b/src/controller/kv_watch_loop.h
@@ -13,8 +13,8 @@
  * is known. */
 typedef struct kv_watch {
     const char *prefix; /**< The prefix of the keys, ending in '/'; transfer none. */
-    /** Replaces the local copy by all entries with the prefix (array of kv_entry_t; transfer none).
-     */
+    /** Replaces the local copy by @p entries (array of kv_entry_t; transfer none): all keys with
+     * the prefix. */
     void (*apply_all)(controller_t *controller, const GArray *entries, msec_t sent_at);
     /** Applies the changes since the last call (array of kv_entry_t, in which a NULL value means
      * that the key was deleted; transfer none). The array may be empty. */
--- a/src/controller/metrics.h
+++ b/src/controller/metrics.h
@@ -17,8 +17,7 @@
     COUNT_REFUSED,                     /**< Requests answered with a 4xx other than 421 and 429. */
     COUNT_RETRY_LATER,                 /**< Requests answered 429 or 503. */
     COUNT_WORKER_HEARTBEATS,           /**< Heartbeats received from workers. */
-    COUNT_WORKER_HEARTBEATS_NOT_OWNED, /**< Heartbeats received from workers that another controller
- owns. */
+    COUNT_WORKER_HEARTBEATS_NOT_OWNED, /**< Those from workers that another controller owns. */
     COUNT_COMMITS,            /**< Transactions of the placement loop that were committed. */
     COUNT_COMMITS_FAILED,     /**< Transactions of the placement loop that failed or whose result is
                                  unknown. */
--- a/src/controller/stall_detector.h
+++ b/src/controller/stall_detector.h
@@ -13,8 +13,7 @@
 /** The stall detector's state. Guarded by the controller's lock. */
 typedef struct stall_detector {
     msec_t last_observed_at; /**< When the clock was read last. */
-    msec_t last_stall_at;    /**< When a stall was last detected, which is at its end; 0 if never.
-                              */
+    msec_t last_stall_at;    /**< When a stall was last detected, at its end; 0 if never. */
 } stall_detector_t;
 
 /** Records the clock reading @p now. A gap of more than STALL_MS since the last reading is a stall,
--- a/src/controller/worker_lease.h
+++ b/src/controller/worker_lease.h
@@ -20,14 +20,15 @@
 connectivity_t worker_lease_connectivity(const controller_t *controller);
 
 /** Returns whether worker heartbeats may be answered at @p now, which renews the workers' leases.
- * This requires that the controller is not isolated, and that the time until which the
- * cancellations are complete is less than cancel_s - lease_s - CANCEL_MARGIN_MS ago. */
+ * This requires that the controller is not isolated and has read all of jobs/, and that the time
+ * until which the cancellations are complete is less than cancel_s - lease_s - CANCEL_MARGIN_MS
+ * ago. */
 bool worker_lease_may_renew(const controller_t *controller, msec_t now);
 
-/** Returns whether starts may be sent at @p now. This requires that the cancellations are complete
- * until a time less than START_WATERMARK_MS ago, and at least until the end of the last stall:
- * cancellations made during the stall are not known here. Also reports @p now to the stall
- * detector. */
+/** Returns whether starts may be sent at @p now. This requires that all of jobs/ has been read, and
+ * that the cancellations are complete until a time less than START_WATERMARK_MS ago, and at least
+ * until the end of the last stall: cancellations made during the stall are not known here. Also
+ * reports @p now to the stall detector. */
 bool worker_lease_may_start(controller_t *controller, msec_t now);
 
 /** Returns whether commands that a dispatcher took at @p taken_at may still be sent at @p now. If
