--- a/src/controller/autoscaler/autoscaler_loop.c
+++ b/src/controller/autoscaler/autoscaler_loop.c
@@ -1,4 +1,4 @@
-/* The autoscaler loop: its steps and their pace. */
+/* The autoscaler loop: the steps of a round and the interval between rounds. */
 #include "controller/autoscaler/autoscaler_loop.h"
 
 #include "controller/autoscaler/cloud_context.h"
@@ -9,7 +9,8 @@
 #include "controller/autoscaler/scale_out.h"
 #include "io/clock.h"
 
-static bool may_act(controller_t *controller)
+/* Returns whether this controller may act as the leader. Takes the lock. */
+static bool may_act_as_leader(controller_t *controller)
 {
     pthread_mutex_lock(&controller->lock);
     bool may_act = cloud_context_may_act(controller);
@@ -17,22 +18,24 @@
     return may_act;
 }
 
-/* A controller that has just begun to lead waits no longer: its queues may have no machine yet. */
-static void wait_for_round(controller_t *controller, msec_t gap_ms)
+/* Waits gap_ms until the next round. The wait ends early when the data of a view have been loaded,
+ * because the queues of a new leader may have no machines yet. */
+static void wait_for_next_round(controller_t *controller, msec_t gap_ms)
 {
     pthread_mutex_lock(&controller->lock);
     controller_wait(controller, &controller->autoscaler_ready, gap_ms);
     pthread_mutex_unlock(&controller->lock);
 }
 
-/* One round. Returns after how many milliseconds the next one is due; min_gap_ms: the least. */
+/* Runs one round and returns the number of milliseconds until the next one, at least min_gap_ms. */
 static msec_t run_round(cloud_context_t *context, msec_t min_gap_ms)
 {
     controller_t *controller = context->controller;
     msec_t now = clock_steady();
-    if (context->machine_types_at == 0 || now - context->machine_types_at > MACHINE_TYPES_MS)
+    if (context->machine_types_read_at == 0 ||
+        now - context->machine_types_read_at > MACHINE_TYPES_MS)
         machine_listing_refresh_types(context);
-    bool is_leader = may_act(controller);
+    bool is_leader = may_act_as_leader(controller);
     if (is_leader && now - context->listed_at > CLOUD_LIST_GAP_MS) {
         machine_listing_refresh(context);
         member_exclusion_update(context, now);
@@ -55,6 +58,6 @@
     msec_t min_gap_ms =
         MAX(CLOUD_GAP_MS, (msec_t)(CLOUD_ROUND_MS / controller->settings->cloud_rps));
     for (;;)
-        wait_for_round(controller, run_round(&context, min_gap_ms));
+        wait_for_next_round(controller, run_round(&context, min_gap_ms));
     return NULL;
 }
--- a/src/controller/autoscaler/cloud_context.c
+++ b/src/controller/autoscaler/cloud_context.c
@@ -1,4 +1,4 @@
-/* The state of the autoscaler loop and the helpers that its steps share. */
+/* The state of the autoscaler loop and the helper functions that its steps share. */
 #include "controller/autoscaler/cloud_context.h"
 
 #include <string.h>
@@ -30,7 +30,7 @@
     return (msec_t)(controller->settings->list_lag_s * 2 * MS_PER_S) + LEADER_GRACE_MS;
 }
 
-msec_t cloud_context_lost_worker_ms(const controller_t *controller)
+msec_t cloud_context_lost_owner_ms(const controller_t *controller)
 {
     msec_t interval_ms =
         (msec_t)(controller->settings->heartbeat_interval_s * HEARTBEAT_SPREAD_FACTOR * MS_PER_S);
--- a/src/controller/autoscaler/machine_listing.c
+++ b/src/controller/autoscaler/machine_listing.c
@@ -1,11 +1,13 @@
-/* The cloud's lists: which machine types there are; which machines boot, failed or are gone. */
+/* Reads the cloud's lists of machine types and of machines, which show the machines that are
+ * booting, have failed or no longer exist. */
 #include "controller/autoscaler/machine_listing.h"
 
 #include "core/autoscaler/machine_summary_iter.h"
 #include "io/clock.h"
 #include "io/codec/codec.h"
 
-/* Called with the lock held. Takes the elements over. */
+/* Replaces the controller's machine types with the elements of machine_types, which it takes over.
+ * Called with the lock held. */
 static void install_machine_types(controller_t *controller, GArray *machine_types)
 {
     GArray *installed = controller->placement.machine_types; /* machine_type_t, zones owned */
@@ -13,7 +15,7 @@
         g_strfreev(g_array_index(installed, machine_type_t, i).zones);
     g_array_set_size(installed, 0);
     g_array_append_vals(installed, machine_types->data, machine_types->len);
-    /* The lists of zones moved along with the values. */
+    /* The copies now own the lists of zones, so they must not be freed with machine_types. */
     g_array_set_clear_func(machine_types, NULL);
     if (controller->placement.partition)
         partition_apply_machine_types(controller->placement.partition);
@@ -30,11 +32,11 @@
     pthread_mutex_lock(&context->controller->lock);
     install_machine_types(context->controller, machine_types);
     pthread_mutex_unlock(&context->controller->lock);
-    context->machine_types_at = clock_steady();
+    context->machine_types_read_at = clock_steady();
 }
 
-/* Appends the next page of the list. False: it could not be read. has_more: whether another page
- * follows. */
+/* Reads the page of the list that follows the last of the machines, and appends its machines. Sets
+ * *has_more to whether another page follows. Returns false if the page could not be read. */
 static bool read_page(cloud_context_t *context, GArray *machines, bool *has_more)
 {
     char path[URL_BYTES];
@@ -50,6 +52,7 @@
     return true;
 }
 
+/* Reads the complete list of machines. Returns false if a page could not be read. */
 static bool read_machines(cloud_context_t *context, GArray *machines)
 {
     bool has_more = true;
@@ -59,7 +62,8 @@
     return true;
 }
 
-/* The machines that the partitions know: a set of ids, borrowed from the summaries. */
+/* Returns the machines of which a partition has a summary: a set of ids, borrowed from the
+ * summaries. */
 static GHashTable *known_machines(const leader_t *leader)
 {
     GHashTable *known = g_hash_table_new(g_str_hash, g_str_equal);
@@ -70,7 +74,8 @@
     return known;
 }
 
-/* A machine that was terminated recently is no booting instance: the list lags. */
+/* Records a listed machine as a booting instance, unless a partition has a summary of it or it was
+ * terminated recently: lists may still show a terminated machine for a while. */
 static void add_if_booting(cloud_context_t *context, const host_t *machine, GHashTable *known,
                            msec_t now)
 {
@@ -78,12 +83,13 @@
     if (g_hash_table_contains(known, machine->machine) ||
         cloud_context_is_recently_terminated(context, machine->machine, now))
         return;
-    msec_t started_at = now - (msec_t)(machine->age_s * MS_PER_S);
+    msec_t requested_at = now - (msec_t)(machine->age_s * MS_PER_S);
     autoscaler_add_booting(controller->autoscaler, machine->machine, machine->type, machine->zone,
-                           machine->is_spot, MAX(started_at, controller->placement.loaded_at));
+                           machine->is_spot, MAX(requested_at, controller->placement.loaded_at));
 }
 
-/* Called with the lock held. */
+/* Updates the listed and failed machines and the booting instances from the complete list. Called
+ * with the lock held. */
 static void apply_list(cloud_context_t *context, const GArray *machines, msec_t now)
 {
     controller_t *controller = context->controller;
--- a/src/controller/autoscaler/member_exclusion.c
+++ b/src/controller/autoscaler/member_exclusion.c
@@ -1,19 +1,20 @@
-/* Members that their workers can't reach are excluded by the leader. */
+/* Excludes members that the workers of their machines cannot reach. Only the leader does so. */
 #include "controller/autoscaler/member_exclusion.h"
 
 #include "controller/autoscaler/retained_workers.h"
 #include "io/log.h"
 
-/* Called with the lock held: the partition's silent machines (ids, owned) if they are most of it;
- * else none. */
-static GPtrArray *lost_machines(const controller_t *controller, guint partition)
+/* Returns the ids (owned) of the partition's machines whose workers seem unable to reach their
+ * owner, because they are silent. Returns none if these are fewer than LOST_MACHINES_MIN_COUNT or
+ * at most half of the partition's machines. Called with the lock held. */
+static GPtrArray *find_lost_machines(const controller_t *controller, guint partition)
 {
-    /* machine_summary_t; NULL: none were handed in yet. */
+    /* Of machine_summary_t; NULL if none were received yet. */
     const GArray *summaries = g_ptr_array_index(controller->placement.leader->summaries, partition);
     GPtrArray *lost = g_ptr_array_new_with_free_func(g_free);
     for (guint i = 0; summaries && i < summaries->len; i++) {
         const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, i);
-        if (summary->silent_ms > cloud_context_lost_worker_ms(controller))
+        if (summary->silent_ms > cloud_context_lost_owner_ms(controller))
             g_ptr_array_add(lost, g_strdup(summary->machine));
     }
     if (lost->len < LOST_MACHINES_MIN_COUNT || 2 * lost->len <= summaries->len)
@@ -21,17 +22,19 @@
     return lost;
 }
 
-/* The same, lock not held; none if the generation has changed. */
+/* Returns the same as find_lost_machines, but none if the placement generation has changed. Takes
+ * the lock. */
 static GPtrArray *read_lost_machines(controller_t *controller, guint partition, uint64_t generation)
 {
     pthread_mutex_lock(&controller->lock);
     GPtrArray *lost = controller->placement.generation == generation
-                          ? lost_machines(controller, partition)
+                          ? find_lost_machines(controller, partition)
                           : g_ptr_array_new();
     pthread_mutex_unlock(&controller->lock);
     return lost;
 }
 
+/* Returns how many of the machines are in the set of retained ones; NULL counts as an empty set. */
 static guint count_retained(const GPtrArray *machines, GHashTable *retained)
 {
     guint count = 0;
@@ -40,8 +43,9 @@
     return count;
 }
 
-static void exclude(controller_t *controller, guint member, uint64_t generation,
-                    guint retained_count, msec_t now)
+/* Excludes the member for EXCLUDED_MS, unless the placement generation has changed. */
+static void exclude_member(controller_t *controller, guint member, uint64_t generation,
+                           guint retained_count, msec_t now)
 {
     msec_t until = now + EXCLUDED_MS;
     pthread_mutex_lock(&controller->lock);
@@ -55,16 +59,16 @@
     pthread_mutex_unlock(&controller->lock);
 }
 
-/* How many partitions are to be judged. In the first seconds of a view none: workers are still on
- * their way to their owners. */
-static guint count_judged_partitions(controller_t *controller, msec_t now, uint64_t *generation)
+/* Returns the number of partitions to check and sets *generation to the placement generation. The
+ * number is 0 in the first seconds of a view, when workers are still moving to their new owners. */
+static guint count_partitions_to_check(controller_t *controller, msec_t now, uint64_t *generation)
 {
     pthread_mutex_lock(&controller->lock);
     *generation = controller->placement.generation;
-    bool may_judge =
+    bool may_check =
         cloud_context_may_act(controller) &&
-        now - controller->placement.loaded_at > 2 * cloud_context_lost_worker_ms(controller);
-    guint count = may_judge ? controller->membership.view.count : 0;
+        now - controller->placement.loaded_at > 2 * cloud_context_lost_owner_ms(controller);
+    guint count = may_check ? controller->membership.view.count : 0;
     pthread_mutex_unlock(&controller->lock);
     return count;
 }
@@ -72,15 +76,15 @@
 void member_exclusion_update(cloud_context_t *context, msec_t now)
 {
     controller_t *controller = context->controller;
-    g_autoptr(GHashTable) retained = NULL; /* set of machine ids; read when first needed */
+    g_autoptr(GHashTable) retained = NULL; /* set of machine ids, read when first needed */
     uint64_t generation = 0;
-    guint partitions = count_judged_partitions(controller, now, &generation);
+    guint partitions = count_partitions_to_check(controller, now, &generation);
     for (guint i = 0; i < partitions; i++) {
         g_autoptr(GPtrArray) lost = read_lost_machines(controller, i, generation);
         if (lost->len && !retained)
             retained = retained_workers_read(context);
         guint retained_count = count_retained(lost, retained);
         if (lost->len && 2 * retained_count > lost->len)
-            exclude(controller, i, generation, retained_count, now);
+            exclude_member(controller, i, generation, retained_count, now);
     }
 }
--- a/src/controller/autoscaler/retained_workers.c
+++ b/src/controller/autoscaler/retained_workers.c
@@ -1,10 +1,11 @@
-/* Retained workers: their list in the key-value store, a key for each controller. */
+/* Reads and publishes the lists of retained workers in the key-value store. Each controller has a
+ * key with its list. */
 #include "controller/autoscaler/retained_workers.h"
 
 #include "io/clock.h"
 #include "io/codec/codec.h"
 
-/* Adds to `retained` the machines of one controller's list, the value of its key. */
+/* Adds the machines of one controller's list to `retained`. value: the value of its key. */
 static void add_machines(GHashTable *retained, const json_t *value)
 {
     /* of const char *, borrowed from the value */
@@ -27,14 +28,14 @@
         if (day_ms - codec_get_retained_at(value) <= RETAINED_FRESH_MS)
             add_machines(retained, value);
     }
-    /* Our own entry there is seconds old. */
+    /* This controller's own entry in the store may be seconds old, so its current list is added. */
     pthread_mutex_lock(&controller->lock);
     redirection_add_retained(controller->membership.redirection, clock_steady(), retained);
     pthread_mutex_unlock(&controller->lock);
     return g_steal_pointer(&retained);
 }
 
-/* The machines of this controller's retained workers: array of char *; transfer full. */
+/* Returns the machine ids of this controller's retained workers: array of char *; transfer full. */
 static GPtrArray *own_retained_machines(controller_t *controller, msec_t now)
 {
     pthread_mutex_lock(&controller->lock);
--- a/src/controller/autoscaler/scale_in.c
+++ b/src/controller/autoscaler/scale_in.c
@@ -1,5 +1,5 @@
-/* Scale-in: which machines are terminated, and what the cloud's confirmation proves. The silent
- * ones are found in silent_machines.c. */
+/* Scale-in: chooses the machines to terminate, terminates them and handles the cloud's
+ * confirmation. Silent machines are found in silent_machines.c. */
 #include "controller/autoscaler/scale_in.h"
 
 #include "controller/autoscaler/retained_workers.h"
@@ -9,6 +9,7 @@
 #include "io/codec/codec.h"
 #include "io/log.h"
 
+/* Adds the machine unless it is already there or SCALE_IN_MAX_COUNT is reached. */
 static void add_once(GPtrArray *machines, const char *machine)
 {
     if (machines->len < SCALE_IN_MAX_COUNT &&
@@ -16,8 +17,8 @@
         g_ptr_array_add(machines, g_strdup(machine));
 }
 
-/* Called with the lock held: adds machines that failed, and booting instances that are stuck. */
-static void add_broken(cloud_context_t *context, GPtrArray *machines, msec_t now)
+/* Adds the failed machines and the stuck booting instances. Called with the lock held. */
+static void add_failed_and_stuck(cloud_context_t *context, GPtrArray *machines, msec_t now)
 {
     const controller_t *controller = context->controller;
     for (guint i = 0; i < context->failed_machines->len; i++) {
@@ -31,23 +32,24 @@
         add_once(machines, g_ptr_array_index(stuck, i));
 }
 
-/* Called with the lock held: whether a surplus of machines may be acted on. */
+/* Returns whether surplus machines may be drained now. Called with the lock held. */
 static bool may_drain_surplus(const controller_t *controller, msec_t now)
 {
     msec_t kv_silent_ms = now - atomic_load(&controller->kv_store.answered_at);
-    /* While the key-value store does not answer, nothing can be started, and the work that ends
-     * makes machines look superfluous. */
+    /* While the key-value store does not answer, no task can be started, so the machines whose
+     * tasks end look like a surplus. */
     if (kv_silent_ms >= KV_WATCH_BLOCK_MS + KV_TIMEOUT_MS) {
         autoscaler_reset_scale_in_delay(controller->autoscaler);
         return false;
     }
-    /* Counted from the begin of the leadership, not of the view: where views of the same leader
-     * came every half minute, nothing was scaled in for minutes. */
+    /* SCALE_IN_AFTER_MS counts from the start of the leadership, not of the view: when it counted
+     * from the view and a leader installed a new view every half minute, nothing was scaled in for
+     * minutes. */
     return now - controller->membership.leader_since_at > SCALE_IN_AFTER_MS &&
            now - controller->placement.loaded_at > LEADER_GRACE_MS;
 }
 
-/* Called with the lock held: drains machines that have been superfluous for a while. */
+/* Drains machines after a surplus has lasted for the scale-in delay. Called with the lock held. */
 static void drain_surplus(controller_t *controller, msec_t now)
 {
     bool may_drain = may_drain_surplus(controller, now);
@@ -59,22 +61,23 @@
         if (!surplus || !cloud_context_find_summary(controller, surplus->machine, &partition))
             break;
         log_info("event=scale_in_selected machine=%s", surplus->machine);
-        /* It gets no more placement requests. It counts as draining only when the summaries of its
-         * partition say so. */
+        /* From now on the machine gets no placement requests. It counts as draining only once its
+         * partition's summaries show it as draining. */
         surplus->is_open = false;
         cloud_context_send_item(controller, partition, CHANNEL_DRAIN, surplus->machine);
     }
 }
 
-/* Called with the lock held: adds the machines to terminate for any reason but silence. A machine
- * is drained first: the summaries of its partition must show it draining and empty, so that no
- * start is on its way to it. */
-static void add_unwanted(cloud_context_t *context, GPtrArray *machines)
+/* Adds the machines to terminate for any reason other than silence, and starts to drain surplus and
+ * quarantined machines. A drained machine is terminated only once its partition's summaries show it
+ * as draining and without attempts, so that no start can still be on its way to it. Called with the
+ * lock held. */
+static void drain_and_add_terminable(cloud_context_t *context, GPtrArray *machines)
 {
     controller_t *controller = context->controller;
     const leader_t *leader = controller->placement.leader;
     msec_t now = clock_steady();
-    add_broken(context, machines, now);
+    add_failed_and_stuck(context, machines, now);
     drain_surplus(controller, now);
     machine_summary_iter_t iter = {.leader = leader};
     for (const machine_summary_t *summary = machine_summary_iter_next(&iter); summary;
@@ -89,7 +92,8 @@
     }
 }
 
-/* The ids of the machines to terminate; transfer full. */
+/* Returns the ids of the machines to terminate (transfer full), and sets *generation to the
+ * placement generation in which they were chosen. */
 static GPtrArray *choose_machines(cloud_context_t *context, uint64_t *generation)
 {
     controller_t *controller = context->controller;
@@ -99,7 +103,7 @@
     pthread_mutex_lock(&controller->lock);
     *generation = controller->placement.generation;
     if (cloud_context_may_act(controller)) {
-        add_unwanted(context, machines);
+        drain_and_add_terminable(context, machines);
         for (guint i = 0; retained && i < silent->len; i++)
             if (!g_hash_table_contains(retained, g_ptr_array_index(silent, i)))
                 add_once(machines, g_ptr_array_index(silent, i));
@@ -108,8 +112,9 @@
     return machines;
 }
 
-/* Called with the lock held. The termination proves that whatever the machine's record holds is
- * over, also where no partition has a summary of it. */
+/* Handles the cloud's confirmation that the machines were terminated. It proves that every attempt
+ * in a machine's record is over, even if no partition has a summary of the machine. Called with the
+ * lock held. */
 static void handle_terminated(controller_t *controller, const GPtrArray *machines)
 {
     metrics_count(controller->metrics, COUNT_SCALED_IN, machines->len);
@@ -124,7 +129,7 @@
     controller_notify_placement(controller);
 }
 
-/* Records the machines as recently terminated, and forgets those that no longer are. */
+/* Records the machines as recently terminated, and removes the entries that are too old. */
 static void record_terminated(cloud_context_t *context, const GPtrArray *machines)
 {
     msec_t now = clock_steady();
--- a/src/controller/autoscaler/scale_in.h
+++ b/src/controller/autoscaler/scale_in.h
@@ -1,15 +1,15 @@
 /** @file
- * Scales machines in: chooses those to drain and to terminate. Runs on the autoscaler loop's
- * thread; the lock is not held.
+ * Scales machines in: chooses the machines to drain and the machines to terminate. Runs on the
+ * autoscaler loop's thread; the lock is not held.
  */
 #ifndef PEPPERPULLEY_SCALE_IN_H
 #define PEPPERPULLEY_SCALE_IN_H
 
 #include "controller/autoscaler/cloud_context.h"
 
-/** Drains surplus and quarantined machines, and terminates the machines that are drained, failed,
- * stuck in their boot, or silent and not retained by another controller. Returns whether there were
- * any to terminate. */
+/** Drains surplus and quarantined machines. Terminates the machines that have been drained, have
+ * failed, are stuck while booting, or are silent while no controller retains their workers. Returns
+ * whether there were any machines to terminate. */
 bool scale_in_run(cloud_context_t *context);
 
 #endif
--- a/src/controller/autoscaler/scale_out.c
+++ b/src/controller/autoscaler/scale_out.c
@@ -1,4 +1,4 @@
-/* Scale-out requests: their choice, sending and answers. */
+/* Chooses scale-out requests, sends them and handles their answers. */
 #include "controller/autoscaler/scale_out.h"
 
 #include "core/autoscaler/machine_summary_iter.h"
@@ -6,8 +6,9 @@
 #include "io/codec/codec.h"
 #include "io/log.h"
 
-/* Called with the lock held: cancels the drain of one machine that still has work, in place of
- * scaling out. It is available sooner than any new machine. False: there is none. */
+/* Cancels the drain of one machine that still has work instead of scaling out, because it is
+ * available sooner than any new machine. Returns false if there is no such machine. Called with the
+ * lock held. */
 static bool cancel_drain(controller_t *controller)
 {
     const leader_t *leader = controller->placement.leader;
@@ -24,8 +25,9 @@
     return false;
 }
 
-/* Called with the lock held: whether the machines of an earlier leader must be known by now. Before
- * the first view nothing was scaled out: the list shows all there is. */
+/* Returns whether the machines that an earlier leader scaled out must be known by now. In the first
+ * view there was no earlier leader that could have scaled out, so a list that was read since the
+ * data were loaded shows all machines. Called with the lock held. */
 static bool is_fleet_known(const cloud_context_t *context, msec_t now)
 {
     const controller_t *controller = context->controller;
@@ -34,7 +36,8 @@
             context->listed_at > controller->placement.loaded_at);
 }
 
-/* Called with the lock held. */
+/* Chooses the next scale-out request and stores it in the pending one. Returns false if none is to
+ * be sent. Called with the lock held. */
 static bool choose_request(cloud_context_t *context, msec_t now)
 {
     controller_t *controller = context->controller;
@@ -48,16 +51,18 @@
     return !cancel_drain(controller);
 }
 
+/* Drops a pending request of an earlier generation. If none is pending, prepares the next one. */
 static void prepare_request(cloud_context_t *context)
 {
     controller_t *controller = context->controller;
     pending_scale_out_t *pending = &context->pending_scale_out;
     pthread_mutex_lock(&controller->lock);
-    /* If a request of an earlier generation was executed, its machines will appear in the list. */
+    /* A request of an earlier generation need not be repeated: if the cloud executed it, its
+     * machines will appear in the list. */
     if (pending->is_pending && pending->generation != controller->placement.generation)
         pending->is_pending = false;
     if (choose_request(context, clock_steady())) {
-        /* The view's number is this leadership's alone, so the key can never have been used. */
+        /* The view's number is unique to this leadership, so the key was never used before. */
         context->idempotency_key_count++;
         g_snprintf(pending->idempotency_key, sizeof pending->idempotency_key,
                    "c-%" G_GUINT64_FORMAT "-%u", controller->membership.view.number,
@@ -82,7 +87,7 @@
     controller_t *controller = context->controller;
     const scale_out_request_t *request = &context->pending_scale_out.request;
     gsize accepted_count;
-    /* of const char *, borrowed from the answer */
+    /* Of const char *, borrowed from the answer. */
     g_autoptr(GPtrArray) machines = codec_parse_scale_out_answer(answer, &accepted_count);
     pthread_mutex_lock(&controller->lock);
     msec_t now = clock_steady();
@@ -101,6 +106,7 @@
         request->count, accepted_count);
 }
 
+/* Handles an answer by which the cloud refused the whole request. */
 static void handle_refused(cloud_context_t *context, int status)
 {
     controller_t *controller = context->controller;
--- a/src/controller/autoscaler/silent_machines.h
+++ b/src/controller/autoscaler/silent_machines.h
@@ -7,11 +7,12 @@
 
 #include "controller/autoscaler/cloud_context.h"
 
-/** Returns the ids of the machines to terminate for their silence unless another controller retains
- * their workers: silent for longer than a lease, or for a shorter while and no longer listed by the
- * cloud. Those of an unreachable zone have longer: a cut ends, and then they are available, where
- * new ones would have to be scaled out and booted; their tasks have missed the nearest SLOs either
- * way. Transfer full, with the strings. */
+/** Returns the ids of the machines to terminate because of their silence, unless another controller
+ * retains their workers. These are the machines that have been silent for longer than a lease, and
+ * those that have been silent for a shorter time and that the cloud no longer lists. Machines in an
+ * unreachable zone are kept longer: when the network recovers they are available at once, whereas
+ * new machines would first have to be scaled out and booted. Their tasks have missed the nearest
+ * SLOs in either case. Transfer full, including the strings. */
 GPtrArray *silent_machines_find(cloud_context_t *context);
 
 #endif
--- a/src/core/autoscaler/autoscaler.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -1,5 +1,5 @@
-/* The state on which the choices depend: booting instances and refused scale-out requests. The
- * zones stand in zone_reachability.c. */
+/* The autoscaler's record of booting instances and of refused scale-out requests. The record of
+ * unreachable zones is in zone_reachability.c. */
 #include "core/autoscaler/autoscaler_internal.h"
 
 #include <string.h>
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -1,14 +1,15 @@
 /** @file
  * Chooses which machines to scale out and which to scale in.
  *
- * On-demand machines cost a multiple of spot ones. They are scaled out for the demand within the
- * teams' guarantees, for work that may not use spot machines, and, up to a limited share of the
- * capacity, where no spot machine is to be had and the pending work would otherwise wait too long.
+ * On-demand machines cost several times as much as spot machines. They are scaled out in three
+ * cases: for the demand within the teams' guarantees; for work that may not use spot machines; and,
+ * up to a limited share of the capacity, if no spot machines are available and the pending work
+ * would otherwise wait too long.
  *
- * An autoscaler keeps the booting instances, the scale-out requests that were refused lately and
- * the zones that can't be reached. Every function is called with the lock of the controller held.
- * Times are in milliseconds of the steady clock; @p day_ms is the time of day, to which the jobs'
- * deadlines refer. @p machine_types is an array of machine_type_t; transfer none.
+ * The autoscaler keeps track of the booting instances, of the scale-out requests that were refused
+ * recently and of the unreachable zones. Every function is called with the controller's lock held.
+ * Times are in milliseconds of the steady clock, except for @p day_ms, which is the wall-clock time
+ * that the jobs' deadlines refer to. @p machine_types is an array of machine_type_t; transfer none.
  */
 #ifndef PEPPERPULLEY_AUTOSCALER_H
 #define PEPPERPULLEY_AUTOSCALER_H
@@ -19,16 +20,15 @@
 /** The state of the autoscaler. */
 typedef struct autoscaler autoscaler_t;
 
-/** Machines of one kind to ask the cloud for. */
+/** A request to the cloud for machines of one type in one zone, all spot or all on-demand. */
 typedef struct scale_out_request {
     char type[LABEL_BYTES]; /**< The machine type's name. */
     char zone[LABEL_BYTES]; /**< The zone. */
-    bool is_spot;           /**< Spot machines; false: on-demand ones. */
-    guint count;            /**< How many. */
+    bool is_spot;           /**< True for spot machines, false for on-demand machines. */
+    guint count;            /**< Number of machines. */
 } scale_out_request_t;
 
-/** Returns an autoscaler without booting instances, refusals and unreachable zones; transfer full.
- */
+/** Returns a new autoscaler, which has recorded nothing yet; transfer full. */
 autoscaler_t *autoscaler_new(void);
 
 /** Frees the autoscaler. */
@@ -36,68 +36,76 @@
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(autoscaler_t, autoscaler_free)
 
-/** Begins a leadership: forgets the booting instances of an earlier one. They may be up by now and
- * work for partitions that have not handed in their summaries yet; the cloud's list shows which
- * ones still boot. */
+/** Starts a leadership: resets the scale-in delay and removes the booting instances of an earlier
+ * leadership. They may have booted since and be running work for partitions whose summaries have
+ * not arrived yet. The cloud's list shows which instances are still booting. */
 void autoscaler_begin_leadership(autoscaler_t *autoscaler);
 
-/** Records a machine that was scaled out, or listed by the cloud, at @p requested_at and has not
- * sent a heartbeat yet. Has no effect on a machine that is recorded already. */
+/** Records a booting instance: a machine that was scaled out, or that appears in the cloud's list,
+ * and has not sent a heartbeat yet. Its boot time counts from @p requested_at. Has no effect if the
+ * machine is already recorded. */
 void autoscaler_add_booting(autoscaler_t *autoscaler, const char *machine, const char *type,
                             const char *zone, bool spot, msec_t requested_at);
 
-/** Forgets a booting instance, because it sent a heartbeat or was terminated. */
+/** Removes a booting instance that was terminated. Has no effect if the machine is not recorded. */
 void autoscaler_remove_booting(autoscaler_t *autoscaler, const char *machine);
 
-/** Forgets the booting instances that the partitions know by now, and those that were interrupted
- * while they booted: requested more than @p listing_lag_ms before @p now and not listed.
- * @p known_machines and @p listed_machines are sets of machine ids; transfer none. */
+/** Removes the booting instances that are in @p known_machines, because a partition now has a
+ * summary of them, and those that were interrupted while booting: they were requested more than
+ * @p listing_lag_ms before @p now and are not in @p listed_machines. Both are sets of machine ids;
+ * transfer none. */
 void autoscaler_prune_booting(autoscaler_t *autoscaler, GHashTable *known_machines,
                               GHashTable *listed_machines, msec_t listing_lag_ms, msec_t now);
 
 /** Returns the number of booting instances. */
 guint autoscaler_booting_count(const autoscaler_t *autoscaler);
 
-/** Returns the ids of the instances whose boot took too long; transfer full, with the strings. */
+/** Returns the ids of the booting instances that have been booting for too long: BOOT_TIMEOUT_MS
+ * plus three times the boot time of their machine type. Transfer full, including the strings. */
 GPtrArray *autoscaler_stuck_instances(const autoscaler_t *autoscaler, const GArray *machine_types,
                                       msec_t now);
 
-/** Records that the cloud had fewer machines than the request asked for: such machines are not
- * requested again before @p until. */
+/** Records that the cloud did not provide all the requested machines. Machines of the same type,
+ * zone and kind (spot or on-demand) are not requested again before @p until. */
 void autoscaler_record_refusal(autoscaler_t *autoscaler, const scale_out_request_t *request,
                                msec_t until);
 
-/** Judges each zone by its machine summaries. A zone in which several machines exist, all of them
- * silent for more than @p silent_ms, is probably cut off: it is unreachable until one of them sends
- * a heartbeat, or until some time after its machines are gone. Nothing is scaled out there
- * meanwhile, since a new machine's heartbeats would not arrive either. Returns the names of the
- * zones that became unreachable just now; transfer full, with the strings. */
+/** Determines from the machine summaries which zones are unreachable. A zone is probably cut off
+ * from the network if none of its machines accepts starts and at least LOST_MACHINES_MIN_COUNT of
+ * them have been silent for more than @p silent_ms. It then counts as unreachable until one of its
+ * machines accepts starts again, or until UNREACHABLE_ZONE_MS after the last call that found it cut
+ * off. No machines are scaled out in an unreachable zone, because their heartbeats would not arrive
+ * either. Returns the names of the zones that this call found to have become unreachable; transfer
+ * full, including the strings. */
 GPtrArray *autoscaler_update_zones(autoscaler_t *autoscaler, const leader_t *leader,
                                    msec_t silent_ms, msec_t now);
 
-/** Returns whether the zone is unreachable. */
+/** Returns whether the zone counts as unreachable at @p now. */
 bool autoscaler_is_zone_unreachable(const autoscaler_t *autoscaler, const char *zone, msec_t now);
 
-/** Returns whether a machine of the zone that has been silent for @p silent_ms is kept in spite of
- * it: the zone is unreachable, or was at most @p patience ms ago, so that its machines are only
- * just coming back. */
-bool autoscaler_awaits_zone(const autoscaler_t *autoscaler, const char *zone, msec_t silent_ms,
-                            msec_t patience, msec_t now);
+/** Returns whether a machine of the zone that has been silent for @p silent_ms is kept despite its
+ * silence. This is so if the zone is unreachable and the silence has not exceeded
+ * UNREACHABLE_WAIT_MS, or if the zone became reachable again at most @p grace_ms ago, so that its
+ * machines may still be reconnecting. A silence longer than UNREACHABLE_WAIT_MS plus @p grace_ms is
+ * never tolerated. */
+bool autoscaler_keeps_silent_machine(const autoscaler_t *autoscaler, const char *zone,
+                                     msec_t silent_ms, msec_t grace_ms, msec_t now);
 
-/** Chooses the next machines to scale out. Returns false, and leaves @p request undefined, if there
- * are none. */
+/** Chooses the next machines to scale out and fills in @p request. Returns false, and leaves
+ * @p request undefined, if no machines are to be scaled out. */
 bool autoscaler_next_scale_out(const autoscaler_t *autoscaler, const leader_t *leader,
                                const GArray *machine_types, msec_t now, int64_t day_ms,
                                scale_out_request_t *request);
 
-/** Chooses a machine to drain and terminate, because the demand has been lower than the capacity
- * for as long as the policy's scale-in delay. Least-loaded placement leaves few machines empty, so
- * it need not be idle. Returns its summary in the leader; transfer none; NULL: there is none. */
+/** Chooses a machine to drain and terminate because the capacity has exceeded the demand for at
+ * least the policy's scale-in delay. The machine need not be idle, because least-loaded placement
+ * leaves few machines empty. Returns the leader's summary of the machine, or NULL if no machine is
+ * to be scaled in; transfer none. */
 machine_summary_t *autoscaler_next_scale_in(autoscaler_t *autoscaler, const leader_t *leader,
                                             const GArray *machine_types, msec_t now,
                                             int64_t day_ms);
 
-/** Lets the scale-in delay begin anew with the next surplus that is seen. */
+/** Restarts the scale-in delay: it counts from the next call that finds surplus capacity. */
 void autoscaler_reset_scale_in_delay(autoscaler_t *autoscaler);
 
 #endif
--- a/src/core/autoscaler/demand_balance.c
+++ b/src/core/autoscaler/demand_balance.c
@@ -1,44 +1,46 @@
-/* The balance: the demand against the running capacity and the booting instances. */
+/* Computes the balance: the demand compared with the running and the booting capacity. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/autoscaler/machine_summary_iter.h"
 
-/* Seconds within which the pending work of a job should begin: the sooner its deadline, the more
- * machines it justifies at once. */
-static double job_patience_s(const leader_t *leader, const job_t *job, int64_t day_ms)
+/* Returns the seconds within which the pending tasks of the job should start. It is shorter for a
+ * job close to its deadline, which therefore justifies more machines at once. */
+static double job_max_wait_s(const leader_t *leader, const job_t *job, int64_t day_ms)
 {
-    double longest_s = tunable_for_job(leader->policy, TUNABLE_SCALE_OUT_PATIENCE, &job->spec);
+    double max_wait_s = tunable_for_job(leader->policy, TUNABLE_SCALE_OUT_PATIENCE, &job->spec);
     if (job->spec.deadline_s <= 0)
-        return longest_s;
+        return max_wait_s;
     double latest_start_in_s = (double)(job->spec.submitted_ms - day_ms) / MS_PER_S +
                                job->spec.deadline_s - job->spec.estimate_s;
-    return CLAMP(latest_start_in_s, MIN(longest_s, SCALE_OUT_PATIENCE_MIN_S), longest_s);
+    return CLAMP(latest_start_in_s, MIN(max_wait_s, SCALE_OUT_PATIENCE_MIN_S), max_wait_s);
 }
 
-static resources_t wanted_resources(const leader_t *leader, msec_t now, int64_t day_ms)
+/* Returns the resources for the outstanding tasks and for the pending tasks. */
+static resources_t total_demand(const leader_t *leader, msec_t now, int64_t day_ms)
 {
-    resources_t wanted = {0};
+    resources_t total = {0};
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, leader->outstanding);
     while (g_hash_table_iter_next(&iter, NULL, &value))
-        resources_add(&wanted, ((outstanding_t *)value)->need, 1);
+        resources_add(&total, ((outstanding_t *)value)->need, 1);
     g_autoptr(GArray) demand = leader_demand(leader, now); /* demand_t */
     for (guint i = 0; i < demand->len; i++) {
         const demand_t *entry = &g_array_index(demand, demand_t, i);
         const job_spec_t *spec = &entry->job->spec;
-        /* Tasks that can run one after the other within the patience need their resources once. */
+        /* Tasks that can run one after another on the same resources within the maximum wait count
+         * once. */
         double rounds =
-            MAX(1, job_patience_s(leader, entry->job, day_ms) / MAX(spec->estimate_s, 1));
-        resources_add(&wanted, spec->need, MAX(entry->tasks / rounds, MIN(entry->tasks, 1.0)));
+            MAX(1, job_max_wait_s(leader, entry->job, day_ms) / MAX(spec->estimate_s, 1));
+        resources_add(&total, spec->need, MAX(entry->tasks / rounds, MIN(entry->tasks, 1.0)));
     }
-    return wanted;
+    return total;
 }
 
-/* Fills in what the teams request within their guarantees, and the cpu seconds of all pending
- * tasks. */
+/* Fills in the cpus that the teams' tasks need within the guarantees, and the cpu seconds of all
+ * pending tasks. */
 static void measure_team_demand(const leader_t *leader, msec_t now, autoscaler_balance_t *balance)
 {
-    double *pending_cpus = g_new0(double, leader->teams->len + 1); /* by team */
+    double *pending_cpus = g_new0(double, leader->teams->len + 1); /* by index of the team */
     g_autoptr(GArray) demand = leader_demand(leader, now);         /* demand_t */
     for (guint i = 0; i < demand->len; i++) {
         const demand_t *entry = &g_array_index(demand, demand_t, i);
@@ -86,7 +88,7 @@
 autoscaler_balance_t autoscaler_balance(const autoscaler_t *autoscaler, const leader_t *leader,
                                         const GArray *machine_types, msec_t now, int64_t day_ms)
 {
-    autoscaler_balance_t balance = {.wanted = wanted_resources(leader, now, day_ms)};
+    autoscaler_balance_t balance = {.demand = total_demand(leader, now, day_ms)};
     measure_team_demand(leader, now, &balance);
     add_running(&balance, leader);
     add_booting(&balance, autoscaler, machine_types);
@@ -99,12 +101,12 @@
 }
 
 double autoscaler_justified_on_demand_cpus(const leader_t *leader,
-                                           const autoscaler_balance_t *balance, double patience_s)
+                                           const autoscaler_balance_t *balance, double max_wait_s)
 {
     double capacity_cpus = balance->running.cpus + balance->booting.cpus;
     double other_cpus = MAX(capacity_cpus - autoscaler_extra_on_demand_cpus(balance), 0);
-    double needed_cpus = balance->pending_cpu_s / MAX(patience_s, 1);
-    double most_cpus =
+    double needed_cpus = balance->pending_cpu_s / MAX(max_wait_s, 1);
+    double max_cpus =
         tunable_value(leader->policy, TUNABLE_ON_DEMAND_SHARE) * MAX(other_cpus, needed_cpus);
-    return CLAMP(needed_cpus - other_cpus, 0, most_cpus);
+    return CLAMP(needed_cpus - other_cpus, 0, max_cpus);
 }
--- a/src/core/autoscaler/scale_in_choice.c
+++ b/src/core/autoscaler/scale_in_choice.c
@@ -1,14 +1,14 @@
-/* The choice of the next machine to scale in. */
+/* Chooses the next machine to scale in. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/autoscaler/machine_summary_iter.h"
 
-/* What a machine is chosen by. */
+/* The data by which a machine is chosen. */
 typedef struct scale_in_choice {
     const GArray *machine_types; /* machine_type_t, borrowed */
     autoscaler_balance_t balance;
-    double headroom;             /* the capacity to keep, in multiples of the demand */
-    double extra_on_demand_cpus; /* beyond the guaranteed demand */
-    bool is_extra_unjustified;   /* the pending work is too little for them */
+    double headroom;             /* the capacity to keep, as a factor of the demand */
+    double extra_on_demand_cpus; /* on-demand cpus beyond the guaranteed demand */
+    bool is_extra_unjustified;   /* too little work is pending to justify those cpus */
 } scale_in_choice_t;
 
 static scale_in_choice_t prepare_choice(const autoscaler_t *autoscaler, const leader_t *leader,
@@ -19,24 +19,28 @@
         .balance = autoscaler_balance(autoscaler, leader, machine_types, now, day_ms)};
     choice.headroom = tunable_value(leader->policy, TUNABLE_SCALE_IN_HEADROOM);
     choice.extra_on_demand_cpus = autoscaler_extra_on_demand_cpus(&choice.balance);
-    /* Scale-in begins at less pending work than scale-out stops at, lest machines come and go. */
-    double patience_s =
+    /* Hysteresis: on-demand machines are scaled in only if less work is pending than the amount at
+     * which scale-out stops, so that machines are not added and removed repeatedly. */
+    double max_wait_s =
         tunable_value(leader->policy, TUNABLE_ON_DEMAND_PATIENCE) / ON_DEMAND_EASED_FACTOR;
     choice.is_extra_unjustified =
         choice.extra_on_demand_cpus >
-        autoscaler_justified_on_demand_cpus(leader, &choice.balance, patience_s);
+        autoscaler_justified_on_demand_cpus(leader, &choice.balance, max_wait_s);
     return choice;
 }
 
-/* Whether the other machines would be too few for the demand without this one. */
+/* Returns whether the capacity without this machine would be less than the demand times the
+ * headroom. */
 static bool is_needed(const scale_in_choice_t *choice, const machine_summary_t *summary)
 {
     const autoscaler_balance_t *balance = &choice->balance;
-    return balance->running.cpus - summary->total.cpus < balance->wanted.cpus * choice->headroom ||
+    return balance->running.cpus - summary->total.cpus < balance->demand.cpus * choice->headroom ||
            balance->running.memory - summary->total.memory <
-               balance->wanted.memory * choice->headroom;
+               balance->demand.memory * choice->headroom;
 }
 
+/* Returns whether the machine may be scaled in: it accepts starts, and either the remaining
+ * capacity suffices or it is an on-demand machine that the pending work does not justify. */
 static bool may_scale_in(const scale_in_choice_t *choice, const machine_summary_t *summary)
 {
     if (!summary->is_open)
@@ -46,7 +50,8 @@
     return is_unjustified || !is_needed(choice, summary);
 }
 
-/* Expensive machines go first; of equals the emptiest, which is free soonest. */
+/* Returns the machine's rank; the machine with the highest rank is scaled in first. A higher price
+ * per cpu and a lower load raise the rank, because a less loaded machine is empty sooner. */
 static double scale_in_rank(const scale_in_choice_t *choice, const machine_summary_t *summary)
 {
     const machine_type_t *machine_type =
--- a/src/core/autoscaler/scale_out_choice.c
+++ b/src/core/autoscaler/scale_out_choice.c
@@ -1,56 +1,61 @@
-/* The choice of the next scale-out request. */
+/* Chooses the next scale-out request. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/autoscaler/machine_summary_iter.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Machines of one kind that might be scaled out. */
+/* Machines of one type, in one zone, spot or on-demand, that might be scaled out. */
 typedef struct machine_candidate {
     const machine_type_t *machine_type; /* borrowed */
     const char *zone;                   /* borrowed */
     bool spot;
-    guint count;               /* machines that cover the missing resources */
-    bool is_within_guarantees; /* an on-demand machine of this size is for guaranteed demand */
+    guint count;               /* number of machines that cover the missing resources */
+    bool is_within_guarantees; /* the guaranteed demand justifies another such on-demand machine */
 } machine_candidate_t;
 
-/* What a request is chosen by, and the best one so far. */
+/* The data by which a request is chosen, and the best request found so far. */
 typedef struct scale_out_choice {
     const autoscaler_t *autoscaler;
     const leader_t *leader;
     const autoscaler_balance_t *balance;
-    const GArray *demand;          /* demand_t, borrowed */
-    double missing_on_demand_cpus; /* beyond the guaranteed demand, justified by pending work */
+    const GArray *demand; /* demand_t, borrowed */
+    /* On-demand cpus beyond the guaranteed demand that the pending work justifies and that do not
+     * exist yet. */
+    double missing_on_demand_cpus;
     msec_t now;
-    double best_cost; /* of the request; infinite: there is none yet */
+    double best_cost; /* of the request; infinite if none was found yet */
     scale_out_request_t *request;
 } scale_out_choice_t;
 
-static bool is_same_kind(const machine_candidate_t *candidate, const char *type, const char *zone,
-                         bool spot)
+static bool matches_candidate(const machine_candidate_t *candidate, const char *type,
+                              const char *zone, bool spot)
 {
     return spot == candidate->spot && strcmp(type, candidate->machine_type->name) == 0 &&
            strcmp(zone, candidate->zone) == 0;
 }
 
-/* Machines of the candidate's kind that run or boot. */
-static guint count_same_kind(const scale_out_choice_t *choice, const machine_candidate_t *candidate)
+/* Returns the number of running and booting machines of the candidate's type and zone that are,
+ * like it, spot or on-demand machines. */
+static guint count_matching_machines(const scale_out_choice_t *choice,
+                                     const machine_candidate_t *candidate)
 {
     guint count = 0;
     machine_summary_iter_t summaries = {.leader = choice->leader};
     for (const machine_summary_t *summary = machine_summary_iter_next(&summaries); summary;
          summary = machine_summary_iter_next(&summaries))
-        count += is_same_kind(candidate, summary->type, summary->zone, summary->is_spot);
+        count += matches_candidate(candidate, summary->type, summary->zone, summary->is_spot);
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, choice->autoscaler->booting_instances);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const booting_instance_t *booting = value;
-        count += is_same_kind(candidate, booting->type, booting->zone, booting->is_spot);
+        count += matches_candidate(candidate, booting->type, booting->zone, booting->is_spot);
     }
     return count;
 }
 
+/* Returns whether the job may use an on-demand machine as described by the candidate. */
 static bool may_use_on_demand(const scale_out_choice_t *choice,
                               const machine_candidate_t *candidate, const job_spec_t *spec)
 {
@@ -60,8 +65,8 @@
            tunable_for_job(choice->leader->policy, TUNABLE_USE_ON_DEMAND, spec) != 0;
 }
 
-/* Whether some pending job can use such a machine. */
-static bool is_useful(const scale_out_choice_t *choice, const machine_candidate_t *candidate)
+/* Returns whether some pending job can use a machine as described by the candidate. */
+static bool is_usable(const scale_out_choice_t *choice, const machine_candidate_t *candidate)
 {
     const machine_type_t *machine_type = candidate->machine_type;
     for (guint i = 0; i < choice->demand->len; i++) {
@@ -74,20 +79,22 @@
     return false;
 }
 
-/* Machines of the type that cover the missing resources; 0: the type is too large. Larger ones are
- * cheaper by the cpu and cache more images, but one that is larger than all that is wanted would
- * mostly be idle. */
+/* Returns the number of machines of the type that cover the missing resources, or 0 if the type is
+ * too large. Larger types cost less per cpu and cache more images, but a machine that is too large
+ * in relation to the total demand would be mostly idle. */
 static guint machines_to_cover(const machine_type_t *machine_type, resources_t missing,
-                               double wanted_cpus)
+                               double demand_cpus)
 {
     double machines = MAX(missing.cpus / MAX(machine_type->capacity.cpus, EPSILON),
                           missing.memory / MAX(machine_type->capacity.memory, EPSILON));
-    if (machine_type->capacity.cpus > wanted_cpus * SCALE_OUT_LARGEST_FRACTION && machines < 1)
+    if (machine_type->capacity.cpus > demand_cpus * SCALE_OUT_LARGEST_FRACTION && machines < 1)
         return 0;
     return (guint)CLAMP(ceil(machines - SCALE_OUT_ROUNDING_FRACTION), 1,
                         (double)SCALE_OUT_MAX_COUNT);
 }
 
+/* Returns whether such machines may be requested: their zone is not unreachable, and the cloud has
+ * not refused them recently. */
 static bool is_available(const scale_out_choice_t *choice, const machine_candidate_t *candidate)
 {
     return !autoscaler_is_zone_unreachable(choice->autoscaler, candidate->zone, choice->now) &&
@@ -95,19 +102,20 @@
                                   candidate->zone, candidate->spot, choice->now);
 }
 
-/* Takes the candidate for the request if it may be had, is of use and costs least so far. */
-static void consider(scale_out_choice_t *choice, machine_candidate_t candidate)
+/* Makes the candidate the request if it is available and usable and costs less than the best one so
+ * far. */
+static void consider_candidate(scale_out_choice_t *choice, machine_candidate_t candidate)
 {
     const machine_type_t *machine_type = candidate.machine_type;
     double cpus = machine_type->capacity.cpus;
     candidate.is_within_guarantees =
         choice->balance->on_demand_cpus + cpus <= choice->balance->guaranteed_demand_cpus;
-    if (!is_available(choice, &candidate) || !is_useful(choice, &candidate))
+    if (!is_available(choice, &candidate) || !is_usable(choice, &candidate))
         return;
-    /* Of equals the type and zone with the fewest, so that a wave of interruptions or the loss of a
-     * zone takes fewer machines at once. */
+    /* At similar prices, the type and zone with the fewest machines is preferred, so that a wave of
+     * spot interruptions or the loss of a zone affects fewer machines at once. */
     double cost = autoscaler_price_per_cpu(machine_type, candidate.spot) *
-                  (1 + SCALE_OUT_SPREAD_FRACTION * count_same_kind(choice, &candidate));
+                  (1 + SCALE_OUT_SPREAD_FRACTION * count_matching_machines(choice, &candidate));
     if (cost >= choice->best_cost)
         return;
     if (!candidate.spot && !candidate.is_within_guarantees)
@@ -119,28 +127,30 @@
     g_strlcpy(choice->request->zone, candidate.zone, sizeof choice->request->zone);
 }
 
-/* Considers each type in each zone, on-demand and spot; wanted_cpus bounds how large a type may be.
- */
-static void consider_all(scale_out_choice_t *choice, const GArray *machine_types,
-                         resources_t missing, double wanted_cpus)
+/* Considers each machine type in each of its zones, on-demand and spot. Types that are too large in
+ * relation to demand_cpus are left out. */
+static void consider_all_types(scale_out_choice_t *choice, const GArray *machine_types,
+                               resources_t missing, double demand_cpus)
 {
     for (guint i = 0; i < machine_types->len; i++) {
         const machine_type_t *machine_type = &g_array_index(machine_types, machine_type_t, i);
-        guint count = machines_to_cover(machine_type, missing, wanted_cpus);
+        guint count = machines_to_cover(machine_type, missing, demand_cpus);
         for (char **zone = machine_type->zones; count > 0 && *zone; zone++) {
             machine_candidate_t candidate = {
                 .machine_type = machine_type, .zone = *zone, .spot = false, .count = count};
-            consider(choice, candidate);
+            consider_candidate(choice, candidate);
             candidate.spot = true;
-            consider(choice, candidate);
+            consider_candidate(choice, candidate);
         }
     }
 }
 
+/* Returns the resources to add: the demand times the headroom, less the running and the booting
+ * capacity. */
 static resources_t missing_resources(const leader_t *leader, const autoscaler_balance_t *balance)
 {
     resources_t missing = {0};
-    resources_add(&missing, balance->wanted,
+    resources_add(&missing, balance->demand,
                   tunable_value(leader->policy, TUNABLE_SCALE_OUT_HEADROOM));
     resources_add(&missing, balance->running, -1);
     resources_add(&missing, balance->booting, -1);
@@ -156,7 +166,7 @@
     resources_t missing = missing_resources(leader, &balance);
     if (missing.cpus <= 0 && missing.memory <= 0)
         return false;
-    double patience_s = tunable_value(leader->policy, TUNABLE_ON_DEMAND_PATIENCE);
+    double max_wait_s = tunable_value(leader->policy, TUNABLE_ON_DEMAND_PATIENCE);
     g_autoptr(GArray) demand = leader_demand(leader, now); /* demand_t */
     scale_out_choice_t choice = {
         .autoscaler = autoscaler,
@@ -164,13 +174,13 @@
         .balance = &balance,
         .demand = demand,
         .missing_on_demand_cpus =
-            autoscaler_justified_on_demand_cpus(leader, &balance, patience_s) -
+            autoscaler_justified_on_demand_cpus(leader, &balance, max_wait_s) -
             autoscaler_extra_on_demand_cpus(&balance),
         .now = now,
         .best_cost = INFINITY,
         .request = request};
-    consider_all(&choice, machine_types, missing, balance.wanted.cpus);
+    consider_all_types(&choice, machine_types, missing, balance.demand.cpus);
     if (isinf(choice.best_cost))
-        consider_all(&choice, machine_types, missing, INFINITY);
+        consider_all_types(&choice, machine_types, missing, INFINITY);
     return isfinite(choice.best_cost);
 }
--- a/src/core/autoscaler/zone_reachability.c
+++ b/src/core/autoscaler/zone_reachability.c
@@ -1,14 +1,14 @@
-/* Which zones can't be reached, judged by the silence of their machines. */
+/* Determines which zones are unreachable from how long their machines have been silent. */
 #include "core/autoscaler/autoscaler_internal.h"
 #include "core/autoscaler/machine_summary_iter.h"
 
-/* The machines of one zone. */
+/* The number of machines of one zone in each state. */
 typedef struct zone_machines {
-    guint open;   /* take starts */
-    guint silent; /* sent no heartbeat for too long */
+    guint accepting_starts;
+    guint silent; /* for too long */
 } zone_machines_t;
 
-/* Zone (borrowed from the summaries) -> zone_machines_t, owned. */
+/* Returns a map from the zone's name, borrowed from the summaries, to zone_machines_t, owned. */
 static GHashTable *count_machines_by_zone(const leader_t *leader, msec_t silent_ms)
 {
     GHashTable *zones = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
@@ -20,7 +20,7 @@
             machines = g_new0(zone_machines_t, 1);
             g_hash_table_insert(zones, summary->zone, machines);
         }
-        machines->open += summary->is_open;
+        machines->accepting_starts += summary->is_open;
         machines->silent += summary->silent_ms > silent_ms;
     }
     return zones;
@@ -42,7 +42,7 @@
     g_hash_table_iter_init(&iter, zones);
     while (g_hash_table_iter_next(&iter, &zone, &value)) {
         const zone_machines_t *machines = value;
-        if (machines->open > 0) {
+        if (machines->accepting_starts > 0) {
             if (g_hash_table_remove(autoscaler->unreachable_zones, zone))
                 set_zone_time(autoscaler->recovered_zones, zone, now);
         } else if (machines->silent >= LOST_MACHINES_MIN_COUNT) {
@@ -60,13 +60,13 @@
     return until && now < *until;
 }
 
-bool autoscaler_awaits_zone(const autoscaler_t *autoscaler, const char *zone, msec_t silent_ms,
-                            msec_t patience, msec_t now)
+bool autoscaler_keeps_silent_machine(const autoscaler_t *autoscaler, const char *zone,
+                                     msec_t silent_ms, msec_t grace_ms, msec_t now)
 {
-    if (silent_ms > UNREACHABLE_WAIT_MS + patience)
+    if (silent_ms > UNREACHABLE_WAIT_MS + grace_ms)
         return false;
     if (silent_ms <= UNREACHABLE_WAIT_MS && autoscaler_is_zone_unreachable(autoscaler, zone, now))
         return true;
     const msec_t *recovered_at = g_hash_table_lookup(autoscaler->recovered_zones, zone);
-    return recovered_at && now - *recovered_at <= patience;
+    return recovered_at && now - *recovered_at <= grace_ms;
 }
--- a/tests/core/autoscaler/test_autoscaler.c
+++ b/tests/core/autoscaler/test_autoscaler.c
@@ -1,4 +1,4 @@
-/* Tests of the autoscaler: which machines are scaled out, and in which zones. */
+/* Tests of the autoscaler: which machines it scales out, and which zones count as unreachable. */
 #include "core/autoscaler/autoscaler.h"
 #include "leader_fixture.h"
 #include "unit_test.h"
@@ -7,7 +7,7 @@
 static const machine_type_t machine_type = {
     .name = "t", .capacity = {16, 0, 64}, .price = 3, .spot_price = 1, .zones = zones};
 
-/* The cloud has one machine type, in one zone; array of machine_type_t. */
+/* Returns the machine types of a cloud with one type in one zone: array of machine_type_t. */
 static GArray *machine_types_new(void)
 {
     GArray *machine_types = g_array_new(FALSE, FALSE, sizeof(machine_type_t));
@@ -15,13 +15,14 @@
     return machine_types;
 }
 
-/* The cloud has no spot machines. */
+/* Records that the cloud refused spot machines, so that none are requested from now on. */
 static void record_spot_refusal(autoscaler_t *autoscaler)
 {
     scale_out_request_t refused = {.type = "t", .zone = "zone-a", .is_spot = true};
     autoscaler_record_refusal(autoscaler, &refused, G_MAXINT64);
 }
 
+/* Gives the leader summaries of this many machines in the zone, all alike. */
 static void set_summaries(leader_fixture_t *fixture, guint machines, msec_t silent_ms, bool open)
 {
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
@@ -34,23 +35,23 @@
     leader_set_summaries(fixture->leader, 0, summaries);
 }
 
-/* A new leader of one partition that also has a team without a guarantee. */
-static void lead_with_unguaranteed_team(leader_fixture_t *fixture)
+/* Makes a new leader of one partition, with an additional team that has no guarantee. */
+static void set_up_unguaranteed_team(leader_fixture_t *fixture)
 {
     add_team(fixture, "team-c", 0, 0);
     replace_leader(fixture, 1, 0);
 }
 
-/* Whether machines are scaled out for the waiting work of a team without a guarantee, while the
- * cloud has no spot machines. silent_machines: machines of the zone that were silent for long,
- * until they were terminated; after_ms: time since. */
+/* Returns whether machines are scaled out for the pending work of a team without a guarantee, while
+ * the cloud has no spot machines. silent_machines: the number of machines in the zone, all of which
+ * were silent for too long and were then terminated. after_ms: the time since. */
 static bool next_scale_out(leader_fixture_t *fixture, bool may_use_spot, guint silent_machines,
                            msec_t after_ms, scale_out_request_t *request)
 {
     g_autoptr(GArray) machine_types = machine_types_new();
     job_spec_t spec = make_job("j-000001", "team-c", 50);
     spec.may_use_spot = may_use_spot;
-    lead_with_unguaranteed_team(fixture);
+    set_up_unguaranteed_team(fixture);
     add_job(fixture, &spec);
     autoscaler_t *autoscaler = autoscaler_new();
     set_summaries(fixture, silent_machines, 9000, false);
@@ -65,22 +66,22 @@
     return is_scaling_out;
 }
 
-static void test_without_a_guarantee_spot_work_waits_for_spot(void **state)
+static void test_spot_work_beyond_the_guarantee_waits_for_spot_machines(void **state)
 {
     scale_out_request_t request;
     assert_false(next_scale_out(*state, true, 0, 0, &request));
 }
 
-static void test_work_barred_from_spot_gets_on_demand_machines(void **state)
+static void test_work_that_may_not_use_spot_gets_on_demand_machines(void **state)
 {
     scale_out_request_t request;
     assert_true(next_scale_out(*state, false, 0, 0, &request));
     assert_false(request.is_spot);
 }
 
-/* Ten spot machines exist, no more are to be had, and so many tasks wait: the number of on-demand
- * machines that are scaled out. */
-static guint count_on_demand_for(leader_fixture_t *fixture, uint32_t tasks)
+/* Returns the number of on-demand machines that are scaled out for this many pending tasks, if ten
+ * spot machines exist and no more are available. */
+static guint count_on_demand_for_tasks(leader_fixture_t *fixture, uint32_t tasks)
 {
     g_autoptr(GArray) machine_types = machine_types_new();
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
@@ -103,70 +104,76 @@
     return is_scaling_out ? request.count : 0;
 }
 
-/* Spot machines ran out, and a queue of five minutes never drained; on-demand ones for all of it
- * cost more than they were worth. */
-static void test_work_that_waits_too_long_gets_a_share_of_on_demand_machines(void **state)
+/* Guards against a long queue that never drains: no more spot machines were available and nothing
+ * was scaled out for a queue of five minutes. Also guards against on-demand machines for the whole
+ * queue, which cost more than the work was worth. */
+static void test_a_long_queue_gets_a_limited_share_of_on_demand_machines(void **state)
 {
     leader_fixture_t *fixture = *state;
     add_team(fixture, "team-c", 0, 0);
-    assert_int_equal(count_on_demand_for(fixture, 900), 0);  /* 113 s on what exists */
-    assert_int_equal(count_on_demand_for(fixture, 1100), 1); /* 138 s: 183 cpus would do it in the
-                                                                patience */
-    assert_int_equal(count_on_demand_for(fixture, 3000), 7); /* a fourth of the 500 that would */
+    /* The existing 160 cpus need 113 s, which is less than the maximum wait of 120 s. */
+    assert_int_equal(count_on_demand_for_tasks(fixture, 900), 0);
+    /* The existing cpus would need 138 s; 183 cpus would complete the work in the maximum wait. */
+    assert_int_equal(count_on_demand_for_tasks(fixture, 1100), 1);
+    /* 500 cpus would complete the work in the maximum wait; a fourth of them is the limit. */
+    assert_int_equal(count_on_demand_for_tasks(fixture, 3000), 7);
 }
 
-/* A zone went silent as a whole and its machines were terminated: what was scaled out there at once
- * booted, cost, and could not be reached either. */
+/* Guards against scaling out in a zone that is cut off from the network: all machines of a zone
+ * fell silent and were terminated, and the new machines that were scaled out in the same zone at
+ * once cost money and could not be reached either. */
 static void test_nothing_is_scaled_out_in_an_unreachable_zone(void **state)
 {
     scale_out_request_t request;
     assert_false(next_scale_out(*state, false, 3, UNREACHABLE_ZONE_MS - 1, &request));
-    assert_true(next_scale_out(*state, false, 2, 0, &request)); /* two may have failed */
+    /* Two silent machines do not show that the zone is cut off: they may have failed. */
+    assert_true(next_scale_out(*state, false, 2, 0, &request));
 }
 
-static void test_a_zone_is_unreachable_for_a_while_only(void **state)
+static void test_a_zone_stops_being_unreachable_after_the_timeout(void **state)
 {
     scale_out_request_t request;
     assert_true(next_scale_out(*state, false, 3, UNREACHABLE_ZONE_MS, &request));
 }
 
-/* A cut ended after 40 s, and the zone stayed without new machines for a minute more. */
-static void test_a_zone_that_reports_again_is_reachable(void **state)
+/* Guards against a zone that still counts as unreachable after its machines have reconnected: the
+ * zone was cut off for 40 s, and no machines were scaled out in it for a minute after that. */
+static void test_a_zone_whose_machines_reconnect_is_reachable(void **state)
 {
     leader_fixture_t *fixture = *state;
-    lead_with_unguaranteed_team(fixture);
+    set_up_unguaranteed_team(fixture);
     autoscaler_t *autoscaler = autoscaler_new();
     set_summaries(fixture, 5, 9000, false);
     g_ptr_array_unref(autoscaler_update_zones(autoscaler, fixture->leader, 6000, 1000));
     assert_true(autoscaler_is_zone_unreachable(autoscaler, "zone-a", 1000));
-    assert_true(autoscaler_awaits_zone(autoscaler, "zone-a", 40000, 20000, 1000));
-    assert_false(
-        autoscaler_awaits_zone(autoscaler, "zone-a", UNREACHABLE_WAIT_MS + 1, 20000, 1000));
+    assert_true(autoscaler_keeps_silent_machine(autoscaler, "zone-a", 40000, 20000, 1000));
+    assert_false(autoscaler_keeps_silent_machine(autoscaler, "zone-a", UNREACHABLE_WAIT_MS + 1,
+                                                 20000, 1000));
     set_summaries(fixture, 5, 0, true);
     g_ptr_array_unref(autoscaler_update_zones(autoscaler, fixture->leader, 6000, 2000));
     assert_false(autoscaler_is_zone_unreachable(autoscaler, "zone-a", 2000));
-    /* Its other machines were terminated the moment that the first was back. */
-    assert_true(autoscaler_awaits_zone(autoscaler, "zone-a", 42000, 20000, 2500));
-    assert_false(autoscaler_awaits_zone(autoscaler, "zone-a", 42000, 20000, 22001));
-    assert_false(autoscaler_awaits_zone(autoscaler, "zone-b", 42000, 20000, 2500));
+    /* Guards against terminating the zone's other machines as soon as the first one reconnects. */
+    assert_true(autoscaler_keeps_silent_machine(autoscaler, "zone-a", 42000, 20000, 2500));
+    assert_false(autoscaler_keeps_silent_machine(autoscaler, "zone-a", 42000, 20000, 22001));
+    assert_false(autoscaler_keeps_silent_machine(autoscaler, "zone-b", 42000, 20000, 2500));
     autoscaler_free(autoscaler);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_without_a_guarantee_spot_work_waits_for_spot,
+        cmocka_unit_test_setup_teardown(test_spot_work_beyond_the_guarantee_waits_for_spot_machines,
                                         set_up_leader, tear_down_leader),
         cmocka_unit_test_setup_teardown(test_nothing_is_scaled_out_in_an_unreachable_zone,
                                         set_up_leader, tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_a_zone_is_unreachable_for_a_while_only, set_up_leader,
-                                        tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_a_zone_that_reports_again_is_reachable, set_up_leader,
-                                        tear_down_leader),
+        cmocka_unit_test_setup_teardown(test_a_zone_stops_being_unreachable_after_the_timeout,
+                                        set_up_leader, tear_down_leader),
+        cmocka_unit_test_setup_teardown(test_a_zone_whose_machines_reconnect_is_reachable,
+                                        set_up_leader, tear_down_leader),
         cmocka_unit_test_setup_teardown(
-            test_work_that_waits_too_long_gets_a_share_of_on_demand_machines, set_up_leader,
+            test_a_long_queue_gets_a_limited_share_of_on_demand_machines, set_up_leader,
             tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_work_barred_from_spot_gets_on_demand_machines,
+        cmocka_unit_test_setup_teardown(test_work_that_may_not_use_spot_gets_on_demand_machines,
                                         set_up_leader, tear_down_leader),
     };
     return cmocka_run_group_tests_name("autoscaler", tests, NULL, NULL);
