--- a/src/core/autoscaler/scale_in_choice.c
+++ b/src/core/autoscaler/scale_in_choice.c
@@ -50,8 +50,8 @@
     return is_unjustified || !is_needed(choice, summary);
 }
 
-/* Returns the machine's rank; the machine with the highest rank is scaled in first. A higher price
- * per cpu and a lower load raise the rank, because a less loaded machine is empty sooner. */
+/* Returns the machine's rank; the machine with the highest rank is scaled in first. The rank rises
+ * with the price per cpu and falls with the load, because a less loaded machine is empty sooner. */
 static double scale_in_rank(const scale_in_choice_t *choice, const machine_summary_t *summary)
 {
     const machine_type_t *machine_type =
