--- a/src/controller/api/health.c
+++ b/src/controller/api/health.c
@@ -1,4 +1,4 @@
-/* Whether this controller should get users' requests. */
+/* Decides whether this controller serves users' requests. */
 #include "controller/api/health.h"
 
 #include "controller/controller.h"
@@ -13,7 +13,7 @@
     return state == CONNECTIVITY_REFUSED || state == CONNECTIVITY_NONE;
 }
 
-bool api_must_shed(controller_t *controller)
+bool api_must_shed_load(controller_t *controller)
 {
     pthread_mutex_lock(&controller->lock);
     bool is_isolated = is_isolated_locked(controller);
@@ -24,9 +24,10 @@
 reply_t api_ready(controller_t *controller)
 {
     pthread_mutex_lock(&controller->lock);
-    /* Isolated alone, this controller should get no users. In an outage that affects all
-     * controllers, all stay ready: each removal by the load balancer lasts longer than the one
-     * before. */
+    /* A controller that is isolated from the key-value store while its siblings are served is not
+     * ready, so that the load balancer sends users to the siblings. In an outage that affects all
+     * controllers, all of them stay ready, because the load balancer removes a controller for
+     * longer each time. */
     bool is_ready = controller->placement.machine_types->len > 0 && controller->jobs.is_synced &&
                     !is_isolated_locked(controller);
     pthread_mutex_unlock(&controller->lock);
--- a/src/controller/api/http_response.c
+++ b/src/controller/api/http_response.c
@@ -1,13 +1,14 @@
-/* Turns replies into responses of libmicrohttpd. */
+/* Converts replies to libmicrohttpd responses. */
 #include "controller/api/http_response.h"
 
 #include <string.h>
 
 #include "io/codec/codec.h"
 
-/* The response to heartbeats that call for no commands. It is the same for all workers of a view,
- * so each HTTP thread builds it once and keeps it. */
-static struct MHD_Response *unchanged_heartbeat_response(uint64_t fencing_token)
+/* Returns the response to a heartbeat whose reply has no commands. It depends on the fencing token
+ * alone, so each HTTP thread caches one response and rebuilds it when the token changes. The
+ * response is transfer none. */
+static struct MHD_Response *no_commands_response(uint64_t fencing_token)
 {
     static _Thread_local struct MHD_Response *response;
     static _Thread_local uint64_t built_for_token;
@@ -24,7 +25,7 @@
     return response;
 }
 
-/* text: transfer full; NULL: an empty body. */
+/* Returns a response with the text (transfer full; NULL for an empty body) as its body. */
 static struct MHD_Response *new_response(char *text, const char *content_type)
 {
     static char empty[] = "";
@@ -42,7 +43,7 @@
     MHD_add_response_header(response, "Retry-After", seconds);
 }
 
-/* body: transfer full; NULL: an empty body. */
+/* Returns a response with the JSON value (transfer full; NULL for an empty body) as its body. */
 static struct MHD_Response *new_json_response(json_t *body)
 {
     char *text = body ? json_dumps(body, JSON_COMPACT | JSON_REAL_PRECISION(9)) : NULL;
@@ -51,9 +52,9 @@
 }
 
 static enum MHD_Result send_response(struct MHD_Connection *connection, const reply_t *reply,
-                                     bool is_closing, struct MHD_Response *response)
+                                     bool must_close, struct MHD_Response *response)
 {
-    if (is_closing)
+    if (must_close)
         MHD_add_response_header(response, "Connection", "close");
     if (reply->retry_after_s)
         add_retry_after(response, reply->retry_after_s);
@@ -63,17 +64,17 @@
 }
 
 enum MHD_Result http_response_send(struct MHD_Connection *connection, reply_t reply,
-                                   bool is_closing)
+                                   bool must_close)
 {
     switch (reply.kind) {
-    case REPLY_UNCHANGED_HEARTBEAT:
+    case REPLY_NO_COMMANDS:
         return MHD_queue_response(connection, reply.status,
-                                  unchanged_heartbeat_response(reply.fencing_token));
+                                  no_commands_response(reply.fencing_token));
     case REPLY_TEXT:
-        return send_response(connection, &reply, is_closing,
+        return send_response(connection, &reply, must_close,
                              new_response(reply.text, "text/plain"));
     case REPLY_JSON:
-        return send_response(connection, &reply, is_closing, new_json_response(reply.body));
+        return send_response(connection, &reply, must_close, new_json_response(reply.body));
     }
     return MHD_NO;
 }
--- a/src/controller/api/http_response.h
+++ b/src/controller/api/http_response.h
@@ -10,10 +10,11 @@
 
 #include "controller/api/reply.h"
 
-/** Queues the reply, transfer full, on the connection. @p is_closing: the connection is closed
- * after it, except after an unchanged heartbeat. Returns what the access handler of the HTTP server
- * has to return. Called on the HTTP thread of the connection, without any lock. */
+/** Queues the reply, transfer full, on the connection. If @p must_close is true, the connection is
+ * closed after the reply, unless the reply's kind is REPLY_NO_COMMANDS. Returns the value that the
+ * access handler of the HTTP server must return. Called on the HTTP thread of the connection,
+ * without any lock. */
 enum MHD_Result http_response_send(struct MHD_Connection *connection, reply_t reply,
-                                   bool is_closing);
+                                   bool must_close);
 
 #endif
--- a/src/controller/api/http_server.c
+++ b/src/controller/api/http_server.c
@@ -1,13 +1,14 @@
 /* Serves users and workers over HTTP.
  *
- * A few threads of the HTTP server hold all connections and serve what needs no other service:
- * workers' heartbeats, /ready and /metrics. Requests that may have to wait for the key-value store
- * go to the request pool, and their connections are suspended meanwhile. So no user's request is
- * ever ahead of a worker's heartbeat, and the number of threads does not grow with the fleet.
- * (With a thread for each connection, at 600 machines the accepting thread now and then stopped
- * for good, waiting for a thread that had ended.)
+ * HTTP_THREADS_COUNT threads of the HTTP server handle all connections. They serve the requests
+ * that need no other service themselves: workers' heartbeats, /ready and /metrics. Requests that
+ * may have to wait for the key-value store go to the request pool, and their connections are
+ * suspended until the reply is ready. A worker's heartbeat therefore never waits behind a user's
+ * request, and the number of threads does not grow with the number of machines. A thread for each
+ * connection is not used: with 600 machines, the accepting thread occasionally blocked forever,
+ * waiting for a thread that had already ended.
  *
- * Users' requests go straight to the key-value store; only a rate limiter stands between. */
+ * Users' requests are executed on the key-value store directly, subject to a rate limit. */
 #include "controller/api/http_server.h"
 
 #include <arpa/inet.h>
@@ -34,29 +35,31 @@
         metrics_count(controller->metrics, COUNT_REFUSED, 1);
 }
 
-/* A worker that finds no connection loses its lease, while a user retries: above three quarters of
- * the limit, users' connections are closed after their reply. */
+/* Returns whether the connection must be closed after its reply. Above three quarters of the
+ * connection limit, only workers' connections are kept open: a worker that cannot connect loses its
+ * lease, whereas a user can retry. */
 static bool must_close_connection(controller_t *controller, const char *path)
 {
     guint limit = controller->settings->connections;
-    bool is_crowded = atomic_load(&controller->requests.open_connections) >
-                      limit - limit / WORKER_CONNECTIONS_DIVISOR;
-    return is_crowded && strcmp(path, "/hello") != 0;
+    bool is_near_limit = atomic_load(&controller->requests.open_connections) >
+                         limit - limit / WORKER_CONNECTIONS_DIVISOR;
+    return is_near_limit && strcmp(path, "/hello") != 0;
 }
 
 static enum MHD_Result send_reply(request_t *request, const char *path)
 {
     controller_t *controller = request->controller;
-    request->is_answered = false;
+    request->has_unsent_reply = false;
     count_reply(controller, &request->reply);
     return http_response_send(request->connection, request->reply,
                               must_close_connection(controller, path));
 }
 
-/* Called when the whole request has arrived, and again when its suspended connection goes on. */
+/* Called when the whole request has arrived and, if it was queued, again when its suspended
+ * connection is resumed. */
 static enum MHD_Result answer_request(request_t *request, const char *method, const char *path)
 {
-    if (!request->is_answered) {
+    if (!request->has_unsent_reply) {
         if (api_is_served_without_waiting(path))
             request->reply = api_route(request, method, path);
         else if (request_pool_enqueue(request, method, path))
@@ -65,8 +68,9 @@
     return send_reply(request, path);
 }
 
-/* The access handler: called for the headers of a request, for each part of its body, at its end,
- * and when its connection is resumed. *context is its request_t, owned. */
+/* The access handler. libmicrohttpd calls it for the headers of a request, for each part of the
+ * request's body, at the end of the request, and when its suspended connection is resumed. *context
+ * is the request_t, which the connection owns. */
 static enum MHD_Result handle_access(void *data, struct MHD_Connection *connection,
                                      const char *path, const char *method, const char *version,
                                      const char *upload, size_t *upload_size, void **context)
@@ -131,8 +135,8 @@
         settings->connections, MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_BUFFER_BYTES,
         MHD_OPTION_THREAD_STACK_SIZE, (size_t)THREAD_STACK_BYTES,
         MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U,
-        /* Peers behind a network partition, or that hang, never close: without a limit their
-         * sockets would add up to the connection limit. */
+        /* Clients that hang or are cut off by a network partition never close their connections.
+         * Without a timeout, such connections would accumulate up to the connection limit. */
         MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)CONNECTION_IDLE_S, MHD_OPTION_END);
     if (!daemon)
         log_error("event=listen_failed address=%s", settings->client_listen);
--- a/src/controller/api/http_server.h
+++ b/src/controller/api/http_server.h
@@ -8,8 +8,9 @@
 
 #include <stdbool.h>
 
-/** Starts the HTTP server and the request pool. Returns false if it can't listen on the address in
- * the settings; an error was logged. Called once, by the starting thread. */
+/** Starts the HTTP server and the request pool. Returns false, after logging an error, if the
+ * server cannot listen on the address in the settings. Called once, by the thread that starts the
+ * controller. */
 bool http_server_start(controller_t *controller);
 
 #endif
--- a/src/controller/api/job_state.c
+++ b/src/controller/api/job_state.c
@@ -1,4 +1,4 @@
-/* What this controller and the key-value store know of a job, read for users. */
+/* Reads a job's state from this controller's memory and from the key-value store. */
 #include "controller/api/job_state.h"
 
 #include "controller/api/kv_access.h"
@@ -18,7 +18,7 @@
     return JOB_CANCELLED;
 }
 
-known_job_t api_known_job(controller_t *controller, const char *id)
+known_job_t api_get_known_job(controller_t *controller, const char *id)
 {
     if (!codec_is_job_id(id))
         return (known_job_t){.state = JOB_NOT_FOUND};
@@ -61,7 +61,7 @@
     return result == KV_NOT_FOUND ? JOB_NOT_FOUND : JOB_UNKNOWN;
 }
 
-job_state_t api_look_up(request_t *request, const char *id, bool is_likely_live)
+job_state_t api_read_job_state(request_t *request, const char *id, bool is_likely_live)
 {
     job_state_t state = is_likely_live ? JOB_NOT_FOUND : read_terminal_state(request, id);
     if (state == JOB_NOT_FOUND)
--- a/src/controller/api/jobs.c
+++ b/src/controller/api/jobs.c
@@ -1,4 +1,4 @@
-/* Users' submissions and aborts. */
+/* Serves users' submissions and aborts of jobs. */
 #include "controller/api/jobs.h"
 
 #include <string.h>
@@ -14,36 +14,40 @@
 #include "io/log.h"
 #include "io/records.h"
 
-/* Whether a submission can be accepted, as far as quotas and machine types tell. */
+/* Whether the team's quota and the machine types permit a submission. */
 typedef enum {
     SUBMISSION_ACCEPTABLE,
-    SUBMISSION_UNDECIDED, /* the machine types are not known yet */
+    SUBMISSION_UNDECIDED, /* the machine types are not known yet, so nothing can be decided */
     SUBMISSION_UNKNOWN_TEAM,
     SUBMISSION_OVER_QUOTA,
     SUBMISSION_FITS_NO_MACHINE
 } submission_verdict_t;
 
-static reply_t look_up_accepted(request_t *request, const char *id)
+/* Returns the status of the job if it was accepted earlier, 404 if it was not, or a refusal that
+ * asks the client to retry. */
+static reply_t look_up_accepted_job(request_t *request, const char *id)
 {
     controller_t *controller = request->controller;
-    if (api_must_shed(controller))
+    if (api_must_shed_load(controller))
         return api_retry_later();
-    /* Reads for submissions that can't be accepted are limited: anybody can send any number. */
+    /* The rate of reads for unacceptable submissions is limited, because a client can send any
+     * number of them. */
     if (!rate_limiter_take(&controller->api_request_limiter, 1, clock_steady()))
         return api_refuse(HTTP_TOO_MANY_REQUESTS, "too many requests", 2);
-    if (!api_acquire_client(request))
+    if (!api_acquire_kv_client(request))
         return api_retry_later();
-    return api_status_reply(controller, id, api_look_up(request, id, true));
+    return api_status_reply(controller, id, api_read_job_state(request, id, true));
 }
 
-/* Returns the reply to a submission that can't be accepted as it is. If its id is that of an
- * accepted job, it is a repeat, whatever else it says, and gets that job's status; else it gets
- * refusal, which is taken over. */
+/* Returns the reply to a submission that cannot be accepted. If its id is that of an accepted job,
+ * the submission counts as a repeat, whatever its other fields contain, and the reply is that job's
+ * status. Otherwise the reply is the refusal (transfer full), or asks the client to retry if it
+ * cannot be determined whether the job was accepted. */
 static reply_t refuse_unless_repeated(request_t *request, const char *id, reply_t refusal)
 {
     if (!codec_is_job_id(id))
         return refusal;
-    reply_t accepted = look_up_accepted(request, id);
+    reply_t accepted = look_up_accepted_job(request, id);
     if (accepted.status == HTTP_NOT_FOUND) {
         api_reply_clear(&accepted);
         return refusal;
@@ -52,8 +56,8 @@
     return accepted;
 }
 
-/* An array runs as its team's quota permits, a task at a time if need be; any other job as a whole.
- */
+/* Returns whether the job can never run within its team's quota. A job of kind KIND_ARRAY can run
+ * one task at a time, so only a single task must fit. All tasks of any other job run at once. */
 static bool exceeds_quota(const job_spec_t *spec, const team_t *team)
 {
     double tasks = spec->kind == KIND_ARRAY ? 1 : spec->tasks;
@@ -106,31 +110,31 @@
     case KV_COMPACTED:
         break;
     }
-    job_state_t state = api_look_up(request, spec->id, true);
+    job_state_t state = api_read_job_state(request, spec->id, true);
     if (state == JOB_NOT_FOUND)
-        return api_retry_later(); /* the commit got no answer and has not been applied so far */
+        return api_retry_later(); /* the commit was not answered and has not taken effect so far */
     return api_status_reply(request->controller, spec->id, state);
 }
 
-static reply_t submit_acceptable(request_t *request, job_spec_t *spec)
+static reply_t submit_acceptable_job(request_t *request, job_spec_t *spec)
 {
     controller_t *controller = request->controller;
-    if (api_must_shed(controller))
+    if (api_must_shed_load(controller))
         return api_retry_later();
     if (!rate_limiter_take(&controller->api_write_limiter, 1, clock_steady()))
         return api_refuse(HTTP_TOO_MANY_REQUESTS, "too many submissions", 2);
-    if (!api_acquire_client(request))
+    if (!api_acquire_kv_client(request))
         return api_retry_later();
     spec->submitted_ms = clock_day();
     return commit_job(request, spec);
 }
 
-static reply_t refuse_unprocessable(request_t *request, const char *id, const char *why)
+static reply_t refuse_unprocessable(request_t *request, const char *id, const char *message)
 {
-    return refuse_unless_repeated(request, id, api_refuse(HTTP_UNPROCESSABLE, why, 0));
+    return refuse_unless_repeated(request, id, api_refuse(HTTP_UNPROCESSABLE, message, 0));
 }
 
-static reply_t submit_job(request_t *request, job_spec_t *spec)
+static reply_t submit_parsed_job(request_t *request, job_spec_t *spec)
 {
     switch (check_submission(request->controller, spec)) {
     case SUBMISSION_UNDECIDED:
@@ -146,10 +150,10 @@
     case SUBMISSION_ACCEPTABLE:
         break;
     }
-    return submit_acceptable(request, spec);
+    return submit_acceptable_job(request, spec);
 }
 
-static reply_t submit(request_t *request)
+static reply_t parse_and_submit(request_t *request)
 {
     const GString *text = request->body;
     json_t *partial;
@@ -157,23 +161,23 @@
     char id[ID_BYTES];
     job_spec_t spec;
     g_autoptr(GError) error = NULL;
-    bool is_valid = !request->is_too_long && codec_parse_job(body, false, &spec, &error);
+    bool is_valid = !request->is_body_too_long && codec_parse_job(body, false, &spec, &error);
     codec_get_submitted_id(partial, id, sizeof id);
     json_decref(body);
     json_decref(partial);
     if (is_valid) {
-        reply_t reply = submit_job(request, &spec);
+        reply_t reply = submit_parsed_job(request, &spec);
         job_spec_clear(&spec);
         return reply;
     }
-    const char *fault = request->is_too_long ? "the body is over 64 KiB" : error->message;
-    return refuse_unless_repeated(request, id, api_refuse(HTTP_BAD_REQUEST, fault, 0));
+    const char *message = request->is_body_too_long ? "the body is over 64 KiB" : error->message;
+    return refuse_unless_repeated(request, id, api_refuse(HTTP_BAD_REQUEST, message, 0));
 }
 
 reply_t api_submit(request_t *request)
 {
     msec_t started_at = clock_steady();
-    reply_t reply = submit(request);
+    reply_t reply = parse_and_submit(request);
     metrics_time(request->controller->metrics, TIME_SUBMIT, clock_steady() - started_at);
     return reply;
 }
@@ -189,11 +193,11 @@
     return result;
 }
 
-/* What an attempt to cancel a job came to. */
+/* The result of an attempt to cancel a job. */
 typedef enum {
     CANCEL_COMMITTED,
     CANCEL_NOT_EXECUTED,
-    CANCEL_UNDECIDED /* it is not live, or the answer was lost: its state has to be looked up */
+    CANCEL_UNDECIDED /* not live, or the commit was not answered: the job's state must be read */
 } cancel_result_t;
 
 static cancel_result_t cancel_if_live(request_t *request, const char *id)
@@ -236,16 +240,16 @@
     case CANCEL_UNDECIDED:
         break;
     }
-    /* A reply to an abort tells terminal states only. */
-    state = api_look_up(request, id, true);
+    /* A successful reply to an abort always names a terminal state. */
+    state = api_read_job_state(request, id, true);
     return state == JOB_LIVE ? api_retry_later() : api_status_reply(controller, id, state);
 }
 
 reply_t api_abort(request_t *request, const char *id)
 {
-    known_job_t known = api_known_job(request->controller, id);
+    known_job_t known = api_get_known_job(request->controller, id);
     reply_t reply;
-    if (api_answer_at_once(request, id, &known, &reply))
+    if (api_reply_without_lookup(request, id, &known, &reply))
         return reply;
-    return api_acquire_client(request) ? abort_job(request, id) : api_retry_later();
+    return api_acquire_kv_client(request) ? abort_job(request, id) : api_retry_later();
 }
--- a/src/controller/api/kv_access.h
+++ b/src/controller/api/kv_access.h
@@ -1,6 +1,6 @@
 /** @file
- * A request's calls to the key-value store: within its deadlines and counted against the rate limit
- * for users' requests.
+ * Calls to the key-value store on behalf of a request. They end by the request's deadline and count
+ * against the rate limit for users' requests.
  *
  * All functions are called without the controller's lock, by the thread that serves the request.
  */
@@ -10,22 +10,26 @@
 #include "controller/api/request.h"
 #include "io/kv_store.h"
 
-/** Returns whether the request has a connection to the key-value store; waits for one until its
- * wait deadline. It keeps the connection until api_release_client(). */
-bool api_acquire_client(request_t *request);
+/** Acquires a connection to the key-value store for the request, unless it has one. Waits for a
+ * free connection until the request's wait deadline. Returns false if none became free. The request
+ * keeps the connection until api_release_kv_client(). */
+bool api_acquire_kv_client(request_t *request);
 
-/** Gives the request's connection back, if it has one. */
-void api_release_client(request_t *request);
+/** Returns the request's connection to the key-value store to the pool, if the request has one. */
+void api_release_kv_client(request_t *request);
 
-/** Commits the transaction, transfer none, on the request's connection. Returns as kv_commit(), and
- * KV_NOT_EXECUTED also after the deadline. @p failed: as for kv_commit(). */
+/** Commits the transaction (transfer none) on the request's connection. Returns the result of
+ * kv_commit(), or KV_NOT_EXECUTED if the request's deadline has passed. @p failed receives the keys
+ * whose conditions failed, as in kv_commit(); it may be NULL. */
 kv_result_t api_commit(request_t *request, const kv_txn_t *txn, GPtrArray *failed);
 
-/** Reads the key `<prefix>/<id>` on the request's connection. @p entry must be cleared by
- * api_entry_clear(). Returns as kv_get(), and KV_NOT_EXECUTED also after the deadline. */
+/** Reads the key `<prefix>/<id>` on the request's connection. Returns the result of kv_get(), or
+ * KV_NOT_EXECUTED if the request's deadline has passed. @p entry must be initialized with zeros;
+ * the caller clears it with api_entry_clear(). */
 kv_result_t api_read_key(request_t *request, const char *prefix, const char *id, kv_entry_t *entry);
 
-/** Frees what the entry holds. An entry of zeros holds nothing. */
+/** Frees the entry's key and value and sets the entry to zeros. Does nothing to an entry of zeros.
+ */
 void api_entry_clear(kv_entry_t *entry);
 
 #endif
--- a/src/controller/api/kv_client_pool.c
+++ b/src/controller/api/kv_client_pool.c
@@ -1,4 +1,4 @@
-/* Lends connections to the key-value store. */
+/* A pool of connections to the key-value store. */
 #include "controller/api/kv_client_pool.h"
 
 #include "controller/controller.h"
--- a/src/controller/api/kv_client_pool.h
+++ b/src/controller/api/kv_client_pool.h
@@ -1,5 +1,5 @@
 /** @file
- * The connections to the key-value store that users' requests share.
+ * A pool of connections to the key-value store, shared by users' requests.
  */
 #ifndef PEPPERPULLEY_KV_CLIENT_POOL_H
 #define PEPPERPULLEY_KV_CLIENT_POOL_H
@@ -11,16 +11,18 @@
 
 /** The pool. Guarded by the controller's lock. */
 typedef struct kv_client_pool {
-    http_client_t *clients[API_KV_CLIENTS_COUNT]; /**< Owned; those below free_count are free. */
-    guint free_count;                             /**< How many are free. */
-    pthread_cond_t available;                     /**< Signalled when a client is returned. */
+    http_client_t *clients[API_KV_CLIENTS_COUNT]; /**< Owned. The first free_count entries are the
+                                                     free clients; the others are not valid. */
+    guint free_count;                             /**< Number of free clients. */
+    pthread_cond_t available;                     /**< Signalled when a client is released. */
 } kv_client_pool_t;
 
-/** Borrows a client, waiting for one until @p deadline. Returns transfer none, to be given back by
- * kv_client_pool_release(); NULL: none became free. Called without the lock. */
+/** Acquires a client, waiting for a free one until @p deadline (steady clock, ms). Returns the
+ * client (transfer none; kv_client_pool_release() must follow), or NULL if none became free. Called
+ * without the lock. */
 http_client_t *kv_client_pool_acquire(controller_t *controller, msec_t deadline);
 
-/** Gives back a client that was acquired. Called without the lock. */
+/** Returns an acquired client to the pool. Called without the lock. */
 void kv_client_pool_release(controller_t *controller, http_client_t *client);
 
 #endif
--- a/src/controller/api/reply.c
+++ b/src/controller/api/reply.c
@@ -16,15 +16,14 @@
     return (reply_t){.kind = REPLY_TEXT, .status = HTTP_OK, .text = text};
 }
 
-reply_t api_reply_unchanged_heartbeat(uint64_t fencing_token)
+reply_t api_reply_no_commands(uint64_t fencing_token)
 {
-    return (reply_t){
-        .kind = REPLY_UNCHANGED_HEARTBEAT, .status = HTTP_OK, .fencing_token = fencing_token};
+    return (reply_t){.kind = REPLY_NO_COMMANDS, .status = HTTP_OK, .fencing_token = fencing_token};
 }
 
-reply_t api_refuse(unsigned status, const char *why, unsigned retry_after_s)
+reply_t api_refuse(unsigned status, const char *message, unsigned retry_after_s)
 {
-    reply_t reply = api_reply_json(status, codec_build_error(why));
+    reply_t reply = api_reply_json(status, codec_build_error(message));
     reply.retry_after_s = retry_after_s;
     return reply;
 }
@@ -45,7 +44,7 @@
         free(reply->text);
         reply->text = NULL;
         break;
-    case REPLY_UNCHANGED_HEARTBEAT:
+    case REPLY_NO_COMMANDS:
         break;
     }
 }
--- a/src/controller/api/request.c
+++ b/src/controller/api/request.c
@@ -1,4 +1,4 @@
-/* A request's making, body and end. */
+/* Creates and frees requests and collects their bodies. */
 #include "controller/api/request.h"
 
 request_t *request_new(controller_t *controller, struct MHD_Connection *connection)
@@ -12,14 +12,15 @@
 
 void request_append_body(request_t *request, const char *data, gsize length)
 {
-    request->is_too_long = request->is_too_long || request->body->len + length > BODY_MAX_BYTES;
-    if (!request->is_too_long)
+    request->is_body_too_long =
+        request->is_body_too_long || request->body->len + length > BODY_MAX_BYTES;
+    if (!request->is_body_too_long)
         g_string_append_len(request->body, data, (gssize)length);
 }
 
 void request_free(request_t *request)
 {
-    if (request->is_answered) /* its connection was closed before the reply was sent */
+    if (request->has_unsent_reply) /* the connection was closed before the reply was sent */
         api_reply_clear(&request->reply);
     g_string_free(request->body, TRUE);
     g_free(request);
--- a/src/controller/api/request.h
+++ b/src/controller/api/request.h
@@ -1,9 +1,9 @@
 /** @file
  * One HTTP request of a user or a worker, from its first byte to its reply.
  *
- * It belongs to its connection. An HTTP thread holds it until it is queued, one thread of the
- * request pool while it is served, and an HTTP thread again from then on; no two at a time, so it
- * needs no lock.
+ * A request belongs to its connection. It is used by one thread at a time, so it needs no lock: by
+ * an HTTP thread until it is queued, then by one thread of the request pool while it is served, and
+ * then by an HTTP thread again.
  */
 #ifndef PEPPERPULLEY_API_REQUEST_H
 #define PEPPERPULLEY_API_REQUEST_H
@@ -17,26 +17,31 @@
 /** One request. */
 typedef struct request {
     controller_t *controller;          /**< Transfer none. */
-    GString *body;                     /**< Owned; of a body that is too long, its beginning. */
-    bool is_too_long;                  /**< The body exceeds BODY_MAX_BYTES. */
+    GString *body;                     /**< Owned; only the beginning if the body is too long. */
+    bool is_body_too_long;             /**< The body exceeds BODY_MAX_BYTES. */
     struct MHD_Connection *connection; /**< Transfer none. */
-    http_client_t *client; /**< Its connection to the key-value store, lent by the client pool;
-                              NULL: none yet. */
-    msec_t wait_deadline;  /**< It is refused if it has no thread or no such connection by then. */
-    msec_t deadline; /**< No call to the key-value store lasts beyond this, nor begins after it. */
-    char method[METHOD_BYTES];     /**< Copied when it is queued. */
-    char path[REQUEST_PATH_BYTES]; /**< Copied when it is queued. */
-    bool is_answered;              /**< The reply is ready and was not taken to be sent yet. */
-    reply_t reply;                 /**< Owned while is_answered. */
+    http_client_t *kv_client; /**< Its connection to the key-value store, borrowed from the pool;
+                                 NULL: none acquired yet. */
+    msec_t wait_deadline; /**< Steady clock, ms: the request is refused if it has no thread or no
+                             connection to the key-value store by then. */
+    msec_t deadline;      /**< Steady clock, ms: no call to the key-value store lasts longer or
+                             begins later. */
+    char method[METHOD_BYTES];     /**< Copied when the request is queued. */
+    char path[REQUEST_PATH_BYTES]; /**< Copied when the request is queued. */
+    bool has_unsent_reply;         /**< A thread of the request pool has set the reply, and no
+                                      HTTP thread has taken it to send it yet. */
+    reply_t reply;                 /**< Owned while has_unsent_reply is true. */
 } request_t;
 
-/** Returns a new request without a body, transfer full. Both arguments are transfer none. */
+/** Returns a new request with an empty body (transfer full; request_free()). Both arguments are
+ * transfer none. */
 request_t *request_new(controller_t *controller, struct MHD_Connection *connection);
 
-/** Appends to the body, or marks it as too long. */
+/** Appends @p length bytes of @p data to the body. If the body exceeds BODY_MAX_BYTES, marks it as
+ * too long and ignores this and all later data. */
 void request_append_body(request_t *request, const char *data, gsize length);
 
-/** Frees the request, with a reply that was not sent. */
+/** Frees the request, including a reply that was not sent. */
 void request_free(request_t *request);
 
 #endif
--- a/src/controller/api/request_pool.c
+++ b/src/controller/api/request_pool.c
@@ -1,4 +1,4 @@
-/* Queues requests and serves them on threads of the pool. */
+/* Queues requests and serves them on the threads of the pool. */
 #include "controller/api/request_pool.h"
 
 #include <string.h>
@@ -16,11 +16,12 @@
     return api_refuse(HTTP_UNAVAILABLE, "too many requests wait here", 1);
 }
 
-/* Sets the reply and lets the connection go on. The request belongs to an HTTP thread after it. */
+/* Sets the reply and resumes the connection. The caller must not use the request afterwards,
+ * because it belongs to an HTTP thread again. */
 static void complete_request(request_t *request, reply_t reply)
 {
     request->reply = reply;
-    request->is_answered = true;
+    request->has_unsent_reply = true;
     MHD_resume_connection(request->connection);
 }
 
@@ -29,11 +30,11 @@
     bool is_expired = clock_steady() >= request->wait_deadline;
     reply_t reply =
         is_expired ? refuse_overload() : api_route(request, request->method, request->path);
-    api_release_client(request);
+    api_release_kv_client(request);
     complete_request(request, reply);
 }
 
-/* Takes the next request from the queue; waits for one. */
+/* Removes and returns the oldest request in the queue. Waits if the queue is empty. */
 static request_t *take_request(request_pool_t *pool)
 {
     pthread_mutex_lock(&pool->lock);
@@ -56,20 +57,23 @@
     return NULL;
 }
 
-/* Waits until the next request expires or, while none waits, until all workers are busy. */
+/* Waits until the earliest wait deadline in the queue. If the queue is empty, waits until a request
+ * is queued while all workers are busy. */
 static void wait_for_expiry_locked(request_pool_t *pool)
 {
-    msec_t next = request_queue_next(&pool->queue);
-    if (next == G_MAXINT64) {
+    msec_t next_deadline = request_queue_next(&pool->queue);
+    if (next_deadline == G_MAXINT64) {
         pthread_cond_wait(&pool->workers_busy, &pool->lock);
         return;
     }
-    struct timespec at = {.tv_sec = next / MS_PER_S, .tv_nsec = next % MS_PER_S * NS_PER_MS};
-    pthread_cond_timedwait(&pool->workers_busy, &pool->lock, &at);
+    struct timespec deadline = {.tv_sec = next_deadline / MS_PER_S,
+                                .tv_nsec = next_deadline % MS_PER_S * NS_PER_MS};
+    pthread_cond_timedwait(&pool->workers_busy, &pool->lock, &deadline);
 }
 
-/* Refuses the requests that expire while all workers are busy. */
-static void *expire_run(void *data)
+/* The loop of the thread that refuses requests whose wait deadline passes while all workers are
+ * busy. */
+static void *request_expiry_run(void *data)
 {
     controller_t *controller = data;
     request_pool_t *pool = &controller->requests;
@@ -86,7 +90,7 @@
 
 void request_pool_start(controller_t *controller)
 {
-    threads_start("expire", expire_run, controller);
+    threads_start("expire", request_expiry_run, controller);
 }
 
 static bool has_more_waiting_than_idle_locked(request_pool_t *pool)
@@ -103,7 +107,7 @@
     threads_start("request_worker", request_worker_run, controller);
 }
 
-/* Returns whether the queue had space for the request. */
+/* Queues the request and suspends its connection. Returns false if the queue is full. */
 static bool push_request(request_t *request)
 {
     controller_t *controller = request->controller;
--- a/src/controller/api/routes.c
+++ b/src/controller/api/routes.c
@@ -1,4 +1,4 @@
-/* Which handler serves a path. */
+/* Selects the handler for a path and a method. */
 #include "controller/api/routes.h"
 
 #include <string.h>
--- a/src/controller/api/status.c
+++ b/src/controller/api/status.c
@@ -1,4 +1,4 @@
-/* Users' reads of a job's status. */
+/* Serves users' status reads. */
 #include "controller/api/status.h"
 
 #include "controller/api/health.h"
@@ -8,7 +8,9 @@
 #include "io/clock.h"
 #include "io/codec/codec.h"
 
-/* The job's counts, for display only: the leader's own, or those that it sent last. */
+/* Returns how many of the job's tasks are done and outstanding: the leader's own counts if this
+ * controller leads, otherwise those that the leader sent last. They may be out of date, so they
+ * serve for display only. */
 static job_counts_t job_counts_locked(const controller_t *controller, const char *id)
 {
     if (!controller->membership.is_leader || !controller->placement.is_loaded)
@@ -21,8 +23,8 @@
     pthread_mutex_lock(&controller->lock);
     job_counts_t counts = job_counts_locked(controller, id);
     pthread_mutex_unlock(&controller->lock);
-    const char *phase = counts.outstanding ? "running" : "queued";
-    return api_reply_json(HTTP_OK, codec_build_status(id, phase, counts.done, counts.outstanding));
+    const char *state = counts.outstanding ? "running" : "queued";
+    return api_reply_json(HTTP_OK, codec_build_status(id, state, counts.done, counts.outstanding));
 }
 
 reply_t api_status_reply(controller_t *controller, const char *id, job_state_t state)
@@ -42,15 +44,15 @@
     return live_reply(controller, id);
 }
 
-bool api_answer_at_once(const request_t *request, const char *id, const known_job_t *known,
-                        reply_t *reply)
+bool api_reply_without_lookup(const request_t *request, const char *id, const known_job_t *known,
+                              reply_t *reply)
 {
     controller_t *controller = request->controller;
     if (known->state != JOB_UNKNOWN) {
         *reply = api_status_reply(controller, id, known->state);
         return true;
     }
-    if (!api_must_shed(controller))
+    if (!api_must_shed_load(controller))
         return false;
     *reply = api_retry_later();
     return true;
@@ -61,10 +63,10 @@
     controller_t *controller = request->controller;
     if (!rate_limiter_take(&controller->api_request_limiter, 1, clock_steady()))
         return api_refuse(HTTP_TOO_MANY_REQUESTS, "too many requests", 2);
-    if (!api_acquire_client(request))
+    if (!api_acquire_kv_client(request))
         return api_retry_later();
     msec_t started_at = clock_steady();
-    job_state_t state = api_look_up(request, id, is_likely_live);
+    job_state_t state = api_read_job_state(request, id, is_likely_live);
     metrics_time(controller->metrics, TIME_STATUS, clock_steady() - started_at);
     return api_status_reply(controller, id, state);
 }
@@ -72,9 +74,9 @@
 reply_t api_get_status(request_t *request, const char *id)
 {
     controller_t *controller = request->controller;
-    known_job_t known = api_known_job(controller, id);
+    known_job_t known = api_get_known_job(controller, id);
     reply_t reply;
-    if (api_answer_at_once(request, id, &known, &reply))
+    if (api_reply_without_lookup(request, id, &known, &reply))
         return reply;
     live_check_t check =
         known.is_likely_live ? status_batch_check(request, id) : LIVE_CHECK_CHANGED;
--- a/src/controller/api/status_batch.c
+++ b/src/controller/api/status_batch.c
@@ -1,7 +1,8 @@
 /* Checks in batches whether jobs are live.
  *
- * A job's key is written once, so one whose revision still holds is live; one whose condition fails
- * may be over and is looked up by itself. */
+ * The key of a job in jobs/ is written once and deleted when the job ends. A job whose key still
+ * has the known revision is therefore live. A job whose condition fails may have ended, and its
+ * state is read separately. */
 #include "controller/api/status_batch.h"
 
 #include <string.h>
@@ -10,7 +11,7 @@
 #include "controller/controller.h"
 #include "io/clock.h"
 
-/* Requires the revisions of as many unanswered jobs as one transaction takes. */
+/* Adds a condition on the revision of each unanswered job, up to max_conditions. */
 static void require_revisions(kv_txn_t *txn, GHashTable *unanswered, guint max_conditions)
 {
     GHashTableIter iter;
@@ -25,7 +26,7 @@
     }
 }
 
-/* Every condition of the transaction holds, so its jobs are live. */
+/* Records the jobs in the transaction's conditions as live, because all its conditions hold. */
 static void record_live(status_batch_t *batch, const kv_txn_t *txn)
 {
     for (size_t i = 0; i < json_array_size(txn->conditions); i++) {
@@ -35,7 +36,8 @@
     }
 }
 
-/* The jobs whose conditions failed are neither live nor unanswered: they are looked up. */
+/* Records that the jobs whose conditions failed may have ended: they are neither live nor
+ * unanswered. */
 static void record_changed(status_batch_t *batch, const GPtrArray *failed_keys)
 {
     for (guint i = 0; i < failed_keys->len; i++) {
@@ -44,7 +46,8 @@
     }
 }
 
-/* Checks some of the unanswered jobs by one transaction; returns whether it answered for any. */
+/* Checks some of the unanswered jobs with one transaction. Returns true if it gave a result for at
+ * least one of them. */
 static bool check_next_jobs(request_t *request, status_batch_t *batch)
 {
     g_autoptr(GPtrArray) failed_keys = g_ptr_array_new_with_free_func(g_free); /* char *, owned */
@@ -65,16 +68,18 @@
         may_continue = check_next_jobs(request, batch);
 }
 
-/* Waits for more reads, then closes the batch, runs it and wakes the requests that wait for it. */
+/* Waits for more status reads to join the batch, then closes it, checks its jobs and wakes the
+ * requests that wait for the result. */
 static void run_batch(request_t *request, status_batch_t *batch)
 {
     controller_t *controller = request->controller;
     controller_sleep(STATUS_BATCH_DELAY_MS);
     pthread_mutex_lock(&controller->lock);
-    /* A read that arrives from now on must not get an answer that was read before it. */
+    /* A status read that arrives from now on must not join, because it could get a result that was
+     * read before it arrived. */
     controller->status_batches.open = NULL;
     pthread_mutex_unlock(&controller->lock);
-    if (api_acquire_client(request))
+    if (api_acquire_kv_client(request))
         check_all_jobs(request, batch);
     pthread_mutex_lock(&controller->lock);
     batch->is_done = true;
@@ -90,7 +95,7 @@
     return batch;
 }
 
-/* Adds a read of the job to the open batch, or to a new one. */
+/* Adds a status read of the job to the open batch, or to a new one if none is open. */
 static status_batch_t *join_batch_locked(controller_t *controller, const live_job_t *job)
 {
     if (!controller->status_batches.open)
--- a/src/controller/api/worker_heartbeats.c
+++ b/src/controller/api/worker_heartbeats.c
@@ -1,4 +1,4 @@
-/* Workers' heartbeats. */
+/* Serves workers' heartbeats. */
 #include "controller/api/worker_heartbeats.h"
 
 #include <string.h>
@@ -10,8 +10,9 @@
 #include "io/log.h"
 
 /* Returns whether workers of the zone can reach the owner, as far as this controller can tell.
- * Network partitions separate zones, or one controller: what this controller or the owner reaches
- * within the worker's zone, the worker reaches too. */
+ * Network partitions are assumed to separate either whole zones or a single controller. So if this
+ * controller or the owner is in the worker's zone and the two can communicate, the worker can reach
+ * the owner, too. */
 static bool is_owner_reachable_locked(const controller_t *controller, const member_t *owner,
                                       const char *zone, msec_t now)
 {
@@ -37,7 +38,8 @@
                                         is_reachable, now);
 }
 
-/* Keeps a worker of another owner alive: its reply has no starts, but stops for cancelled jobs. */
+/* Renews the lease of a worker that another controller owns. The reply starts nothing, but stops
+ * the attempts of jobs that are not live. */
 static reply_t retain_worker_locked(controller_t *controller, const worker_heartbeat_t *heartbeat)
 {
     g_autoptr(GArray) commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
@@ -47,8 +49,8 @@
                           codec_build_commands(controller->membership.view.number, commands));
 }
 
-/* A worker that this controller does not own is redirected to its owner or, if it can't reach the
- * owner, retained here. */
+/* Redirects a worker that this controller does not own to its owner. Retains it here if it cannot
+ * reach the owner. */
 static reply_t redirect_worker_locked(controller_t *controller, const worker_heartbeat_t *heartbeat,
                                       const member_t *owner, msec_t now)
 {
@@ -64,7 +66,7 @@
     return retain_worker_locked(controller, heartbeat);
 }
 
-/* Hands the heartbeat to the loaded partition, which appends its commands. */
+/* Applies the heartbeat to the partition, if that is loaded, and appends the worker's commands. */
 static heartbeat_verdict_t update_partition_locked(controller_t *controller,
                                                    const worker_heartbeat_t *heartbeat, msec_t now,
                                                    GArray *commands)
@@ -80,13 +82,15 @@
 {
     uint64_t fencing_token = controller->membership.view.number;
     if (commands->len == 0)
-        return api_reply_unchanged_heartbeat(fencing_token);
+        return api_reply_no_commands(fencing_token);
     return api_reply_json(HTTP_OK, codec_build_commands(fencing_token, commands));
 }
 
-/* A reply renews the lease of everything that runs on the worker, so it always stops the jobs that
- * users know to be cancelled: also while the partition is not loaded, for as long as the
- * key-value store is away, and where the partition did not accept the heartbeat. */
+/* Returns the reply to the heartbeat of a worker that this controller owns. The reply renews the
+ * lease of everything that runs on the worker, so it must always stop the jobs whose cancellation
+ * was confirmed to users. If the partition did not accept the heartbeat or is not loaded, for
+ * example during an outage of the key-value store, the stop commands come from the job directory
+ * instead. */
 static reply_t own_worker_reply_locked(controller_t *controller,
                                        const worker_heartbeat_t *heartbeat,
                                        heartbeat_verdict_t verdict, GArray *commands)
@@ -113,8 +117,9 @@
     return reply;
 }
 
-/* A higher fencing token is in use: this controller's view is old. Workers would drop its replies,
- * while they stay here instead of moving on to their owner. */
+/* Returns whether a higher fencing token than this controller's is in use, so that its view is
+ * outdated. Workers ignore replies with an outdated token, but as long as they get replies they
+ * stay with this controller instead of moving to their owner. */
 static bool is_view_outdated_locked(const controller_t *controller,
                                     const worker_heartbeat_t *heartbeat)
 {
@@ -131,8 +136,8 @@
     if (view->count == 0 || is_view_outdated_locked(controller, heartbeat))
         return api_refuse(HTTP_UNAVAILABLE, "not entitled now", 0);
     if (!worker_lease_may_renew(controller, now)) {
-        /* The machine is alive, though its lease may not be renewed: after an outage, machines
-         * whose heartbeats were only refused must not be taken for dead. */
+        /* Records that the machine is alive although its lease may not be renewed: after an
+         * outage, machines whose heartbeats were refused must not be considered unresponsive. */
         if (controller->placement.is_loaded)
             partition_record_unanswered_heartbeat(controller->placement.partition, heartbeat, now);
         return api_refuse(HTTP_UNAVAILABLE, "not entitled now", 0);
@@ -149,7 +154,7 @@
 {
     worker_heartbeat_t heartbeat;
     g_autoptr(GError) error = NULL;
-    if (request->is_too_long ||
+    if (request->is_body_too_long ||
         !codec_parse_worker_heartbeat(request->body->str, request->body->len, &heartbeat, &error))
         return api_refuse(HTTP_BAD_REQUEST, error ? error->message : "too long", 0);
     pthread_mutex_lock(&controller->lock);
