--- a/tests/controller/controller_fixture.c
+++ b/tests/controller/controller_fixture.c
@@ -31,7 +31,7 @@
     *settings = (settings_t){.zone = "zone-a",
                              .heartbeat_interval_s = 1,
                              .lease_s = 10,
-                             .cancel_s = 3600, /* no test waits for its end */
+                             .cancel_s = 3600, /* longer than any test runs */
                              .kv_rps = 1000,
                              .kv_write_rps = 1000,
                              .value_kb = 16,
@@ -144,7 +144,7 @@
     return http_call(fixture->client, method, url, body, REQUEST_TIMEOUT_MS, answer);
 }
 
-/* Sends the request again while the answer is to retry later, as users do. */
+/* Sends the request, and again as long as the answer asks to retry later, as users do. */
 static int request_until_served(const fixture_t *fixture, guint controller, const char *method,
                                 const char *path, const json_t *body, json_t **answer)
 {
@@ -195,7 +195,8 @@
     fixture_expect(fixture, controller, "POST", path, NULL, 200, job_state);
 }
 
-void fixture_expect_everywhere(const fixture_t *fixture, const char *id, const char *job_state)
+void fixture_expect_state_everywhere(const fixture_t *fixture, const char *id,
+                                     const char *job_state)
 {
     char path[URL_BYTES];
     g_snprintf(path, sizeof path, "/v2/runs/%s", id);
@@ -221,11 +222,11 @@
 void fixture_wait_until_done(const fixture_t *fixture, worker_client_t *worker, const char *id)
 {
     do {
-        fixture_run_worker_until(fixture, worker, 0);
+        fixture_wait_for_active_attempts(fixture, worker, 0);
     } while (!is_done(fixture, id));
 }
 
-bool fixture_is_cancellation_logged(const fixture_t *fixture, guint controller, const char *id)
+bool fixture_is_in_cancellation_log(const fixture_t *fixture, guint controller, const char *id)
 {
     controller_t *locked = fixture_lock(fixture, controller);
     bool is_logged = g_hash_table_contains(locked->jobs.cancellations.listed, id);
@@ -233,7 +234,7 @@
     return is_logged;
 }
 
-uint64_t fixture_logged_cancellations(const fixture_t *fixture, guint controller)
+uint64_t fixture_cancellation_log_count(const fixture_t *fixture, guint controller)
 {
     controller_t *locked = fixture_lock(fixture, controller);
     uint64_t count = locked->jobs.cancellations.newest;
@@ -253,13 +254,14 @@
     int status = fixture_request(fixture, worker->controller, "POST", "/hello", body, &answer);
     if (status == HTTP_OK)
         fake_machine_handle_answer(worker->machine, answer);
-    else if (status == HTTP_MISDIRECTED || !worker->turns_only_when_redirected)
+    else if (status == HTTP_MISDIRECTED || !worker->switches_only_when_redirected)
         worker->controller = (worker->controller + 1) % fixture->count;
     json_decref(answer);
     json_decref(body);
 }
 
-void fixture_run_worker_until(const fixture_t *fixture, worker_client_t *worker, guint active)
+void fixture_wait_for_active_attempts(const fixture_t *fixture, worker_client_t *worker,
+                                      guint active)
 {
     do {
         send_heartbeat(fixture, worker);
--- a/tests/controller/controller_fixture.h
+++ b/tests/controller/controller_fixture.h
@@ -1,6 +1,6 @@
-/* Whole controllers with fakes of the key-value store and the cloud over real sockets. A test waits
- * until what it expects has come about, so its verdict depends on no time. Controllers never end:
- * the process exits without them. */
+/* Runs whole controllers against fakes of the key-value store and the cloud, over real sockets.
+ * Tests wait until the expected state is reached, so their results do not depend on timing.
+ * Controllers are never stopped: they end with the process. */
 #ifndef PEPPERPULLEY_CONTROLLER_FIXTURE_H
 #define PEPPERPULLEY_CONTROLLER_FIXTURE_H
 
@@ -19,63 +19,67 @@
     http_client_t *client;
     guint count; /* controllers started */
     controller_t *controllers[FIXTURE_CONTROLLERS];
-    uint16_t ports[FIXTURE_CONTROLLERS]; /* on which users and workers are served */
+    uint16_t ports[FIXTURE_CONTROLLERS]; /* of the HTTP servers for users and workers */
 } fixture_t;
 
-/* A worker, and the controller to which it sends its heartbeats. */
+/* A worker, and the index of the controller to which it sends its heartbeats. */
 typedef struct worker_client {
     fake_machine_t *machine;
     guint controller;
-    bool turns_only_when_redirected; /* else on any answer but 200 */
+    bool switches_only_when_redirected; /* false: switches controllers on any status but 200 */
 } worker_client_t;
 
-/* Setups of a test: *state is the fixture. */
-int setup_fakes(void **state);           /* no controller */
-int setup_one_controller(void **state);  /* one that is ready */
-int setup_two_controllers(void **state); /* two that are ready */
+/* Setup functions of tests. They set *state to a new fixture. */
+int setup_fakes(void **state);           /* without controllers */
+int setup_one_controller(void **state);  /* with one controller that is ready */
+int setup_two_controllers(void **state); /* with two controllers that are ready */
 
-/* Runs the tests, and ends the process with the number of those that failed. */
+/* Runs the tests and ends the process. Its exit status is the number of failed tests. */
 void fixture_run_tests(const char *name, const struct CMUnitTest *tests, size_t count)
     __attribute__((noreturn));
 
-/* A controller without threads, one of so many, whose time the test chooses. */
+/* Returns a controller without threads, for tests that pass the time themselves. count: the number
+ * of controllers in its settings. */
 controller_t *fixture_new_idle_controller(const fixture_t *fixture, guint count);
-/* Starts so many controllers. */
+/* Starts count controllers. */
 void fixture_start_controllers(fixture_t *fixture, guint count);
 void fixture_wait_until_ready(const fixture_t *fixture, guint controller);
-/* Locks the controller, and returns it. */
+/* Takes the controller's lock and returns the controller. */
 controller_t *fixture_lock(const fixture_t *fixture, guint controller);
 void fixture_unlock(controller_t *controller);
 
-/* Sends a request to a controller. Returns as http_call; body and answer as there. */
+/* Sends a request to a controller. body, answer and the returned value are those of http_call(). */
 int fixture_request(const fixture_t *fixture, guint controller, const char *method,
                     const char *path, const json_t *body, json_t **answer);
-/* Expects that status, and in the answer that state of the job (NULL: any), once the request is
- * served: it is sent again while the answer is to retry later, as users do. Consumes the body. */
+/* Sends a request, and again as long as the answer asks to retry later, as users do. Expects the
+ * status and, unless job_state is NULL, that state of the job in the answer. Consumes the body. */
 void fixture_expect(const fixture_t *fixture, guint controller, const char *method,
                     const char *path, json_t *body, int status, const char *job_state);
 
-/* The submission of a job of two tasks; the caller's. */
+/* Returns the submission of a job of two tasks (transfer full). */
 json_t *fixture_job(const char *id);
-/* Submits such a job, which must be accepted. */
+/* Submits the job that fixture_job() returns and expects that it is accepted. */
 void fixture_submit(const fixture_t *fixture, guint controller, const char *id);
-/* Cancels the job; job_state: what the answer must be. */
+/* Cancels the job. job_state: the expected state of the job in the answer. */
 void fixture_cancel(const fixture_t *fixture, guint controller, const char *id,
                     const char *job_state);
-/* Expects the same answer to every request about the job, from both controllers. */
-void fixture_expect_everywhere(const fixture_t *fixture, const char *id, const char *job_state);
-/* Waits until the job is done, while the worker sends its heartbeats. */
+/* Expects both controllers to answer a status read and a repeated submission of the job with that
+ * state, and a cancellation, too, unless the state is "queued". */
+void fixture_expect_state_everywhere(const fixture_t *fixture, const char *id,
+                                     const char *job_state);
+/* Sends the worker's heartbeats until the job is done and the worker has no active attempts. */
 void fixture_wait_until_done(const fixture_t *fixture, worker_client_t *worker, const char *id);
 
-/* Whether the controller's cancellation log has the job. */
-bool fixture_is_cancellation_logged(const fixture_t *fixture, guint controller, const char *id);
-/* The entries that the controller's cancellation log has had so far. */
-uint64_t fixture_logged_cancellations(const fixture_t *fixture, guint controller);
+/* Returns whether the controller's cancellation log contains the job. */
+bool fixture_is_in_cancellation_log(const fixture_t *fixture, guint controller, const char *id);
+/* Returns how many entries have been appended to the controller's cancellation log so far. */
+uint64_t fixture_cancellation_log_count(const fixture_t *fixture, guint controller);
 
-/* A worker that begins with the first controller. */
+/* Returns a worker that sends its heartbeats to the first controller at first. */
 worker_client_t worker_client_new(const char *id);
-/* Sends heartbeats until the worker has so many active attempts; between two of them there is time
- * for pushed commands. */
-void fixture_run_worker_until(const fixture_t *fixture, worker_client_t *worker, guint active);
+/* Sends the worker's heartbeats until it has that number of active attempts. Waits between two
+ * heartbeats, so that pushed commands can arrive. */
+void fixture_wait_for_active_attempts(const fixture_t *fixture, worker_client_t *worker,
+                                      guint active);
 
 #endif
--- a/tests/controller/test_controller_cancellation.c
+++ b/tests/controller/test_controller_cancellation.c
@@ -1,12 +1,12 @@
-/* Tests of cancellations: every answer "cancelled" is logged for the siblings, and the job's tasks
- * are stopped wherever they run. */
+/* Tests of cancellations: every answer "cancelled" is appended to the cancellation log for the
+ * siblings, and the job's tasks are stopped wherever they run. */
 #include "controller/jobs/job_directory.h"
 #include "controller_fixture.h"
 #include "io/clock.h"
 #include "io/records.h"
 
-/* Another controller, whose messages do not arrive here, cancels the job. */
-static void cancel_elsewhere(const fixture_t *fixture, const char *id)
+/* Cancels the job as another controller does whose messages do not arrive at this one. */
+static void cancel_at_another_controller(const fixture_t *fixture, const char *id)
 {
     char key[URL_BYTES];
     g_snprintf(key, sizeof key, "jobs/%s", id);
@@ -15,7 +15,8 @@
                      KV_OK);
 }
 
-/* Whether the controller stops the job's tasks, whatever it receives from the key-value store. */
+/* Returns whether the controller treats the job as ended. It then stops the job's tasks, whatever
+ * it receives from the key-value store. */
 static bool is_stopped(const fixture_t *fixture, guint controller, const char *id)
 {
     controller_t *locked = fixture_lock(fixture, controller);
@@ -25,40 +26,41 @@
     return is_stopped;
 }
 
-/* Once a user has been answered "cancelled", for whatever reason, the siblings can learn of it: it
- * was logged only where the controller's own commit had been answered. */
-static void test_every_cancelled_answer_is_logged(void **state)
+/* Guards against answers "cancelled" of which the siblings never learn, because the cancellation
+ * log has only the cancellations for which the controller's own commit was answered. */
+static void test_every_cancelled_answer_is_appended_to_the_cancellation_log(void **state)
 {
     const fixture_t *fixture = *state;
     const char *ids[] = {"j-000001", "j-000002", "j-000003", "j-000004", "j-000005"};
     for (guint i = 0; i < G_N_ELEMENTS(ids); i++)
         fixture_submit(fixture, 0, ids[i]);
-    /* A cancellation, and its repeat, which the cache answers. */
+    /* A cancellation, and its repeat, which is answered from the cache. */
     fixture_cancel(fixture, 0, ids[0], "cancelled");
-    assert_true(fixture_is_cancellation_logged(fixture, 0, ids[0]));
+    assert_true(fixture_is_in_cancellation_log(fixture, 0, ids[0]));
     fixture_cancel(fixture, 0, ids[0], "cancelled");
-    assert_int_equal(fixture_logged_cancellations(fixture, 0), 1);
-    /* A cancellation whose commit's answer is lost. */
+    assert_int_equal(fixture_cancellation_log_count(fixture, 0), 1);
+    /* A cancellation for which the answer to the commit is lost. */
     fake_kv_server_lose_answer_for_key(fixture->kv_server, "ended/j-000002");
     fixture_cancel(fixture, 0, ids[1], "cancelled");
-    assert_true(fixture_is_cancellation_logged(fixture, 0, ids[1]));
-    /* A status, a repeated submission, and a cancellation after another controller's. */
-    cancel_elsewhere(fixture, ids[2]);
+    assert_true(fixture_is_in_cancellation_log(fixture, 0, ids[1]));
+    /* A status read, a repeated submission and a cancellation, each of a job that another
+     * controller has cancelled. */
+    cancel_at_another_controller(fixture, ids[2]);
     fixture_expect(fixture, 0, "GET", "/v2/runs/j-000003", NULL, 200, "cancelled");
-    assert_true(fixture_is_cancellation_logged(fixture, 0, ids[2]));
-    cancel_elsewhere(fixture, ids[3]);
+    assert_true(fixture_is_in_cancellation_log(fixture, 0, ids[2]));
+    cancel_at_another_controller(fixture, ids[3]);
     fixture_expect(fixture, 0, "POST", "/v2/runs", fixture_job(ids[3]), 200, "cancelled");
-    assert_true(fixture_is_cancellation_logged(fixture, 0, ids[3]));
-    cancel_elsewhere(fixture, ids[4]);
+    assert_true(fixture_is_in_cancellation_log(fixture, 0, ids[3]));
+    cancel_at_another_controller(fixture, ids[4]);
     fixture_cancel(fixture, 0, ids[4], "cancelled");
-    assert_true(fixture_is_cancellation_logged(fixture, 0, ids[4]));
-    assert_int_equal(fixture_logged_cancellations(fixture, 0), 5);
+    assert_true(fixture_is_in_cancellation_log(fixture, 0, ids[4]));
+    assert_int_equal(fixture_cancellation_log_count(fixture, 0), 5);
 }
 
-/* An outage begins with the commit of a cancellation: no change of jobs/ arrives. The controller
- * that confirmed it stops the tasks all the same, and a list from before does not bring the job
- * back. */
-static void test_a_controller_stops_what_it_confirmed_as_cancelled(void **state)
+/* Guards against tasks that continue to run if an outage begins with the commit of a cancellation,
+ * so that no change of jobs/ arrives. The controller that confirmed the cancellation must stop the
+ * tasks nevertheless, and a list of jobs read before the cancellation must not restore the job. */
+static void test_a_controller_stops_jobs_that_it_confirmed_as_cancelled(void **state)
 {
     const fixture_t *fixture = *state;
     fixture_submit(fixture, 0, "j-000001");
@@ -74,8 +76,8 @@
     assert_true(is_stopped(fixture, 0, "j-000001"));
 }
 
-/* Sends a heartbeat of a worker with one running task. Returns the answer's commands; NULL: it was
- * not 200. */
+/* Sends a heartbeat of a worker with one running task. Returns the commands in the answer (transfer
+ * full), or NULL if the status is not 200. */
 static json_t *send_heartbeat_with_task(const fixture_t *fixture, guint controller,
                                         json_int_t heartbeat_sequence, const char *task)
 {
@@ -92,8 +94,7 @@
     return commands;
 }
 
-/* Waits until the controller has installed a view of both members and knows so many jobs as live.
- */
+/* Waits until the controller has a view of both members and knows that number of live jobs. */
 static void wait_for_members_and_jobs(const fixture_t *fixture, guint controller, guint jobs)
 {
     for (bool is_known = false; !is_known; controller_sleep(POLL_MS)) {
@@ -104,9 +105,11 @@
     }
 }
 
-/* The key-value store refuses one controller alone; a job is cancelled through the other. The first
- * learns of it, and the answers by which it renews its workers' leases stop the job's tasks. */
-static void test_a_controller_that_is_refused_alone_stops_what_its_sibling_cancelled(void **state)
+/* Guards against tasks that continue to run on workers of a controller that the key-value store
+ * refuses while a job is cancelled through its sibling. The refused controller must learn of the
+ * cancellation from the sibling, and its answers to heartbeats, which renew the workers' leases,
+ * must stop the job's tasks. */
+static void test_an_isolated_controller_stops_jobs_cancelled_at_its_sibling(void **state)
 {
     const fixture_t *fixture = *state;
     fixture_submit(fixture, 0, "j-000001");
@@ -114,7 +117,7 @@
     wait_for_members_and_jobs(fixture, 1, 2);
     fake_kv_server_refuse(fixture->kv_server, 1, true);
     fixture_cancel(fixture, 0, "j-000001", "cancelled");
-    while (!fixture_is_cancellation_logged(fixture, 1, "j-000001"))
+    while (!fixture_is_in_cancellation_log(fixture, 1, "j-000001"))
         controller_sleep(POLL_MS);
     json_int_t heartbeat_sequence = 1;
     json_t *commands = send_heartbeat_with_task(fixture, 1, heartbeat_sequence, "j-000001/0");
@@ -127,7 +130,7 @@
     assert_string_equal(json_string_value(json_object_get(json_array_get(commands, 0), "Call")),
                         "stop");
     json_decref(commands);
-    /* It can answer users with it, too. */
+    /* The refused controller also answers users with the new state. */
     fixture_expect(fixture, 1, "GET", "/v2/runs/j-000001", NULL, 200, "cancelled");
 }
 
@@ -140,7 +143,7 @@
     }
 }
 
-/* The index of the controller that owns the machine, as the first one sees it. */
+/* Returns the index of the machine's owner, according to the first controller's view. */
 static guint current_owner(const fixture_t *fixture)
 {
     controller_t *locked = fixture_lock(fixture, 0);
@@ -151,7 +154,7 @@
     return owner;
 }
 
-/* Has the leader, which is one of the two, exclude the member. */
+/* Makes the leader, which is one of the two controllers, exclude the member. */
 static void exclude_member(const fixture_t *fixture, guint member)
 {
     char name[ID_BYTES];
@@ -166,10 +169,11 @@
     }
 }
 
-/* The leader takes the machine from its owner, and the job that runs there is cancelled while it
- * changes hands, through the one that is to own it: its new owner stops the tasks, and starts none
- * of them again. */
-static void test_a_cancellation_reaches_work_that_changes_hands(void **state)
+/* Guards against cancellations that are lost while a machine changes its owner. The leader excludes
+ * the owner, so that the other controller becomes the owner. One job on the machine is cancelled
+ * through the future owner before the change is complete, and another one through the former owner
+ * after it. The tasks of both must stop, and none may be started again. */
+static void test_a_cancellation_stops_tasks_while_their_machine_changes_owner(void **state)
 {
     const fixture_t *fixture = *state;
     for (guint i = 0; i < 2; i++)
@@ -177,30 +181,30 @@
     worker_client_t worker = worker_client_new("m-000001");
     fixture_submit(fixture, 0, "j-000001");
     fixture_submit(fixture, 1, "j-000002");
-    fixture_run_worker_until(fixture, &worker, 4);
+    fixture_wait_for_active_attempts(fixture, &worker, 4);
     guint owner = current_owner(fixture);
     exclude_member(fixture, owner);
     fixture_cancel(fixture, 1 - owner, "j-000001", "cancelled");
-    fixture_run_worker_until(fixture, &worker, 2);
+    fixture_wait_for_active_attempts(fixture, &worker, 2);
     while (current_owner(fixture) == owner)
         controller_sleep(POLL_MS);
     fixture_cancel(fixture, owner, "j-000002", "cancelled");
-    fixture_run_worker_until(fixture, &worker, 0);
+    fixture_wait_for_active_attempts(fixture, &worker, 0);
     assert_int_equal(fake_machine_runs(worker.machine), 4);
-    fixture_expect_everywhere(fixture, "j-000001", "cancelled");
-    fixture_expect_everywhere(fixture, "j-000002", "cancelled");
+    fixture_expect_state_everywhere(fixture, "j-000001", "cancelled");
+    fixture_expect_state_everywhere(fixture, "j-000002", "cancelled");
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup(test_every_cancelled_answer_is_logged, setup_one_controller),
-        cmocka_unit_test_setup(test_a_controller_stops_what_it_confirmed_as_cancelled,
+        cmocka_unit_test_setup(test_every_cancelled_answer_is_appended_to_the_cancellation_log,
                                setup_one_controller),
-        cmocka_unit_test_setup(
-            test_a_controller_that_is_refused_alone_stops_what_its_sibling_cancelled,
-            setup_two_controllers),
-        cmocka_unit_test_setup(test_a_cancellation_reaches_work_that_changes_hands,
+        cmocka_unit_test_setup(test_a_controller_stops_jobs_that_it_confirmed_as_cancelled,
+                               setup_one_controller),
+        cmocka_unit_test_setup(test_an_isolated_controller_stops_jobs_cancelled_at_its_sibling,
+                               setup_two_controllers),
+        cmocka_unit_test_setup(test_a_cancellation_stops_tasks_while_their_machine_changes_owner,
                                setup_two_controllers),
     };
     fixture_run_tests("controller_cancellation", tests, G_N_ELEMENTS(tests));
--- a/tests/controller/test_controller_job_state.c
+++ b/tests/controller/test_controller_job_state.c
@@ -1,9 +1,9 @@
-/* Tests that the answers about a job never go back, whichever controller gives them and whatever it
- * has in memory. */
+/* Tests that the state of a job in the answers never goes back to an earlier one, whichever
+ * controller answers and whatever it has in memory. */
 #include "controller/jobs/job_directory.h"
 #include "controller_fixture.h"
 
-/* The transaction by which the leader ends the job as done. */
+/* Returns the transaction by which the leader records that the job is done. */
 static kv_txn_t end_txn(const char *id)
 {
     char key[URL_BYTES];
@@ -15,7 +15,7 @@
     return txn;
 }
 
-/* Whether both controllers know the job as live. */
+/* Returns whether both controllers know the job as live. */
 static bool is_live_everywhere(const fixture_t *fixture, const char *id)
 {
     bool is_live = true;
@@ -27,8 +27,8 @@
     return is_live;
 }
 
-/* A user that requests a live job's status again and again, so that the second controller's status
- * batches never rest. */
+/* A user that polls the status of a live job, so that the second controller runs one status batch
+ * after another. */
 typedef struct poller {
     const fixture_t *fixture;
     atomic_bool is_stopping;
@@ -46,50 +46,51 @@
     return NULL;
 }
 
-static void submit_everywhere_live(const fixture_t *fixture)
+static void submit_and_wait_until_live_everywhere(const fixture_t *fixture)
 {
     const char *ids[] = {"j-000001", "j-000002", "j-000003", "j-000009"};
     for (guint i = 0; i < G_N_ELEMENTS(ids); i++) {
         fixture_submit(fixture, i % 2, ids[i]);
-        fixture_expect_everywhere(fixture, ids[i], "queued");
+        fixture_expect_state_everywhere(fixture, ids[i], "queued");
         while (!is_live_everywhere(fixture, ids[i]))
             controller_sleep(POLL_MS);
     }
 }
 
-/* Users send requests to both controllers at once after a job was accepted, ended or confirmed as
- * cancelled, and repeat the submission. What the controllers hold in memory is out of date: no
- * change reaches them. Neither answers anything older than the other. */
-static void test_no_controller_answers_older_than_another(void **state)
+/* Guards against controllers that contradict each other. Right after a job is accepted, done or
+ * confirmed as cancelled, users send requests about it to both controllers and repeat its
+ * submission. The controllers' memory is out of date, because no change reaches them. Neither may
+ * answer with an older state than the other one has answered with. */
+static void test_no_controller_answers_with_an_older_job_state_than_another(void **state)
 {
     const fixture_t *fixture = *state;
-    submit_everywhere_live(fixture);
+    submit_and_wait_until_live_everywhere(fixture);
     fake_kv_server_silence_watches(fixture->kv_server);
     poller_t poller = {.fixture = fixture};
     assert_int_equal(pthread_create(&poller.thread, NULL, poll_status, &poller), 0);
     fixture_cancel(fixture, 0, "j-000001", "cancelled");
-    fixture_expect_everywhere(fixture, "j-000001", "cancelled");
-    /* The answer to the commit is lost. */
+    fixture_expect_state_everywhere(fixture, "j-000001", "cancelled");
+    /* The answer to the commit of this cancellation is lost. */
     fake_kv_server_lose_answer_for_key(fixture->kv_server, "ended/j-000002");
     fixture_cancel(fixture, 1, "j-000002", "cancelled");
-    fixture_expect_everywhere(fixture, "j-000002", "cancelled");
+    fixture_expect_state_everywhere(fixture, "j-000002", "cancelled");
     fake_kv_server_apply(fixture->kv_server, end_txn("j-000003"));
-    fixture_expect_everywhere(fixture, "j-000003", "done");
+    fixture_expect_state_everywhere(fixture, "j-000003", "done");
     fixture_submit(fixture, 0, "j-000004");
-    fixture_expect_everywhere(fixture, "j-000004", "queued");
+    fixture_expect_state_everywhere(fixture, "j-000004", "queued");
     fixture_cancel(fixture, 1, "j-000004", "cancelled");
-    fixture_expect_everywhere(fixture, "j-000004", "cancelled");
+    fixture_expect_state_everywhere(fixture, "j-000004", "cancelled");
     fake_kv_server_lose_answer_for_key(fixture->kv_server, "jobs/j-000005");
     fixture_expect(fixture, 1, "POST", "/v2/runs", fixture_job("j-000005"), 200, "queued");
-    fixture_expect_everywhere(fixture, "j-000005", "queued");
+    fixture_expect_state_everywhere(fixture, "j-000005", "queued");
     fake_kv_server_apply(fixture->kv_server, end_txn("j-000005"));
-    fixture_expect_everywhere(fixture, "j-000005", "done");
+    fixture_expect_state_everywhere(fixture, "j-000005", "done");
     atomic_store(&poller.is_stopping, true);
     pthread_join(poller.thread, NULL);
 }
 
-/* Records more terminal jobs than the controller's lists hold. */
-static void overflow_terminal_jobs(controller_t *controller)
+/* Records more terminal jobs than the controller keeps in memory. */
+static void record_more_jobs_than_cached(controller_t *controller)
 {
     for (guint i = 0; i < TERMINAL_JOBS_COUNT + TERMINAL_STATE_CACHE_COUNT; i++) {
         char id[ID_BYTES];
@@ -98,8 +99,9 @@
     }
 }
 
-/* What fell out of the lists is read again, and answered as before. */
-static void test_lists_that_overflow_cost_reads_only(void **state)
+/* Guards against wrong answers about jobs whose terminal state was evicted from the bounded caches.
+ * It must be read from the key-value store again, and the answers must be the same as before. */
+static void test_job_states_evicted_from_memory_are_read_again(void **state)
 {
     const fixture_t *fixture = *state;
     fixture_submit(fixture, 0, "j-000001");
@@ -108,7 +110,7 @@
     fake_kv_server_apply(fixture->kv_server, end_txn("j-000002"));
     fixture_expect(fixture, 0, "GET", "/v2/runs/j-000002", NULL, 200, "done");
     controller_t *controller = fixture_lock(fixture, 0);
-    overflow_terminal_jobs(controller);
+    record_more_jobs_than_cached(controller);
     assert_false(g_hash_table_contains(controller->jobs.terminal_states, "j-000001"));
     assert_false(g_hash_table_contains(controller->jobs.terminal, "j-000001"));
     assert_in_range(g_hash_table_size(controller->jobs.terminal_states), 1,
@@ -121,16 +123,17 @@
     fixture_expect(fixture, 0, "GET", "/v2/runs/j-000001", NULL, 200, "cancelled");
     fixture_expect(fixture, 0, "POST", "/v2/runs", fixture_job("j-000002"), 200, "done");
     fixture_cancel(fixture, 0, "j-000002", "done");
-    /* Answered once more, it is logged once more. */
-    assert_true(fixture_is_cancellation_logged(fixture, 0, "j-000001"));
+    /* The cancellation was evicted from the log and is appended again with the new answer. */
+    assert_true(fixture_is_in_cancellation_log(fixture, 0, "j-000001"));
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup(test_no_controller_answers_older_than_another,
+        cmocka_unit_test_setup(test_no_controller_answers_with_an_older_job_state_than_another,
                                setup_two_controllers),
-        cmocka_unit_test_setup(test_lists_that_overflow_cost_reads_only, setup_one_controller),
+        cmocka_unit_test_setup(test_job_states_evicted_from_memory_are_read_again,
+                               setup_one_controller),
     };
     fixture_run_tests("controller_job_state", tests, G_N_ELEMENTS(tests));
 }
--- a/tests/controller/test_controller_load_shedding.c
+++ b/tests/controller/test_controller_load_shedding.c
@@ -1,12 +1,12 @@
-/* Tests of users' requests that can't be answered now: they are answered all the same, with the
- * time after which to retry. */
+/* Tests of users' requests that cannot be served now. They are refused, with the time after which
+ * to retry, instead of being left without an answer. */
 #include <stdlib.h>
 
 #include "controller_fixture.h"
 #include "io/clock.h"
 #include "user_request.h"
 
-/* Users' requests about a live job and unknown ones. */
+/* Kinds of users' requests, about a live job and about unknown jobs. */
 typedef enum {
     STATUS_OF_LIVE_JOB,
     STATUS_OF_UNKNOWN_JOB,
@@ -19,14 +19,15 @@
 static const struct {
     const char *method;
     const char *path;
-    const char *id;  /* of a submission; "": one that lacks all else */
-    guint max_reads; /* requests to the key-value store while that gives no answer, or refuses */
+    const char *id; /* NULL: not a submission; "": a submission that lacks all fields but its id */
+    guint max_kv_requests; /* to the key-value store, while it does not answer or refuses */
 } user_requests[USER_REQUEST_KINDS] = {
     [STATUS_OF_LIVE_JOB] = {"GET", "/v2/runs/j-000001", NULL, 1},
     [STATUS_OF_UNKNOWN_JOB] = {"GET", "/v2/runs/j-000099", NULL, 1},
     [CANCELLATION] = {"POST", "/v2/runs/j-000001/abort", NULL, 1},
     [INCOMPLETE_SUBMISSION] = {"POST", "/v2/runs", "", 1},
-    [SUBMISSION] = {"POST", "/v2/runs", "j-000002", 2}, /* without an answer it is looked up */
+    /* the commit, and a read if the commit is not answered */
+    [SUBMISSION] = {"POST", "/v2/runs", "j-000002", 2},
 };
 
 static user_answer_t send_user_request(const fixture_t *fixture, user_request_kind_t kind)
@@ -50,19 +51,19 @@
     assert_true(answer.retry_after_s > 0);
 }
 
-/* Every request is answered with a retry later, and the key-value store is not asked again
- * meanwhile. */
+/* Expects every kind of request to be answered with a retry later, without more requests to the
+ * key-value store than its max_kv_requests. */
 static void expect_all_to_retry_later(const fixture_t *fixture)
 {
     for (guint kind = 0; kind < USER_REQUEST_KINDS; kind++) {
         guint before = fake_kv_server_user_requests(fixture->kv_server);
         expect_retry_later(send_user_request(fixture, (user_request_kind_t)kind), 503);
         assert_in_range(fake_kv_server_user_requests(fixture->kv_server) - before, 0,
-                        user_requests[kind].max_reads);
+                        user_requests[kind].max_kv_requests);
     }
 }
 
-/* A user's thread. */
+/* A user with a thread. */
 typedef struct user {
     const fixture_t *fixture;
     user_answer_t answer;
@@ -76,18 +77,18 @@
     return NULL;
 }
 
-/* More users at once than threads and connections that could serve them; the key-value store
- * answers none of them. */
-static void expect_crowd_to_retry_later(const fixture_t *fixture)
+/* Sends requests of more users at once than there are threads and connections to serve them, while
+ * the key-value store does not answer. Expects every one to be answered with a retry later. */
+static void expect_concurrent_users_to_retry_later(const fixture_t *fixture)
 {
-    enum { CROWD = REQUEST_WORKERS_COUNT + 20 };
-    user_t users[CROWD];
-    for (guint i = 0; i < CROWD; i++) {
+    enum { USERS = REQUEST_WORKERS_COUNT + 20 };
+    user_t users[USERS];
+    for (guint i = 0; i < USERS; i++) {
         users[i].fixture = fixture;
         assert_int_equal(
             pthread_create(&users[i].thread, NULL, request_status_of_unknown_job, &users[i]), 0);
     }
-    for (guint i = 0; i < CROWD; i++) {
+    for (guint i = 0; i < USERS; i++) {
         pthread_join(users[i].thread, NULL);
         expect_retry_later(users[i].answer, 503);
     }
@@ -103,33 +104,34 @@
     }
 }
 
-/* What is given up is answered, though the key-value store never answers, or refuses. */
-static void test_no_answer_waits_for_the_key_value_store(void **state)
+/* Guards against users that get no answer while the key-value store does not answer, or refuses.
+ * Each request must be answered with a retry later. */
+static void test_requests_get_retry_later_while_the_key_value_store_is_unavailable(void **state)
 {
     const fixture_t *fixture = *state;
     submit_live_job(fixture, "j-000001");
     fake_kv_server_stall(fixture->kv_server, true);
     expect_all_to_retry_later(fixture);
-    expect_crowd_to_retry_later(fixture);
+    expect_concurrent_users_to_retry_later(fixture);
     fake_kv_server_stall(fixture->kv_server, false);
     fixture_expect(fixture, 0, "GET", "/v2/runs/j-000001", NULL, 200, "queued");
     fake_kv_server_refuse(fixture->kv_server, 0, true);
     expect_all_to_retry_later(fixture);
 }
 
-/* Above the controller's share of the key-value store's limits nothing waits for its turn: it is
- * answered with a retry later, without a request to the key-value store. Questions about live jobs
- * are gathered, and answered whatever else is. */
-static void test_no_answer_waits_for_a_share_of_the_limits(void **state)
+/* Guards against requests that wait because the controller has used up its share of the key-value
+ * store's rate limits. They must be answered with a retry later, without a request to the key-value
+ * store. Status reads of live jobs, which are batched, and cancellations are still served. */
+static void test_requests_above_the_rate_limit_get_retry_later(void **state)
 {
-    enum { OVERDRAWN = 1000000 };
+    enum { TOKENS_OVER_LIMIT = 1000000 };
     const fixture_t *fixture = *state;
     controller_t *controller = fixture->controllers[0];
     const user_request_kind_t limited[] = {STATUS_OF_UNKNOWN_JOB, INCOMPLETE_SUBMISSION,
                                            SUBMISSION};
     submit_live_job(fixture, "j-000001");
-    rate_limiter_charge(&controller->api_request_limiter, OVERDRAWN, clock_steady());
-    rate_limiter_charge(&controller->api_write_limiter, OVERDRAWN, clock_steady());
+    rate_limiter_charge(&controller->api_request_limiter, TOKENS_OVER_LIMIT, clock_steady());
+    rate_limiter_charge(&controller->api_write_limiter, TOKENS_OVER_LIMIT, clock_steady());
     guint before = fake_kv_server_user_requests(fixture->kv_server);
     for (guint i = 0; i < G_N_ELEMENTS(limited); i++)
         expect_retry_later(send_user_request(fixture, limited[i]), 429);
@@ -141,8 +143,10 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup(test_no_answer_waits_for_the_key_value_store, setup_one_controller),
-        cmocka_unit_test_setup(test_no_answer_waits_for_a_share_of_the_limits,
+        cmocka_unit_test_setup(
+            test_requests_get_retry_later_while_the_key_value_store_is_unavailable,
+            setup_one_controller),
+        cmocka_unit_test_setup(test_requests_above_the_rate_limit_get_retry_later,
                                setup_one_controller),
     };
     fixture_run_tests("controller_load_shedding", tests, G_N_ELEMENTS(tests));
--- a/tests/controller/test_controller_submissions.c
+++ b/tests/controller/test_controller_submissions.c
@@ -1,5 +1,4 @@
-/* Tests of the answers to submissions and cancellations that are malformed, impossible or repeated.
- */
+/* Tests of the answers to malformed, impossible and repeated submissions and cancellations. */
 #include <stdlib.h>
 
 #include "controller_fixture.h"
@@ -7,8 +6,9 @@
 #include "io/records.h"
 #include "user_request.h"
 
-/* A submission in which the field has this value; NULL: it lacks the field. */
-static json_t *job_with(const char *name, json_t *value)
+/* Returns a submission in which the field has this value (transfer full), or which lacks the field
+ * if the value is NULL. */
+static json_t *job_with_field(const char *name, json_t *value)
 {
     json_t *body = fixture_job("j-000009");
     if (value)
@@ -20,10 +20,10 @@
 
 static void expect_refused(const fixture_t *fixture, const char *name, json_t *value, int status)
 {
-    fixture_expect(fixture, 0, "POST", "/v2/runs", job_with(name, value), status, NULL);
+    fixture_expect(fixture, 0, "POST", "/v2/runs", job_with_field(name, value), status, NULL);
 }
 
-/* The transaction by which another controller accepts the job. */
+/* Returns the transaction by which another controller accepts the job. */
 static kv_txn_t accept_txn(const char *id)
 {
     job_spec_t spec;
@@ -35,7 +35,7 @@
     return txn;
 }
 
-/* Submits the job until the controller answers at all, and returns the status. */
+/* Submits the job until the controller answers with any status, and returns that status. */
 static int submit_until_answered(const fixture_t *fixture, const char *id)
 {
     json_t *body = fixture_job(id);
@@ -48,7 +48,9 @@
     return status;
 }
 
-/* Where the machine types are not known, nobody knows which jobs can run. */
+/* Expects that, while the machine types are not known, a new submission is answered with 503,
+ * because it cannot be decided whether the job can run, and a repeat is answered with the job's
+ * state. */
 static void expect_only_repeats_without_machine_types(const fixture_t *fixture)
 {
     assert_int_equal(submit_until_answered(fixture, "j-000001"), 503);
@@ -64,7 +66,8 @@
     expect_refused(fixture, "Dock", json_string("zone-d"), 422);
     expect_refused(fixture, "Crew", json_string("team-c"), 422);
     expect_refused(fixture, "Pieces", json_string("2"), 400);
-    json_t *gang = job_with("Rig", json_string("ensemble")); /* runs as a whole, or never */
+    /* A gang job needs all its cpus at once: 66, above the team's limit of 64. */
+    json_t *gang = job_with_field("Rig", json_string("ensemble"));
     json_object_set_new(gang, "Pieces", json_integer(33));
     fixture_expect(fixture, 0, "POST", "/v2/runs", gang, 422, NULL);
 }
@@ -78,9 +81,10 @@
         expect_refused(fixture, fields[i], NULL, 400);
 }
 
-/* What can never run is never accepted, nor what lacks a field. A repeat of what was accepted, a
- * cancellation of what is done: the state as it is. */
-static void test_impossible_and_repeated_requests_get_their_answers(void **state)
+/* Guards against accepting a job that can never run or a submission that lacks a field, and against
+ * refusing repeats. A repeat of an accepted submission and the cancellation of a job that is done
+ * must be answered with the job's state. */
+static void test_impossible_jobs_are_refused_and_repeats_get_the_job_state(void **state)
 {
     fixture_t *fixture = *state;
     fixture_start_controllers(fixture, 1);
@@ -96,7 +100,7 @@
     kv_txn_put(&txn, "ended/j-000008", json_pack("{s:s}", "Trim", "done"), 0);
     fake_kv_server_apply(fixture->kv_server, txn);
     fixture_cancel(fixture, 0, "j-000008", "done");
-    assert_int_equal(fixture_logged_cancellations(fixture, 0), 0);
+    assert_int_equal(fixture_cancellation_log_count(fixture, 0), 0);
 }
 
 static int submit_text(const fixture_t *fixture, const GString *text)
@@ -104,23 +108,25 @@
     return user_request(fixture->ports[0], "POST", "/v2/runs", text->str, text->len).status;
 }
 
-/* A submission in which one field stands as it is written here, last. */
-static GString *text_with(const char *id, const char *name, const GString *raw)
+/* Returns the text of a submission whose last field is that field with the raw text as its value
+ * (transfer full). */
+static GString *submission_text_with(const char *id, const char *name, const GString *raw)
 {
     json_t *body = fixture_job(id);
     json_object_del(body, name);
     char *text = json_dumps(body, JSON_COMPACT);
-    GString *whole = g_string_new(text);
-    g_string_truncate(whole, whole->len - 1);
-    g_string_append_printf(whole, ",\"%s\":", name);
-    g_string_append_len(whole, raw->str, (gssize)raw->len);
-    g_string_append_c(whole, '}');
+    GString *submission = g_string_new(text);
+    g_string_truncate(submission, submission->len - 1);
+    g_string_append_printf(submission, ",\"%s\":", name);
+    g_string_append_len(submission, raw->str, (gssize)raw->len);
+    g_string_append_c(submission, '}');
     free(text);
     json_decref(body);
-    return whole;
+    return submission;
 }
 
-static GString *repeated(const char *left, guint count, const char *right)
+/* Returns the left text count times, followed by the right text count times (transfer full). */
+static GString *repeat_text(const char *left, guint count, const char *right)
 {
     GString *text = g_string_new(NULL);
     for (guint i = 0; i < count; i++)
@@ -130,33 +136,35 @@
     return text;
 }
 
-/* Submits a job in which the field stands as it is written here. Returns 1, and prints what came,
- * if the answer is another; else 0. */
-static guint count_wrong(const fixture_t *fixture, const char *id, const char *name,
-                         const GString *raw, int status)
+/* Submits a job in which the field has the raw text as its value. Returns 0 if the answer has the
+ * expected status. Otherwise prints the status and returns 1. */
+static guint count_mismatch(const fixture_t *fixture, const char *id, const char *name,
+                            const GString *raw, int status)
 {
-    GString *text = text_with(id, name, raw);
+    GString *text = submission_text_with(id, name, raw);
     int received = submit_text(fixture, text);
-    while (received == HTTP_TOO_MANY_REQUESTS) { /* as often as the limits let it pass */
+    while (received == HTTP_TOO_MANY_REQUESTS) { /* over the rate limit */
         controller_sleep(POLL_MS);
         received = submit_text(fixture, text);
     }
     if (received != status)
-        print_error("%s: %d, not %d: %.150s\n", name, received, status, text->str + text->len / 2);
+        print_error("%s: status %d, expected %d: %.150s\n", name, received, status,
+                    text->str + text->len / 2);
     g_string_free(text, TRUE);
     return received != status;
 }
 
-/* What the user's program got wrong, and the answer. The same of a job that was accepted is a
- * repeat: it must be known, whatever else the submission says. */
-static guint count_wrong_answers(const fixture_t *fixture, guint number, const char *name,
-                                 const GString *raw, int status)
+/* Submits a job with the raw text as the field's value and returns the number of unexpected
+ * answers. Under an unused id, it must be answered with the status. Under the id of an accepted
+ * job, it is a repeat, which must be answered with 200 whatever its other fields contain. */
+static guint count_mismatches_with_repeat(const fixture_t *fixture, guint number, const char *name,
+                                          const GString *raw, int status)
 {
     char unused_id[ID_BYTES];
     g_snprintf(unused_id, sizeof unused_id, "j-%06u", 100 + number);
-    guint wrong = count_wrong(fixture, unused_id, name, raw, status);
+    guint wrong = count_mismatch(fixture, unused_id, name, raw, status);
     if (strcmp(name, "Uid") != 0)
-        wrong += count_wrong(fixture, "j-000001", name, raw, 200);
+        wrong += count_mismatch(fixture, "j-000001", name, raw, 200);
     return wrong;
 }
 
@@ -213,14 +221,16 @@
     {"Unheard", "1e", 400},
 };
 
-static void test_whatever_a_field_holds_the_submission_is_answered(void **state)
+/* Guards against a controller that fails or answers wrongly on unusual or invalid field values. */
+static void test_unusual_field_values_get_the_expected_status(void **state)
 {
     const fixture_t *fixture = *state;
     guint wrong = 0;
     fixture_submit(fixture, 0, "j-000001");
     for (guint i = 0; i < G_N_ELEMENTS(field_cases); i++) {
         GString *raw = g_string_new(field_cases[i].raw);
-        wrong += count_wrong_answers(fixture, i, field_cases[i].name, raw, field_cases[i].status);
+        wrong += count_mismatches_with_repeat(fixture, i, field_cases[i].name, raw,
+                                              field_cases[i].status);
         g_string_free(raw, TRUE);
     }
     assert_int_equal(wrong, 0);
@@ -235,31 +245,35 @@
     return g_string_append_c(types, ']');
 }
 
-static void test_too_large_a_field_is_refused(void **state)
+/* Guards against a controller that fails on, or accepts, values beyond the limits of nesting,
+ * length or number. */
+static void test_oversized_fields_are_refused(void **state)
 {
     const fixture_t *fixture = *state;
     const struct {
         const char *name;
         GString *raw;
     } large[] = {
-        {"Unheard", repeated("[", 2000, "]")},
-        {"Unheard", repeated("{\"a\":", 9000, "")},
+        {"Unheard", repeat_text("[", 2000, "]")},
+        {"Unheard", repeat_text("{\"a\":", 9000, "")},
         {"Reel",
          g_string_new("\"0123456789012345678901234567890123456789012345678901234567890123\"")},
         {"Hulls", too_many_machine_types()},
-        {"Unheard", g_string_append(repeated(" ", BODY_MAX_BYTES, ""), "1")},
+        {"Unheard", g_string_append(repeat_text(" ", BODY_MAX_BYTES, ""), "1")},
     };
     guint wrong = 0;
     fixture_submit(fixture, 0, "j-000001");
     for (guint i = 0; i < G_N_ELEMENTS(large); i++) {
-        wrong += count_wrong_answers(fixture, i, large[i].name, large[i].raw, 400);
+        wrong += count_mismatches_with_repeat(fixture, i, large[i].name, large[i].raw, 400);
         g_string_free(large[i].raw, TRUE);
     }
     assert_int_equal(wrong, 0);
     fixture_wait_until_ready(fixture, 0);
 }
 
-static void test_a_body_that_is_no_submission_is_refused(void **state)
+/* Guards against a controller that fails on bodies that are not JSON objects, or are nested without
+ * end, in submissions and in heartbeats. */
+static void test_a_body_that_is_not_a_submission_is_refused(void **state)
 {
     const fixture_t *fixture = *state;
     uint16_t port = fixture->ports[0];
@@ -267,7 +281,7 @@
     for (guint i = 0; i < G_N_ELEMENTS(bodies); i++)
         assert_int_equal(
             user_request(port, "POST", "/v2/runs", bodies[i], strlen(bodies[i])).status, 400);
-    GString *deep = repeated("[", BODY_MAX_BYTES - 1, "");
+    GString *deep = repeat_text("[", BODY_MAX_BYTES - 1, "");
     assert_int_equal(submit_text(fixture, deep), 400);
     assert_int_equal(user_request(port, "POST", "/hello", deep->str, deep->len).status, 400);
     g_string_free(deep, TRUE);
@@ -277,12 +291,13 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup(test_impossible_and_repeated_requests_get_their_answers,
+        cmocka_unit_test_setup(test_impossible_jobs_are_refused_and_repeats_get_the_job_state,
                                setup_fakes),
-        cmocka_unit_test_setup(test_whatever_a_field_holds_the_submission_is_answered,
+        cmocka_unit_test_setup(test_unusual_field_values_get_the_expected_status,
+                               setup_one_controller),
+        cmocka_unit_test_setup(test_oversized_fields_are_refused, setup_one_controller),
+        cmocka_unit_test_setup(test_a_body_that_is_not_a_submission_is_refused,
                                setup_one_controller),
-        cmocka_unit_test_setup(test_too_large_a_field_is_refused, setup_one_controller),
-        cmocka_unit_test_setup(test_a_body_that_is_no_submission_is_refused, setup_one_controller),
     };
     fixture_run_tests("controller_submissions", tests, G_N_ELEMENTS(tests));
 }
--- a/tests/controller/test_controller_timing.c
+++ b/tests/controller/test_controller_timing.c
@@ -1,14 +1,16 @@
-/* Tests of a controller without threads: the test chooses its time. */
+/* Tests of timing, on controllers without threads: the tests pass the time themselves. */
 #include "controller/peer/peer_exchange.h"
 #include "controller/peer/peer_heartbeat.h"
 #include "controller/worker_lease.h"
 #include "controller_fixture.h"
 #include "io/clock.h"
 
-/* A controller leads, is replaced, and leads again minutes later. What it scaled out at first is up
- * by then and works for other partitions, whose machine summaries it has yet to receive: taken for
- * stuck boots, such machines were terminated, work and all. */
-static void test_a_new_leadership_knows_no_booting_instances_of_an_earlier_one(void **state)
+/* Guards against terminating machines that run tasks. A controller leads, is replaced, and leads
+ * again minutes later. The instances that it requested in its first leadership have booted and run
+ * tasks for other partitions, but their machine summaries have not arrived yet. If the controller
+ * still has them as booting instances, it considers them stuck and terminates them with their
+ * tasks. */
+static void test_a_new_leadership_forgets_booting_instances_of_an_earlier_one(void **state)
 {
     controller_t *controller = fixture_new_idle_controller(*state, 2);
     controller->autoscaler = autoscaler_new();
@@ -19,7 +21,7 @@
     autoscaler_add_booting(controller->autoscaler, "m-000001", "t16", "zone-a", true, 1000);
     own.number = 2;
     own.revision = 20;
-    membership_install_view(controller, &own); /* the same leadership: it still boots */
+    membership_install_view(controller, &own); /* the same leadership: still booting */
     assert_int_equal(autoscaler_booting_count(controller->autoscaler), 1);
     membership_install_view(controller, &other);
     own.number = 4;
@@ -32,7 +34,8 @@
     pthread_mutex_unlock(&controller->lock);
 }
 
-/* The only controller of its fleet, with one machine. */
+/* Returns a controller without siblings that owns one machine. Its jobs and records are loaded at
+ * now. */
 static controller_t *new_owner_of_one_machine(const fixture_t *fixture, fake_worker_t *worker,
                                               msec_t now)
 {
@@ -71,7 +74,7 @@
     partition_batch_free(batch);
 }
 
-/* What a dispatcher would take now. */
+/* Takes the next push as a dispatcher does at now, with its commands. */
 static machine_t *take_push(controller_t *controller, GArray *commands, msec_t now)
 {
     g_array_set_size(commands, 0);
@@ -80,9 +83,11 @@
     return partition_take_push(controller->placement.partition, G_MAXUINT32, now, commands);
 }
 
-/* A dispatcher has taken a start; the process stalls, and a job is cancelled elsewhere. After the
- * stall the start is not pushed: it is judged anew, and no start is pushed before it is known what
- * was cancelled meanwhile. */
+/* Guards against starting tasks of a job that was cancelled during a stall of the process. A
+ * dispatcher has taken start commands, the process stalls, and one of the jobs is cancelled through
+ * another controller. After the stall these commands must not be pushed, but return to the
+ * partition, which decides again. No start may be pushed until the cancellations that were made
+ * during the stall are known. */
 static void test_a_start_taken_before_a_stall_is_not_pushed_after_it(void **state)
 {
     msec_t begun_at = clock_steady();
@@ -99,10 +104,10 @@
                                       commands, begun_at, begun_at + 5));
     assert_false(worker_lease_may_push(controller, "m-000001", controller->placement.generation,
                                        commands, begun_at, after_stall));
-    assert_null(take_push(controller, commands, after_stall)); /* it does not know yet */
+    assert_null(take_push(controller, commands, after_stall)); /* cancellations not known yet */
     assert_null(take_push(controller, commands, after_stall + 100));
     job_directory_remove(controller, "j-000001");
-    /* The watch that began after the stall was answered. */
+    /* A watch that began after the stall has been answered. */
     controller->jobs.complete_until = after_stall + 50;
     assert_non_null(take_push(controller, commands, after_stall + 200));
     assert_int_equal(commands->len, 1);
@@ -112,9 +117,10 @@
     fake_worker_free(worker);
 }
 
-/* A controller that begins in an outage has had no answer of the key-value store. The others took
- * its start for one, each believed to be refused alone, and all redirected their users away. */
-static void test_a_controller_that_has_just_begun_vouches_for_no_answer(void **state)
+/* Guards against a controller that reports its own start as an answer of the key-value store. If
+ * such a controller starts during an outage, each of its siblings concludes that the key-value
+ * store refuses only the sibling itself, and all of them turn their users away. */
+static void test_a_new_controller_reports_no_answer_of_the_key_value_store(void **state)
 {
     msec_t now = clock_steady();
     const controller_t *new_controller = fixture_new_idle_controller(*state, 2);
@@ -127,7 +133,8 @@
     assert_int_not_equal(connectivity_judge(&own, now), CONNECTIVITY_GOOD);
 }
 
-/* The answer to a peer heartbeat of a controller that has read this one's log up to that index. */
+/* Returns the answer to a peer heartbeat of a sibling that knows this controller's cancellation log
+ * up to index. */
 static peer_message_t answer_heartbeat(controller_t *controller, uint64_t incarnation,
                                        uint64_t index)
 {
@@ -142,9 +149,11 @@
     return answer;
 }
 
-/* An answer to a peer heartbeat waits for an entry of the log, and says for how long it waited: the
- * caller counts what it learned from then on. With an entry it is sent at once. */
-static void test_a_peer_heartbeat_is_answered_at_once_where_the_log_has_grown(void **state)
+/* Guards against answers to peer heartbeats that delay cancellations or contain a wrong delay.
+ * Without new entries in the cancellation log, the answer is held back, and it names the delay,
+ * from which the sibling computes the moment up to which it knows the cancellations. With a new
+ * entry it is sent at once. */
+static void test_a_peer_heartbeat_is_answered_at_once_if_the_log_has_new_entries(void **state)
 {
     controller_t *controller = fixture_new_idle_controller(*state, 2);
     peer_message_t first = answer_heartbeat(controller, 0, 0);
@@ -167,13 +176,13 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup(test_a_new_leadership_knows_no_booting_instances_of_an_earlier_one,
+        cmocka_unit_test_setup(test_a_new_leadership_forgets_booting_instances_of_an_earlier_one,
                                setup_fakes),
         cmocka_unit_test_setup(test_a_start_taken_before_a_stall_is_not_pushed_after_it,
                                setup_fakes),
-        cmocka_unit_test_setup(test_a_controller_that_has_just_begun_vouches_for_no_answer,
+        cmocka_unit_test_setup(test_a_new_controller_reports_no_answer_of_the_key_value_store,
                                setup_fakes),
-        cmocka_unit_test_setup(test_a_peer_heartbeat_is_answered_at_once_where_the_log_has_grown,
+        cmocka_unit_test_setup(test_a_peer_heartbeat_is_answered_at_once_if_the_log_has_new_entries,
                                setup_fakes),
     };
     fixture_run_tests("controller_timing", tests, G_N_ELEMENTS(tests));
--- a/tests/controller/test_controller_work.c
+++ b/tests/controller/test_controller_work.c
@@ -1,25 +1,27 @@
-/* Tests of work from submission to its end, through every loop. */
+/* Tests of jobs from their submission to their end, with all the controllers' threads. */
 #include "controller_fixture.h"
 
-/* One job completes, one is cancelled while it runs. */
-static void test_work_runs_ends_and_is_cancelled(void **state)
+/* Guards against faults in the whole path of a job: one job completes, and another one is cancelled
+ * while it runs. */
+static void test_jobs_complete_and_are_cancelled(void **state)
 {
     const fixture_t *fixture = *state;
     worker_client_t worker = worker_client_new("m-000001");
-    fixture_run_worker_until(fixture, &worker, 0);
+    fixture_wait_for_active_attempts(fixture, &worker, 0);
     fixture_submit(fixture, 0, "j-000001");
-    fixture_run_worker_until(fixture, &worker, 2);
+    fixture_wait_for_active_attempts(fixture, &worker, 2);
     fake_machine_complete(worker.machine);
     fixture_wait_until_done(fixture, &worker, "j-000001");
     fixture_submit(fixture, 0, "j-000002");
-    fixture_run_worker_until(fixture, &worker, 2);
+    fixture_wait_for_active_attempts(fixture, &worker, 2);
     fixture_cancel(fixture, 0, "j-000002", "cancelled");
-    fixture_run_worker_until(fixture, &worker, 0);
+    fixture_wait_for_active_attempts(fixture, &worker, 0);
     fixture_expect(fixture, 0, "GET", "/v2/runs/j-000001", NULL, 200, "done");
     assert_int_equal(fake_machine_runs(worker.machine), 4);
 }
 
-/* Whether the controller answers with so many tasks done and running. */
+/* Returns whether the controller answers that the job is running, with these numbers of tasks done
+ * and running. */
 static bool has_counts(const fixture_t *fixture, guint controller, const char *id, json_int_t done,
                        json_int_t running)
 {
@@ -43,26 +45,27 @@
             controller_sleep(POLL_MS);
 }
 
-/* The leader counts; every controller answers. */
-static void test_every_controller_reports_how_many_tasks_run(void **state)
+/* Guards against counts that only the leader reports: it counts the tasks, but every controller
+ * must answer with the counts. */
+static void test_every_controller_reports_task_counts(void **state)
 {
     const fixture_t *fixture = *state;
     worker_client_t worker = worker_client_new("m-000001");
-    worker.turns_only_when_redirected = true;
+    worker.switches_only_when_redirected = true;
     json_t *body = fixture_job("j-000001");
-    json_object_set_new(body, "Pieces", json_integer(10)); /* a machine has room for eight */
-    fixture_run_worker_until(fixture, &worker, 0);
+    json_object_set_new(body, "Pieces", json_integer(10)); /* the machine has capacity for eight */
+    fixture_wait_for_active_attempts(fixture, &worker, 0);
     fixture_expect(fixture, 0, "POST", "/v2/runs", body, 201, "queued");
-    fixture_run_worker_until(fixture, &worker, 8);
+    fixture_wait_for_active_attempts(fixture, &worker, 8);
     wait_for_counts_everywhere(fixture, "j-000001", 0, 8);
     fake_machine_complete(worker.machine);
-    fixture_run_worker_until(fixture, &worker, 2);
+    fixture_wait_for_active_attempts(fixture, &worker, 2);
     wait_for_counts_everywhere(fixture, "j-000001", 8, 2);
     fixture_cancel(fixture, 1, "j-000001", "cancelled");
 }
 
-/* Submits a job through one controller and looks it up at the other. Answers to its transactions
- * are lost, so it may be accepted as a repeat. */
+/* Submits a job through one controller and looks it up at the other. The status may be that of a
+ * repeat, because the answer to the transaction that accepted the job may have been lost. */
 static void submit_and_look_up(const fixture_t *fixture, guint controller, const char *id)
 {
     char path[URL_BYTES];
@@ -78,10 +81,11 @@
     fixture_expect(fixture, 1 - controller, "GET", path, NULL, 200, NULL);
 }
 
-/* Every third transaction is executed and its answer lost, from the first view on: submissions,
- * records of starts, ends, cancellations, members and views. Both controllers answer, each task
- * starts once, and what was answered stays. */
-static void test_lost_answers_change_nothing(void **state)
+/* Guards against faults after lost answers of the key-value store. Every third transaction is
+ * executed without being answered, from the first view on: those for submissions, starts, ends,
+ * cancellations, members and views. Both controllers must answer, each task must start once, and
+ * the answered state of a job must remain. */
+static void test_lost_transaction_answers_do_not_affect_jobs(void **state)
 {
     fixture_t *fixture = *state;
     fake_kv_server_lose_answers(fixture->kv_server, 3);
@@ -90,28 +94,29 @@
     fixture_wait_until_ready(fixture, 0);
     fixture_wait_until_ready(fixture, 1);
     worker_client_t worker = worker_client_new("m-000001");
-    fixture_run_worker_until(fixture, &worker, 0);
+    fixture_wait_for_active_attempts(fixture, &worker, 0);
     for (guint i = 1; i <= 4; i++) {
         char id[ID_BYTES];
         g_snprintf(id, sizeof id, "j-%06u", i);
         submit_and_look_up(fixture, i % 2, id);
-        fixture_run_worker_until(fixture, &worker, 2);
+        fixture_wait_for_active_attempts(fixture, &worker, 2);
         if (i % 2) {
             fixture_cancel(fixture, 1, id, "cancelled");
-            fixture_expect_everywhere(fixture, id, "cancelled");
-            fixture_run_worker_until(fixture, &worker, 0);
+            fixture_expect_state_everywhere(fixture, id, "cancelled");
+            fixture_wait_for_active_attempts(fixture, &worker, 0);
         } else {
             fake_machine_complete(worker.machine);
             fixture_wait_until_done(fixture, &worker, id);
-            fixture_expect_everywhere(fixture, id, "done");
+            fixture_expect_state_everywhere(fixture, id, "done");
         }
     }
     assert_int_equal(fake_machine_runs(worker.machine), 8);
 }
 
-/* Each thread costs a start-up some of its processor share: those for users and for commands begin
- * with the first request and the first command. */
-static void test_threads_start_as_they_are_needed(void **state)
+/* Guards against a slow start-up: starting a thread takes some of the controller's small processor
+ * share. The request workers and the dispatchers must not be started before the first request and
+ * the first command. */
+static void test_worker_and_dispatcher_threads_start_on_demand(void **state)
 {
     const fixture_t *fixture = *state;
     controller_t *controller = fixture_lock(fixture, 0);
@@ -119,9 +124,9 @@
     assert_int_equal(controller->dispatch.started, 0);
     fixture_unlock(controller);
     worker_client_t worker = worker_client_new("m-000001");
-    fixture_run_worker_until(fixture, &worker, 0);
+    fixture_wait_for_active_attempts(fixture, &worker, 0);
     fixture_submit(fixture, 0, "j-000001");
-    fixture_run_worker_until(fixture, &worker, 2);
+    fixture_wait_for_active_attempts(fixture, &worker, 2);
     fixture_lock(fixture, 0);
     assert_in_range(controller->requests.worker_count, 1, REQUEST_WORKERS_COUNT);
     assert_int_equal(__builtin_popcount(controller->dispatch.started), 1);
@@ -131,11 +136,11 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup(test_work_runs_ends_and_is_cancelled, setup_one_controller),
-        cmocka_unit_test_setup(test_every_controller_reports_how_many_tasks_run,
-                               setup_two_controllers),
-        cmocka_unit_test_setup(test_lost_answers_change_nothing, setup_fakes),
-        cmocka_unit_test_setup(test_threads_start_as_they_are_needed, setup_one_controller),
+        cmocka_unit_test_setup(test_jobs_complete_and_are_cancelled, setup_one_controller),
+        cmocka_unit_test_setup(test_every_controller_reports_task_counts, setup_two_controllers),
+        cmocka_unit_test_setup(test_lost_transaction_answers_do_not_affect_jobs, setup_fakes),
+        cmocka_unit_test_setup(test_worker_and_dispatcher_threads_start_on_demand,
+                               setup_one_controller),
     };
     fixture_run_tests("controller_work", tests, G_N_ELEMENTS(tests));
 }
--- a/tests/controller/test_threads.c
+++ b/tests/controller/test_threads.c
@@ -1,12 +1,12 @@
-/* Tests of the registry of threads: the processor time that the threads of a role have taken is
- * still reported when they have ended. */
+/* Tests of the thread registry: it counts each thread once, and still reports the processor time of
+ * the threads of a role after they have ended. */
 #include "controller/threads.h"
 
 #include <string.h>
 
 #include "unit_test.h"
 
-static void *use_processor(void *data)
+static void *use_processor_time(void *data)
 {
     volatile double sum = 0;
     const int *rounds = data;
@@ -15,14 +15,14 @@
     return NULL;
 }
 
-/* The value of a metric in the report; -1: it has no such metric. */
+/* Returns the value of a metric in the text, or -1 if the text does not contain the metric. */
 static gint64 read_value(const char *text, const char *name)
 {
     const char *line = strstr(text, name);
     return line ? g_ascii_strtoll(line + strlen(name), NULL, 10) : -1;
 }
 
-/* The metrics of all roles; the caller's. */
+/* Returns the metrics of all roles (transfer full). */
 static char *read_report(void)
 {
     GString *text = g_string_new(NULL);
@@ -30,23 +30,26 @@
     return g_string_free(text, FALSE);
 }
 
-static void test_time_of_ended_threads_is_kept(void **state)
+/* Guards against counters that fall when a thread ends. */
+static void test_processor_time_of_ended_threads_is_kept(void **state)
 {
     (void)state;
     int rounds = 5000000;
-    pthread_join(threads_start("worker", use_processor, &rounds), NULL);
+    pthread_join(threads_start("worker", use_processor_time, &rounds), NULL);
     char *first_report = read_report();
     gint64 first_us = read_value(first_report, "thread_time_us{role=\"worker\"} ");
     assert_int_equal(read_value(first_report, "threads{role=\"worker\"} "), 0);
     assert_true(first_us > 0);
-    pthread_join(threads_start("worker", use_processor, &rounds), NULL);
+    pthread_join(threads_start("worker", use_processor_time, &rounds), NULL);
     char *second_report = read_report();
     assert_true(read_value(second_report, "thread_time_us{role=\"worker\"} ") > first_us);
     g_free(first_report);
     g_free(second_report);
 }
 
-static void test_a_thread_of_a_library_is_counted_once(void **state)
+/* Guards against counting a thread anew with each call: libmicrohttpd's threads are registered at
+ * every request. */
+static void test_an_adopted_thread_is_counted_once(void **state)
 {
     (void)state;
     threads_adopt("http");
@@ -60,8 +63,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_time_of_ended_threads_is_kept),
-        cmocka_unit_test(test_a_thread_of_a_library_is_counted_once),
+        cmocka_unit_test(test_processor_time_of_ended_threads_is_kept),
+        cmocka_unit_test(test_an_adopted_thread_is_counted_once),
     };
     return cmocka_run_group_tests_name("threads", tests, NULL, NULL);
 }
--- a/tests/controller/user_request.c
+++ b/tests/controller/user_request.c
@@ -5,11 +5,11 @@
 
 enum { USER_TIMEOUT_MS = 20000, USER_URL_BYTES = 256 };
 
-// NOLINTNEXTLINE(readability-non-const-parameter): libcurl says the type
-static size_t ignore_body(char *data, size_t size, size_t count, void *to)
+// NOLINTNEXTLINE(readability-non-const-parameter): libcurl defines the type
+static size_t discard_body(char *data, size_t size, size_t count, void *userdata)
 {
     (void)data;
-    (void)to;
+    (void)userdata;
     return size * count;
 }
 
@@ -24,7 +24,7 @@
     curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(curl, CURLOPT_PROXY, "");
     curl_easy_setopt(curl, CURLOPT_URL, url);
-    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, ignore_body);
+    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, discard_body);
     curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)USER_TIMEOUT_MS);
     if (strcmp(method, "POST") == 0) {
         curl_easy_setopt(curl, CURLOPT_POSTFIELDS, body ? body : "");
--- a/tests/controller/user_request.h
+++ b/tests/controller/user_request.h
@@ -1,4 +1,5 @@
-/* Requests as a user's program sends them, with bodies of any bytes and the answer's headers. */
+/* Sends requests as a user's program does: the body may be any bytes, and the Retry-After header of
+ * the answer is read. */
 #ifndef PEPPERPULLEY_USER_REQUEST_H
 #define PEPPERPULLEY_USER_REQUEST_H
 
@@ -8,11 +9,11 @@
 #include <curl/curl.h>
 
 typedef struct user_answer {
-    int status; /* 0: none came */
+    int status; /* HTTP status; 0: no answer */
     curl_off_t retry_after_s;
 } user_answer_t;
 
-/* body may be NULL. */
+/* Sends a request to the loopback port and returns the answer. body: length bytes; may be NULL. */
 user_answer_t user_request(uint16_t port, const char *method, const char *path, const char *body,
                            size_t length);
 
