--- a/src/io/codec/answers.c
+++ b/src/io/codec/answers.c
@@ -1,4 +1,4 @@
-/* Answers to users and workers that carry no values of the core: errors, readiness, redirects. */
+/* Answers to users and workers that need none of the core's types: errors, readiness, redirects. */
 #include "io/codec/codec.h"
 
 json_t *codec_build_error(const char *why)
--- a/src/io/codec/cloud.c
+++ b/src/io/codec/cloud.c
@@ -1,4 +1,4 @@
-/* The cloud's protocol: machine types, the list of machines, scale-out and scale-in requests. */
+/* The cloud's protocol: lists of machine types and machines, scale-out and scale-in requests. */
 #include "io/codec/codec_internal.h"
 
 static void machine_type_clear(gpointer data)
@@ -6,7 +6,7 @@
     g_strfreev(((machine_type_t *)data)->zones);
 }
 
-static char **parse_names(const json_t *list)
+static char **parse_zone_names(const json_t *list)
 {
     GPtrArray *names = g_ptr_array_new(); /* of char *, owned */
     size_t i;
@@ -22,15 +22,15 @@
 
 static bool parse_machine_type(const json_t *value, machine_type_t *machine_type)
 {
-    if (!codec_get_text(value, "Name", machine_type->name, sizeof machine_type->name, NULL) ||
-        !codec_get_amount(value, "Cpus", 0, &machine_type->capacity.cpus, NULL) ||
-        !codec_get_amount(value, "MemGb", 0, &machine_type->capacity.memory, NULL))
+    if (!codec_get_string(value, "Name", machine_type->name, sizeof machine_type->name, NULL) ||
+        !codec_get_number(value, "Cpus", 0, &machine_type->capacity.cpus, NULL) ||
+        !codec_get_number(value, "MemGb", 0, &machine_type->capacity.memory, NULL))
         return false;
     machine_type->capacity.gpus = json_number_value(json_object_get(value, "Accelerators"));
     machine_type->price = json_number_value(json_object_get(value, "Price"));
     machine_type->spot_price = json_number_value(json_object_get(value, "MarketPrice"));
     machine_type->boot_s = json_number_value(json_object_get(value, "BootS"));
-    machine_type->zones = parse_names(json_object_get(value, "Docks"));
+    machine_type->zones = parse_zone_names(json_object_get(value, "Docks"));
     return true;
 }
 
@@ -52,23 +52,24 @@
     return machine_types;
 }
 
-/* Only the machine's id is required: the others keep their defaults if they can't be read. */
+/* Only the machine's id is required. The other fields keep their defaults if they are missing or
+ * malformed. */
 static bool parse_host(const json_t *value, host_t *host)
 {
     static const char *const states[] = {"booting", "running", "failed"};
     int state = HOST_RUNNING;
-    if (!codec_get_text(value, "Uid", host->machine, sizeof host->machine, NULL))
+    if (!codec_get_string(value, "Uid", host->machine, sizeof host->machine, NULL))
         return false;
-    codec_get_text(value, "Hull", host->type, sizeof host->type, NULL);
-    codec_get_text(value, "Dock", host->zone, sizeof host->zone, NULL);
-    codec_get_flag(value, "Driftwood", &host->is_spot, NULL);
-    codec_get_choice(value, "Trim", states, G_N_ELEMENTS(states), &state, NULL);
+    codec_get_string(value, "Hull", host->type, sizeof host->type, NULL);
+    codec_get_string(value, "Dock", host->zone, sizeof host->zone, NULL);
+    codec_get_boolean(value, "Driftwood", &host->is_spot, NULL);
+    codec_get_enum(value, "Trim", states, G_N_ELEMENTS(states), &state, NULL);
     host->state = (host_state_t)state;
     host->age_s = json_number_value(json_object_get(value, "HeldS"));
     return true;
 }
 
-bool codec_parse_hosts(const json_t *body, GArray *hosts, bool *more)
+bool codec_parse_hosts(const json_t *body, GArray *hosts, bool *has_more)
 {
     const json_t *list = json_object_get(body, "Winches");
     if (!json_is_array(list))
@@ -82,30 +83,30 @@
             return false;
         g_array_append_val(hosts, host);
     }
-    *more = json_is_true(json_object_get(body, "More"));
+    *has_more = json_is_true(json_object_get(body, "More"));
     return true;
 }
 
 json_t *codec_build_scale_out(const char *idempotency_key, const char *type, const char *zone,
-                              bool spot, guint count)
+                              bool is_spot, guint count)
 {
     return json_pack("{s:s,s:s,s:s,s:b,s:i}", "Charter", idempotency_key, "Hull", type, "Dock",
-                     zone, "Driftwood", spot, "Number", (int)count);
+                     zone, "Driftwood", is_spot, "Number", (int)count);
 }
 
 json_t *codec_build_scale_in(const GPtrArray *machines)
 {
-    json_t *names = json_array();
+    json_t *ids = json_array();
     for (guint i = 0; i < machines->len; i++)
-        json_array_append_new(names, json_string(g_ptr_array_index(machines, i)));
-    return json_pack("{s:o}", "Winches", names);
+        json_array_append_new(ids, json_string(g_ptr_array_index(machines, i)));
+    return json_pack("{s:o}", "Winches", ids);
 }
 
 GPtrArray *codec_parse_scale_out_answer(const json_t *answer, gsize *accepted_count)
 {
     const json_t *machines = json_object_get(answer, "Winches");
     *accepted_count = json_array_size(machines);
-    return codec_get_strings(machines);
+    return codec_collect_strings(machines);
 }
 
 bool codec_is_no_capacity(const json_t *answer)
--- a/src/io/codec/codec.h
+++ b/src/io/codec/codec.h
@@ -1,8 +1,9 @@
 /** @file
- * The codec: JSON of the protocols and of stored values, to and from the core's plain values.
+ * The codec: converts between the core's plain values and JSON.
  *
- * Field names and words of the users', workers' and cloud's protocols and of the values in the
- * key-value store occur here only; the key-value store's own protocol is in io/kv_store.c.
+ * The JSON is that of the users', workers' and cloud's protocols and of the values in the key-value
+ * store. Its field names and enumeration words occur in this folder only. The key-value store's own
+ * protocol is in io/kv_store.c.
  *
  * All functions are thread-safe. A parser that fails leaves nothing allocated, and its result must
  * not be used. Every json_t result is a new reference (transfer full); json_t arguments are
@@ -17,55 +18,68 @@
 #include "core/partition/page_record.h"
 #include "core/types.h"
 
-/** Error domain of the parsers. A message has the form "field: what is expected", on one line. */
+/** Error domain of the parsers. A message is one line; most begin with the name of the field and a
+ * colon. HTTP answers contain the messages of codec_parse_job and codec_parse_worker_heartbeat, so
+ * their wording is part of the protocols. */
 #define CODEC_ERROR (codec_error_quark())
 
-/** What is wrong with a value: the codes of CODEC_ERROR. */
+/** The codes of CODEC_ERROR: what is wrong with a value. */
 typedef enum {
-    CODEC_ERROR_SYNTAX,  /**< Not JSON, nested too deeply, or not an object at the top. */
-    CODEC_ERROR_MISSING, /**< A required field is missing. */
-    CODEC_ERROR_TYPE,    /**< A field is missing or has the wrong JSON type, or an empty string. */
-    CODEC_ERROR_RANGE,   /**< A number is out of range; a string or a list is too long. */
-    CODEC_ERROR_VALUE    /**< A word, name or id has the wrong form or is unknown. */
+    CODEC_ERROR_SYNTAX,  /**< Not JSON, nested too deeply, or not an object at the top level. */
+    CODEC_ERROR_MISSING, /**< A required field of a worker heartbeat is missing. */
+    CODEC_ERROR_TYPE,    /**< A field has the wrong JSON type or is an empty string. Outside worker
+                            heartbeats, also: a required field is missing. In worker heartbeats,
+                            also: an integer is out of range. */
+    CODEC_ERROR_RANGE,   /**< A number is out of range, or a string or a list is too long. */
+    CODEC_ERROR_VALUE    /**< An enumeration word is unknown (outside worker heartbeats, also:
+                            missing), or a name, an id or an item of a list is malformed. */
 } codec_error_t;
 
 /** Returns the quark of CODEC_ERROR. */
 GQuark codec_error_quark(void);
 
-/** Returns whether @p id has the form of a job's id: "j-" and six or more digits. */
+/** Returns whether @p id has the form of a job's id: "j-" followed by JOB_DIGITS_MIN_COUNT to
+ * JOB_DIGITS_MAX_COUNT digits. */
 bool codec_is_job_id(const char *id);
 
-/** Parses a job, from its user or (@p stored) from the key-value store, where it has a submission
- * time and its names were checked before. Returns false and sets @p error (CODEC_ERROR; may be
- * NULL) if it is malformed. On success, job_spec_clear frees what @p spec holds. */
-bool codec_parse_job(const json_t *body, bool stored, job_spec_t *spec, GError **error);
+/** Parses a job. @p is_stored: whether @p body comes from the key-value store instead of a user. A
+ * stored job must have a submission time. Its names are not checked again: they were checked when
+ * the job was submitted. Returns false and sets @p error (CODEC_ERROR; may be NULL) if the job is
+ * malformed. On success, job_spec_clear frees what @p spec owns. */
+bool codec_parse_job(const json_t *body, bool is_stored, job_spec_t *spec, GError **error);
 
-/** Copies the job's id out of what could be read of a submission, for the log; an empty string if
- * it has none, or one with a NUL character. @p partial may be NULL. */
+/** Copies the job's id from a submission that may be malformed or truncated, so that a repeat of an
+ * accepted submission can be recognised. @p partial: what was parsed of it; may be NULL. @p id
+ * becomes an empty string if there is no id, or one with a NUL character. @p size: of the buffer.
+ */
 void codec_get_submitted_id(const json_t *partial, char *id, gsize size);
 
-/** Returns the number of tasks of a job as the key-value store has it. */
+/** Returns the number of tasks of a job, given the job's value in the key-value store. */
 uint32_t codec_get_task_count(const json_t *job);
 
 /** Builds a job's value for the key-value store. */
 json_t *codec_build_job(const job_spec_t *spec);
 
-/** Builds the answer to a user's status request. */
-json_t *codec_build_status(const char *id, const char *state, uint32_t done, uint32_t running);
+/** Builds a job's status, the answer to a user's request. @p done_count, @p running_count: numbers
+ * of tasks. */
+json_t *codec_build_status(const char *id, const char *state, uint32_t done_count,
+                           uint32_t running_count);
 
-/** Builds the body of a refused request. @p why: its reason. Returns NULL if that is not UTF-8. */
+/** Builds the answer to a request that is refused. @p why: the reason. Returns NULL if @p why is
+ * not UTF-8. */
 json_t *codec_build_error(const char *why);
 
 /** Builds the answer of a controller that is ready for users' requests. */
 json_t *codec_build_ready(void);
 
-/** Builds the answer to a worker heartbeat that sends the worker to its owner, the controller
- * named @p owner. */
+/** Builds the answer to a worker heartbeat that redirects the worker to the controller that owns
+ * its machine. @p owner: that controller's name. */
 json_t *codec_build_redirect(const char *owner);
 
-/** Parses a worker heartbeat without building a tree: heartbeats are most of the traffic. Returns
- * false and sets @p error (CODEC_ERROR; may be NULL) if it is malformed; on success nothing is
- * allocated for errors, and worker_heartbeat_clear frees what @p heartbeat holds. */
+/** Parses a worker heartbeat. No JSON tree is built, and error messages are formatted only for
+ * malformed heartbeats, because heartbeats are most of the traffic. Returns false and sets @p error
+ * (CODEC_ERROR; may be NULL) if the heartbeat is malformed. On success, worker_heartbeat_clear
+ * frees what @p heartbeat owns. */
 bool codec_parse_worker_heartbeat(const char *text, gsize length, worker_heartbeat_t *heartbeat,
                                   GError **error);
 
@@ -73,19 +87,20 @@
  * none. */
 json_t *codec_build_commands(uint64_t fencing_token, const GArray *commands);
 
-/** Builds a push of commands to the worker with @p worker_epoch; otherwise as
- * codec_build_commands. */
+/** Builds a message that pushes commands to a worker. @p worker_epoch: the worker epoch that the
+ * commands are for. The other parameters are those of codec_build_commands. */
 json_t *codec_build_pushed_commands(uint64_t fencing_token, uint64_t worker_epoch,
                                     const GArray *commands);
 
-/** Parses the cloud's list of machine types; entries without name, cpus or memory are skipped.
- * Returns a GArray of machine_type_t (transfer full), or NULL if there is no list. */
+/** Parses the cloud's list of machine types. Entries without a valid name, number of cpus or memory
+ * size are skipped. Returns a GArray of machine_type_t (transfer full), or NULL if @p body holds no
+ * list. */
 GArray *codec_parse_machine_types(const json_t *body);
 
 /** State of a machine in the cloud's list. */
 typedef enum {
     HOST_BOOTING, /**< Requested, not up yet. */
-    HOST_RUNNING, /**< Up; also the state of a machine whose state is unknown. */
+    HOST_RUNNING, /**< Up. Also stands for a state that is missing or unknown. */
     HOST_FAILED   /**< Failed to boot, or failed later. */
 } host_state_t;
 
@@ -99,98 +114,104 @@
     double age_s;           /**< Seconds since it was requested. */
 } host_t;
 
-/** Appends the machines of one page of the cloud's list to @p hosts, a GArray of host_t; *more:
- * whether another page follows. Returns false if the page is malformed; some machines may have been
- * appended then. */
-bool codec_parse_hosts(const json_t *body, GArray *hosts, bool *more);
+/** Parses one page of the cloud's list of machines and appends the machines to @p hosts, a GArray
+ * of host_t. Sets *has_more to whether another page follows. Returns false if the page is
+ * malformed; in that case some of its machines may have been appended. */
+bool codec_parse_hosts(const json_t *body, GArray *hosts, bool *has_more);
 
-/** Builds a scale-out request for @p count machines; a repeat with the same @p idempotency_key has
- * no further effect. */
+/** Builds a scale-out request for @p count machines of one type and zone. The cloud executes
+ * requests with the same @p idempotency_key only once. */
 json_t *codec_build_scale_out(const char *idempotency_key, const char *type, const char *zone,
-                              bool spot, guint count);
+                              bool is_spot, guint count);
 
-/** Parses the answer to a scale-out request that was executed. Returns the new machines' ids:
- * GPtrArray of const char *, borrowed from @p answer (transfer container), which may be NULL.
- * *accepted_count is the number of listed machines, those without a valid id included. */
+/** Parses the answer to a scale-out request that was executed. @p answer may be NULL. Returns the
+ * ids of the new machines: GPtrArray of const char *, borrowed from @p answer (transfer container).
+ * Sets *accepted_count to the number of machines listed, including those whose id is not a string
+ * and which are therefore missing from the result. */
 GPtrArray *codec_parse_scale_out_answer(const json_t *answer, gsize *accepted_count);
 
-/** Returns whether the cloud's error answer, which may be NULL, says that it has no capacity. */
+/** Returns whether an error answer of the cloud says that it has no capacity. @p answer may be
+ * NULL. */
 bool codec_is_no_capacity(const json_t *answer);
 
 /** Builds a scale-in request. @p machines: GPtrArray of char *, the machines' ids. */
 json_t *codec_build_scale_in(const GPtrArray *machines);
 
-/** Builds the value of machines/PAGE: a page of machine records. Returns NULL if a part can't be
- * built, for instance from text that is not UTF-8; it must not be written then. */
+/** Builds the value of machines/PAGE, a page of machine records. Returns NULL if a part of it can't
+ * be built, for example because a text is not UTF-8; the page must then not be written. */
 json_t *codec_build_record(const page_record_t *record);
 
-/** Parses the value of machines/@p page, at @p revision. Returns false and sets @p error
- * (CODEC_ERROR; may be NULL) if it is corrupt; on success record->machines belongs to the caller
- * (transfer full). A record with a machine of another shard is corrupt: it would have two owners.
- */
+/** Parses the value of machines/PAGE. @p page: the page's name, the last part of the key.
+ * @p revision: the revision of the key. Returns false and sets @p error (CODEC_ERROR; may be NULL)
+ * if the value is corrupt. On success, the caller owns record->machines (transfer full).
+ *
+ * A page with a machine of another shard is corrupt: that machine would have two owners. */
 bool codec_parse_record(const char *page, const json_t *value, uint64_t revision,
                         page_record_t *record, GError **error);
 
-/** Builds the value of done/JOB/CHUNK: which tasks of a chunk are done, and how many (@p done). */
-json_t *codec_build_bits(const uint8_t *bits, gsize bytes, uint32_t done);
+/** Builds the value of done/JOB/CHUNK: one bit for each task of the chunk, set if the task is done.
+ * @p bits is @p bytes long. @p done_count: the number of tasks that are done. */
+json_t *codec_build_bits(const uint8_t *bits, gsize bytes, uint32_t done_count);
 
-/** Parses the value of done/JOB/CHUNK. Returns the bits (transfer full, g_free), with their size in
- * *bytes, or NULL if there are none. */
+/** Parses the value of done/JOB/CHUNK. Returns the bits (transfer full, g_free) and sets *bytes to
+ * their size, or returns NULL if the value has none. */
 uint8_t *codec_parse_bits(const json_t *value, gsize *bytes);
 
-/** Builds the value of ended/JOB: the job is done (@p done) or cancelled, with @p tasks tasks
- * done. */
-json_t *codec_build_ended(bool done, uint32_t tasks);
+/** Builds the value of ended/JOB: the job's terminal state. @p is_done: whether the job is done
+ * rather than cancelled. @p done_count: the number of its tasks that are done. */
+json_t *codec_build_ended(bool is_done, uint32_t done_count);
 
-/** Returns whether the value of ended/JOB says that the job is done; otherwise it was cancelled. */
+/** Returns true if the value of ended/JOB says that the job is done, false if the job was
+ * cancelled. */
 bool codec_is_ended_done(const json_t *value);
 
-/** Builds the value of kept/NAME: the workers that a controller retains. @p day_ms: the time of
- * the day clock at which it is written. @p machines: GPtrArray of char *, the machines' ids. */
-json_t *codec_build_retained(int64_t day_ms, const GPtrArray *machines);
+/** Builds the value of kept/NAME: the workers that a controller retains. @p written_at_ms: the
+ * current wall-clock time in milliseconds since 1970. @p machines: GPtrArray of char *, the
+ * machines' ids. */
+json_t *codec_build_retained(int64_t written_at_ms, const GPtrArray *machines);
 
-/** Returns the time of the day clock, in milliseconds, at which the value of kept/NAME was written;
- * 0 if it has none. */
+/** Returns the wall-clock time, in milliseconds since 1970, at which the value of kept/NAME was
+ * written, or 0 if the value has no time. */
 int64_t codec_get_retained_at(const json_t *value);
 
-/** Parses the value of kept/NAME. Returns the retained machines' ids: GPtrArray of const char *,
- * borrowed from @p value (transfer container). */
+/** Parses the value of kept/NAME. Returns the ids of the machines whose workers are retained:
+ * GPtrArray of const char *, borrowed from @p value (transfer container). */
 GPtrArray *codec_parse_retained(const json_t *value);
 
-/** A page of a relayed message, the value of mail/INBOX/NAME.PAGE. A reader must check the
- * numbers: they are as the value has them. */
+/** A page of a relayed message, the value of mail/INBOX/NAME.PAGE. The parser does not check the
+ * numbers; the reader must. */
 typedef struct relay_page {
-    int64_t pages;       /**< Number of the message's pages; 0 if the value has none. */
-    int64_t frame_bytes; /**< Size of the uncompressed message; 0 if the value has none. */
-    const char *text;    /**< This page's part of the message's text; borrowed; NULL: it has none.
-                            To be built, it needs no terminating zero. */
+    int64_t pages;       /**< Number of pages of the message; 0 if the value has no number. */
+    int64_t frame_bytes; /**< Size of the uncompressed message; 0 if the value has no size. */
+    const char *text;    /**< The part of the message's text on this page; borrowed. NULL if the
+                            parsed value has none. A text to be built needs no terminating zero. */
     gsize text_length;   /**< Length of the text in bytes. */
 } relay_page_t;
 
 /** Builds the value of mail/INBOX/NAME.PAGE. */
 json_t *codec_build_relay_page(const relay_page_t *page);
 
-/** Parses the value of mail/INBOX/NAME.PAGE; the page's text is borrowed from @p value. */
+/** Parses the value of mail/INBOX/NAME.PAGE. The page's text is borrowed from @p value. */
 void codec_parse_relay_page(const json_t *value, relay_page_t *page);
 
 /** Builds the value of view/number for a view. */
 json_t *codec_build_view(const view_t *view);
 
-/** Parses the value of view/number at a revision of that key into @p view. Returns false, and
- * leaves @p view as it was, if it is not a view. */
+/** Parses the value of view/number into @p view. @p revision: the revision of the key. Returns
+ * false and leaves @p view unchanged if the value is not a view. */
 bool codec_parse_view(const json_t *value, uint64_t revision, view_t *view);
 
-/** Parses the value of a key below view/members/, or of an entry in a view, into @p member. Returns
- * false, and clears @p member, if it is not a member. */
+/** Parses a member: the value of a key below view/members/, or an item of a view's list of members.
+ * Returns false and clears @p member if the value is not a member. */
 bool codec_parse_member(const json_t *value, member_t *member);
 
-/** Parses the value of view/lease. Returns the holder's name, borrowed from @p value (transfer
- * none), or NULL if it has none; *incarnation is the holder's, 0 if it has none. @p value may be
- * NULL: there is no lease. */
+/** Parses the value of view/lease. @p value is NULL if there is no lease. Returns the name of the
+ * lease's holder, borrowed from @p value (transfer none), or NULL if there is none. Sets
+ * *incarnation to the holder's incarnation, or to 0 if there is none. */
 const char *codec_parse_lease(const json_t *value, uint64_t *incarnation);
 
-/** Builds a member of the view: the value of view/members/NAME and of view/lease, and an item of
- * the view's list of members. */
+/** Builds a member: the value of view/members/NAME or of view/lease, or an item of a view's list of
+ * members. */
 json_t *codec_build_member(const member_t *member);
 
 #endif
--- a/src/io/codec/json_events.h
+++ b/src/io/codec/json_events.h
@@ -1,8 +1,9 @@
 /** @file
- * Event-driven JSON parsing with yajl, shared by the parsers of outside input. Private to io/codec.
+ * Event-driven JSON parsing with yajl, shared by the parsers of untrusted input. Private to
+ * io/codec.
  *
- * yajl calls back instead of recursing (the threads' stacks are small) and passes numbers as they
- * are written.
+ * yajl does not recurse on nested input, which matters because the threads' stacks are small. It
+ * passes a number to its callback as the text in the input.
  */
 #ifndef PEPPERPULLEY_JSON_EVENTS_H
 #define PEPPERPULLEY_JSON_EVENTS_H
@@ -13,8 +14,8 @@
 #include <yajl/yajl_parse.h>
 
 /** Parses @p text, which must hold exactly one JSON value. Each callback gets @p context and
- * returns nonzero (true) to continue, 0 (false) to stop. Returns whether the whole text was parsed
- * and no callback stopped. */
+ * returns nonzero (true) to continue or 0 (false) to stop. Returns true if the text is valid and no
+ * callback stopped the parsing, otherwise false. */
 bool json_events_parse(const yajl_callbacks *callbacks, void *context, const char *text,
                        gsize length);
 
--- a/src/io/codec/json_input.h
+++ b/src/io/codec/json_input.h
@@ -1,5 +1,5 @@
 /** @file
- * JSON from outside, that is from users and from anyone who reaches the port, as jansson's values.
+ * Parses untrusted JSON, which anyone who can reach the port may send, into jansson values.
  * Thread-safe.
  */
 #ifndef PEPPERPULLEY_JSON_INPUT_H
@@ -9,15 +9,15 @@
 
 #include "core/types.h"
 
-/** Parses @p text. Returns the value (transfer full), or NULL if it is not JSON or nested deeper
- * than JSON_DEPTH_MAX_COUNT.
+/** Parses @p text. Returns the value (transfer full), or NULL if the text is not JSON or is nested
+ * more than JSON_DEPTH_MAX_COUNT levels deep.
  *
- * An integer beyond 64 bits becomes a real number, and a real number beyond a double
- * LARGEST_NUMBER: in an ignored field it does no harm, in any other it is out of range. Strings may
- * contain NUL characters.
+ * An integer that does not fit into 64 bits becomes a real number. A real number that does not fit
+ * into a double becomes LARGEST_NUMBER with its sign. It is thus out of range in each field that is
+ * read, and has no effect in a field that is ignored. Strings may contain NUL characters.
  *
- * *partial is what was read of an array or object up to the error or the end, or NULL if nothing
- * was read (transfer full). */
+ * Sets *partial (transfer full) to what was parsed before the error, or to the whole value if there
+ * was none. It is NULL if nothing was parsed. */
 json_t *json_input_load(const char *text, gsize length, json_t **partial);
 
 #endif
--- a/src/io/codec/stored_values.c
+++ b/src/io/codec/stored_values.c
@@ -1,38 +1,39 @@
-/* Values in the key-value store: pages of machine records, progress and ends of jobs,
- * retained workers, pages of relayed messages. */
+/* Values in the key-value store: pages of machine records, the progress and terminal states of
+ * jobs, retained workers and pages of relayed messages. */
 #include "io/codec/codec_internal.h"
 
 #include <string.h>
 
-/* A page of machine records:
+/* The form of a page of machine records:
  * {"Jobs":[[id,team,image,cpus,gpus,memory,priority,save,checkpoint],...],
  * "Machines":[{"Id","Session","Address","Type","Zone","Spot","Tasks":[[job,task,attempt],...]},...]}
- * where job is the index in Jobs, which all machines of the page share. */
+ * An item of Jobs is the header of a job. In an item of Tasks, job is an index into Jobs, which all
+ * machines of the page share. */
 
-/* Returns the index of the entry's job in the list, to which it is added if it is new. indexes:
- * from the job's id (borrowed) to its index. */
-static json_int_t add_job_header(json_t *jobs, GHashTable *indexes, const record_entry_t *entry)
+/* Returns the index in jobs of the header of the entry's job. Adds the header if jobs does not have
+ * it yet. job_indexes: map from job id (borrowed) to index. */
+static json_int_t add_job_header(json_t *jobs, GHashTable *job_indexes, const record_entry_t *entry)
 {
-    gpointer found;
-    if (g_hash_table_lookup_extended(indexes, entry->job, NULL, &found))
-        return GPOINTER_TO_INT(found);
+    gpointer known_index;
+    if (g_hash_table_lookup_extended(job_indexes, entry->job, NULL, &known_index))
+        return GPOINTER_TO_INT(known_index);
     json_int_t index = (json_int_t)json_array_size(jobs);
     json_array_append_new(jobs,
                           json_pack("[s,s,s,f,f,f,i,f,f]", entry->job, entry->team, entry->image,
                                     entry->need.cpus, entry->need.gpus, entry->need.memory,
                                     (int)entry->priority, entry->save_s, entry->checkpoint_s));
-    g_hash_table_insert(indexes, (gpointer)entry->job, GINT_TO_POINTER((gint)index));
+    g_hash_table_insert(job_indexes, (gpointer)entry->job, GINT_TO_POINTER((gint)index));
     return index;
 }
 
 static json_t *build_machine_record(const machine_record_t *record, json_t *jobs,
-                                    GHashTable *indexes)
+                                    GHashTable *job_indexes)
 {
     json_t *tasks = json_array();
     for (guint i = 0; i < record->entries->len; i++) {
         const record_entry_t *entry = &g_array_index(record->entries, record_entry_t, i);
         json_array_append_new(tasks,
-                              json_pack("[I,I,I]", add_job_header(jobs, indexes, entry),
+                              json_pack("[I,I,I]", add_job_header(jobs, job_indexes, entry),
                                         (json_int_t)entry->task, (json_int_t)entry->attempt));
     }
     return json_pack("{s:s,s:I,s:s,s:s,s:s,s:b,s:o}", "Id", record->machine, "Session",
@@ -44,23 +45,24 @@
 {
     json_t *jobs = json_array();
     json_t *machines = json_array();
-    g_autoptr(GHashTable) indexes = g_hash_table_new(g_str_hash, g_str_equal); /* id -> index */
-    bool is_whole = true;
+    g_autoptr(GHashTable) job_indexes = g_hash_table_new(g_str_hash, g_str_equal); /* id -> index */
+    bool is_complete = true;
     for (guint i = 0; i < record->machines->len; i++) {
         json_t *machine = build_machine_record(
-            &g_array_index(record->machines, machine_record_t, i), jobs, indexes);
-        is_whole = is_whole && machine && json_array_append_new(machines, machine) == 0;
+            &g_array_index(record->machines, machine_record_t, i), jobs, job_indexes);
+        is_complete = is_complete && machine && json_array_append_new(machines, machine) == 0;
     }
-    /* A header that could not be built would shift the indexes of those after it. */
-    is_whole = is_whole && json_array_size(jobs) == g_hash_table_size(indexes);
-    if (is_whole)
+    /* A header that could not be built is missing from the list, which makes the indexes of the
+     * headers after it wrong. */
+    is_complete = is_complete && json_array_size(jobs) == g_hash_table_size(job_indexes);
+    if (is_complete)
         return json_pack("{s:o,s:o}", "Jobs", jobs, "Machines", machines);
     json_decref(jobs);
     json_decref(machines);
     return NULL;
 }
 
-/* The header of a job in a record: its fields, in order. */
+/* The fields of a job's header in a page, in order. */
 enum {
     RECORD_JOB_ID,
     RECORD_JOB_TEAM,
@@ -94,7 +96,7 @@
            g_strlcpy(entry->image, image, sizeof entry->image) < sizeof entry->image;
 }
 
-/* A task of a machine in a record: its fields, in order. */
+/* The fields of a machine's task in a page, in order. */
 enum { RECORD_TASK_JOB, RECORD_TASK_NUMBER, RECORD_TASK_ATTEMPT, RECORD_TASK_FIELDS };
 
 static bool parse_record_task(const json_t *task, const json_t *jobs, record_entry_t *entry,
@@ -103,9 +105,11 @@
     json_int_t index = json_integer_value(json_array_get(task, RECORD_TASK_JOB));
     json_int_t attempt = json_integer_value(json_array_get(task, RECORD_TASK_ATTEMPT));
     if (json_array_size(task) != RECORD_TASK_FIELDS || index < 0 || attempt <= 0)
-        return codec_fail(error, CODEC_ERROR_VALUE, "Tasks: [job, task, attempt] is expected");
+        return codec_set_error(error, CODEC_ERROR_VALUE,
+                               "Tasks: a list [index in Jobs, task, attempt above 0] is expected");
     if (!parse_record_job(json_array_get(jobs, (size_t)index), entry))
-        return codec_fail(error, CODEC_ERROR_VALUE, "Jobs: a job's header is expected");
+        return codec_set_error(error, CODEC_ERROR_VALUE,
+                               "Jobs: the header of a task's job is missing or malformed");
     entry->task = (uint32_t)json_integer_value(json_array_get(task, RECORD_TASK_NUMBER));
     entry->attempt = (uint64_t)attempt;
     return true;
@@ -113,12 +117,12 @@
 
 static bool parse_machine_header(const json_t *value, machine_record_t *record, GError **error)
 {
-    return codec_get_text(value, "Id", record->machine, sizeof record->machine, error) &&
-           codec_get_text(value, "Address", record->address, sizeof record->address, error) &&
-           codec_get_text(value, "Type", record->type, sizeof record->type, error) &&
-           codec_get_text(value, "Zone", record->zone, sizeof record->zone, error) &&
-           codec_get_flag(value, "Spot", &record->is_spot, error) &&
-           codec_get_count(value, "Session", 0, G_MAXINT64, &record->worker_epoch, error);
+    return codec_get_string(value, "Id", record->machine, sizeof record->machine, error) &&
+           codec_get_string(value, "Address", record->address, sizeof record->address, error) &&
+           codec_get_string(value, "Type", record->type, sizeof record->type, error) &&
+           codec_get_string(value, "Zone", record->zone, sizeof record->zone, error) &&
+           codec_get_boolean(value, "Spot", &record->is_spot, error) &&
+           codec_get_integer(value, "Session", 0, G_MAXINT64, &record->worker_epoch, error);
 }
 
 static bool parse_machine_record(const json_t *value, const json_t *jobs, machine_record_t *record,
@@ -128,7 +132,7 @@
     if (!parse_machine_header(value, record, error))
         return false;
     if (!json_is_array(tasks))
-        return codec_fail(error, CODEC_ERROR_TYPE, "Tasks: a list is expected");
+        return codec_set_error(error, CODEC_ERROR_TYPE, "Tasks: a list is expected");
     size_t i;
     json_t *task;
     json_array_foreach(tasks, i, task)
@@ -141,13 +145,15 @@
     return true;
 }
 
-/* In the page of another shard than its own, a machine would have two owners that write it. */
+/* Checks that the machine belongs to the page's shard. Otherwise it would have two owners that both
+ * write its record. */
 static bool check_shard(const machine_record_t *machine, const page_record_t *page, GError **error)
 {
     char own_shard[SHARD_NAME_BYTES];
     shard_of(machine->machine, machine->zone, own_shard, sizeof own_shard);
     if (strcmp(own_shard, page->shard) != 0)
-        return codec_fail(error, CODEC_ERROR_VALUE, "Id: the machine is of another shard");
+        return codec_set_error(error, CODEC_ERROR_VALUE,
+                               "Id: the machine belongs to another shard than the page");
     return true;
 }
 
@@ -155,16 +161,17 @@
 {
     const json_t *machines = json_object_get(value, "Machines");
     if (!page_parse(page, record->shard, sizeof record->shard, &record->page))
-        return codec_fail(error, CODEC_ERROR_VALUE, "key: the name of a page is expected");
+        return codec_set_error(error, CODEC_ERROR_VALUE,
+                               "key: a page name of the form SHARD or SHARD+PAGE is expected");
     if (!json_is_array(machines))
-        return codec_fail(error, CODEC_ERROR_TYPE, "Machines: a list is expected");
+        return codec_set_error(error, CODEC_ERROR_TYPE, "Machines: a list is expected");
     size_t i;
     json_t *item;
     json_array_foreach(machines, i, item)
     {
         machine_record_t machine = {.entries = g_array_new(FALSE, FALSE, sizeof(record_entry_t))};
         bool is_valid = parse_machine_record(item, json_object_get(value, "Jobs"), &machine, error);
-        /* Appended in any case: the array frees the entries. */
+        /* Appended even if it is invalid, because the array then frees its entries. */
         g_array_append_val(record->machines, machine);
         if (!is_valid || !check_shard(&machine, record, error))
             return false;
@@ -182,10 +189,10 @@
     return is_valid;
 }
 
-json_t *codec_build_bits(const uint8_t *bits, gsize bytes, uint32_t done)
+json_t *codec_build_bits(const uint8_t *bits, gsize bytes, uint32_t done_count)
 {
     g_autofree char *text = g_base64_encode(bits, bytes);
-    return json_pack("{s:s,s:I}", "Bits", text, "Done", (json_int_t)done);
+    return json_pack("{s:s,s:I}", "Bits", text, "Done", (json_int_t)done_count);
 }
 
 uint8_t *codec_parse_bits(const json_t *value, gsize *bytes)
@@ -194,9 +201,10 @@
     return text ? g_base64_decode(text, bytes) : NULL;
 }
 
-json_t *codec_build_ended(bool done, uint32_t tasks)
+json_t *codec_build_ended(bool is_done, uint32_t done_count)
 {
-    return json_pack("{s:s,s:I}", "Trim", done ? "done" : "cancelled", "Done", (json_int_t)tasks);
+    return json_pack("{s:s,s:I}", "Trim", is_done ? "done" : "cancelled", "Done",
+                     (json_int_t)done_count);
 }
 
 bool codec_is_ended_done(const json_t *value)
@@ -204,12 +212,12 @@
     return g_strcmp0(json_string_value(json_object_get(value, "Trim")), "done") == 0;
 }
 
-json_t *codec_build_retained(int64_t day_ms, const GPtrArray *machines)
+json_t *codec_build_retained(int64_t written_at_ms, const GPtrArray *machines)
 {
-    json_t *names = json_array();
+    json_t *ids = json_array();
     for (guint i = 0; i < machines->len; i++)
-        json_array_append_new(names, json_string(g_ptr_array_index(machines, i)));
-    return json_pack("{s:I,s:o}", "At", (json_int_t)day_ms, "Machines", names);
+        json_array_append_new(ids, json_string(g_ptr_array_index(machines, i)));
+    return json_pack("{s:I,s:o}", "At", (json_int_t)written_at_ms, "Machines", ids);
 }
 
 int64_t codec_get_retained_at(const json_t *value)
@@ -219,7 +227,7 @@
 
 GPtrArray *codec_parse_retained(const json_t *value)
 {
-    return codec_get_strings(json_object_get(value, "Machines"));
+    return codec_collect_strings(json_object_get(value, "Machines"));
 }
 
 json_t *codec_build_relay_page(const relay_page_t *page)
--- a/src/io/codec/view.c
+++ b/src/io/codec/view.c
@@ -1,4 +1,4 @@
-/* Values below view/ in the key-value store: the view, the leader's lease and the members. */
+/* The values below view/ in the key-value store: the view, the leader's lease and the members. */
 #include "io/codec/codec.h"
 
 json_t *codec_build_member(const member_t *member)
--- a/src/io/codec/worker_commands.c
+++ b/src/io/codec/worker_commands.c
@@ -1,14 +1,14 @@
-/* The workers' protocol: commands. Worker heartbeats are in worker_heartbeats.c. */
+/* The workers' protocol: commands to workers. worker_heartbeats.c parses the heartbeats. */
 #include "io/codec/codec_internal.h"
 
 static json_t *build_command_list(const GArray *commands)
 {
-    static const char *const names[] = {
+    static const char *const op_names[] = {
         [COMMAND_RUN] = "run", [COMMAND_STOP] = "stop", [COMMAND_FORGET] = "forget"};
     json_t *list = json_array();
     for (guint i = 0; commands && i < commands->len; i++) {
         const worker_command_t *command = &g_array_index(commands, worker_command_t, i);
-        json_t *item = json_pack("{s:s,s:o,s:I}", "Call", names[command->op], "Piece",
+        json_t *item = json_pack("{s:s,s:o,s:I}", "Call", op_names[command->op], "Piece",
                                  json_sprintf("%s/%u", command->job, command->task), "Heave",
                                  (json_int_t)command->attempt);
         if (command->op == COMMAND_STOP)
--- a/src/io/codec/worker_heartbeats.c
+++ b/src/io/codec/worker_heartbeats.c
@@ -1,14 +1,16 @@
-/* Worker heartbeats, most of the traffic: read while they are parsed, without a tree in between.
+/* Parses worker heartbeats. Their values are stored from yajl's callbacks, without a JSON tree in
+ * between, because heartbeats are most of the traffic.
  *
- * The fields of the heartbeat are those of the outermost object; the fields of an attempt are those
- * of an object in its list of attempts. Anything deeper, or under another name, is skipped.
+ * The fields of the heartbeat are those of the outermost object. The fields of an attempt are those
+ * of an object in the heartbeat's list of attempts. Fields with other names and deeper values are
+ * skipped.
  */
 #include <string.h>
 
 #include "io/codec/heartbeat_values.h"
 #include "io/codec/json_events.h"
 
-/* The number of containers that are open around a value. */
+/* The depth of a value: the number of containers that are open around it. */
 enum { DEPTH_ROOT = 0, DEPTH_HEARTBEAT = 1, DEPTH_LIST = 2, DEPTH_ATTEMPT = 3 };
 
 typedef enum {
@@ -52,8 +54,8 @@
     [ATTEMPT_FIELD_STATE] = "Trim",
     [ATTEMPT_FIELD_CAUSE] = "Cause"};
 
-/* A state of the protocol only: a task of a gang that waits for the others. It counts as
- * TASK_FETCHING. */
+/* The protocol's state of a gang's task that waits for the gang's other tasks. The core has no such
+ * state and gets TASK_FETCHING instead. */
 enum { STATE_GATHERING = TASK_EXITED + 1 };
 
 static const char *const state_names[] = {[TASK_FETCHING] = "pulling",
@@ -70,20 +72,20 @@
 typedef struct heartbeat_reader {
     worker_heartbeat_t *heartbeat; /* the result */
     GError **error;                /* may be NULL */
-    guint depth;                   /* open containers */
+    guint depth;                   /* number of open containers */
     bool is_in_attempts;           /* whether the list of attempts is open */
-    heartbeat_field_t field;       /* of the next value at DEPTH_HEARTBEAT */
-    guint seen;                    /* bits: the fields that were read */
-    attempt_field_t attempt_field; /* of the next value of an attempt */
-    guint attempt_seen;            /* bits: the fields of the attempt that were read */
-    reported_attempt_t attempt;    /* under construction */
+    heartbeat_field_t field;       /* field of the next value at DEPTH_HEARTBEAT */
+    guint seen_fields;             /* a bit, 1U << field, for each field read so far */
+    attempt_field_t attempt_field; /* field of the next value at DEPTH_ATTEMPT */
+    guint seen_attempt_fields;     /* likewise for the fields of this attempt */
+    reported_attempt_t attempt;    /* the attempt that is being read */
 } heartbeat_reader_t;
 
-/* Sets the error and stops the parsing: always returns false. */
-static bool refuse(heartbeat_reader_t *reader, codec_error_t code, const char *name,
-                   const char *expected)
+/* Sets the error. Always returns false, which the callbacks return in turn to stop the parsing. */
+static bool set_field_error(heartbeat_reader_t *reader, codec_error_t code, const char *name,
+                            const char *fault)
 {
-    return codec_fail(reader->error, code, "%s: %s", name, expected);
+    return codec_set_error(reader->error, code, "%s: %s", name, fault);
 }
 
 static bool read_field(heartbeat_reader_t *reader, const value_t *value)
@@ -93,46 +95,47 @@
     if (reader->field == FIELD_UNKNOWN)
         return true;
     const char *name = field_names[reader->field];
-    reader->seen |= 1U << reader->field;
+    reader->seen_fields |= 1U << reader->field;
     switch (reader->field) {
     case FIELD_MACHINE:
-        return value_read_text(value, name, heartbeat->machine, sizeof heartbeat->machine, error);
+        return value_read_string(value, name, heartbeat->machine, sizeof heartbeat->machine, error);
     case FIELD_ADDRESS:
-        return value_read_text(value, name, heartbeat->address, sizeof heartbeat->address, error);
+        return value_read_string(value, name, heartbeat->address, sizeof heartbeat->address, error);
     case FIELD_TYPE:
-        return value_read_text(value, name, heartbeat->type, sizeof heartbeat->type, error);
+        return value_read_string(value, name, heartbeat->type, sizeof heartbeat->type, error);
     case FIELD_ZONE:
-        return value_read_text(value, name, heartbeat->zone, sizeof heartbeat->zone, error);
+        return value_read_string(value, name, heartbeat->zone, sizeof heartbeat->zone, error);
     case FIELD_SPOT:
-        return value_read_flag(value, name, &heartbeat->is_spot, error);
+        return value_read_boolean(value, name, &heartbeat->is_spot, error);
     case FIELD_WORKER_EPOCH:
-        return value_read_count(value, name, &heartbeat->worker_epoch, error);
+        return value_read_integer(value, name, &heartbeat->worker_epoch, error);
     case FIELD_HEARTBEAT_SEQUENCE:
-        return value_read_count(value, name, &heartbeat->heartbeat_sequence, error);
+        return value_read_integer(value, name, &heartbeat->heartbeat_sequence, error);
     case FIELD_FENCING_TOKEN:
-        return value_read_count(value, name, &heartbeat->fencing_token, error);
+        return value_read_integer(value, name, &heartbeat->fencing_token, error);
     case FIELD_INTERRUPTION:
-        heartbeat->interruption_in_s = -1; /* null: no interruption notice */
-        return value_read_optional_amount(value, name, &heartbeat->interruption_in_s, error);
-    case FIELD_ATTEMPTS: /* a list does not come here, see read_list_start */
+        heartbeat->interruption_in_s = -1; /* kept if the value is null: no interruption notice */
+        return value_read_optional_number(value, name, &heartbeat->interruption_in_s, error);
+    case FIELD_ATTEMPTS: /* read_array_start handles the list itself */
         return value->type == VALUE_NULL ||
-               refuse(reader, CODEC_ERROR_TYPE, name, "a list is expected");
+               set_field_error(reader, CODEC_ERROR_TYPE, name, "a list is expected");
     case FIELD_UNKNOWN:
         break;
     }
     return true;
 }
 
-/* A task is named "job/task". */
+/* Reads the name of a task, which has the form "JOB/TASK". */
 static bool read_task(heartbeat_reader_t *reader, const value_t *value)
 {
     reported_attempt_t *attempt = &reader->attempt;
-    const char *slash = value_is_text(value) ? memchr(value->text, '/', value->length) : NULL;
+    const char *slash = value_is_c_string(value) ? memchr(value->text, '/', value->length) : NULL;
     gsize length = slash ? (gsize)(slash - value->text) : 0;
     uint64_t task = 0;
     if (!slash || length == 0 || length >= sizeof attempt->job ||
         !value_parse_integer(slash + 1, value->length - length - 1, G_MAXUINT32, &task))
-        return refuse(reader, CODEC_ERROR_VALUE, "Pieces", "Piece is not the name of a task");
+        return set_field_error(reader, CODEC_ERROR_VALUE, "Pieces",
+                               "Piece is not the name of a task");
     memcpy(attempt->job, slash - length, length);
     attempt->job[length] = '\0';
     attempt->task = (uint32_t)task;
@@ -142,19 +145,20 @@
 static bool read_state(heartbeat_reader_t *reader, const value_t *value)
 {
     guint state = G_N_ELEMENTS(state_names);
-    if (value_is_text(value))
+    if (value_is_c_string(value))
         state = value_find_word(state_names, G_N_ELEMENTS(state_names), value->text, value->length);
     if (state == G_N_ELEMENTS(state_names))
-        return refuse(reader, CODEC_ERROR_VALUE, "Trim", "not one of the known words");
+        return set_field_error(reader, CODEC_ERROR_VALUE, "Trim", "not one of the known words");
     reader->attempt.state = state > TASK_EXITED ? TASK_FETCHING : (task_state_t)state;
     return true;
 }
 
-/* An unknown cause counts as a failure: the attempt has ended in any case. */
+/* A cause that is unknown or malformed counts as CAUSE_ERROR and is not refused, because the
+ * attempt has exited in any case. */
 static bool read_cause(heartbeat_reader_t *reader, const value_t *value)
 {
     guint cause = G_N_ELEMENTS(cause_names);
-    if (value_is_text(value))
+    if (value_is_c_string(value))
         cause = value_find_word(cause_names, G_N_ELEMENTS(cause_names), value->text, value->length);
     reader->attempt.cause = cause < G_N_ELEMENTS(cause_names) ? (cause_t)cause : CAUSE_ERROR;
     return true;
@@ -164,13 +168,13 @@
 {
     if (reader->attempt_field == ATTEMPT_FIELD_UNKNOWN)
         return true;
-    reader->attempt_seen |= 1U << reader->attempt_field;
+    reader->seen_attempt_fields |= 1U << reader->attempt_field;
     switch (reader->attempt_field) {
     case ATTEMPT_FIELD_TASK:
         return read_task(reader, value);
     case ATTEMPT_FIELD_NUMBER:
-        return value_read_count(value, attempt_field_names[ATTEMPT_FIELD_NUMBER],
-                                &reader->attempt.attempt, reader->error);
+        return value_read_integer(value, attempt_field_names[ATTEMPT_FIELD_NUMBER],
+                                  &reader->attempt.attempt, reader->error);
     case ATTEMPT_FIELD_STATE:
         return read_state(reader, value);
     case ATTEMPT_FIELD_CAUSE:
@@ -184,11 +188,12 @@
 static bool read_value(heartbeat_reader_t *reader, const value_t *value)
 {
     if (reader->depth == DEPTH_ROOT)
-        return refuse(reader, CODEC_ERROR_SYNTAX, "report", "a JSON object is expected");
+        return set_field_error(reader, CODEC_ERROR_SYNTAX, "report", "a JSON object is expected");
     if (reader->depth == DEPTH_HEARTBEAT)
         return read_field(reader, value);
     if (reader->depth == DEPTH_LIST && reader->is_in_attempts)
-        return refuse(reader, CODEC_ERROR_VALUE, "Pieces", "Piece is not the name of a task");
+        return set_field_error(reader, CODEC_ERROR_VALUE, "Pieces",
+                               "Piece is not the name of a task");
     if (reader->depth == DEPTH_ATTEMPT && reader->is_in_attempts)
         return read_attempt_field(reader, value);
     return true;
@@ -198,24 +203,24 @@
 {
     reader->depth++;
     if (reader->depth > JSON_DEPTH_MAX_COUNT)
-        return refuse(reader, CODEC_ERROR_SYNTAX, "report", "nested too deeply");
+        return set_field_error(reader, CODEC_ERROR_SYNTAX, "report", "nested too deeply");
     return true;
 }
 
-static int read_map_start(void *context)
+static int read_object_start(void *context)
 {
     heartbeat_reader_t *reader = context;
     const value_t value = {.type = VALUE_CONTAINER};
     if (reader->depth == DEPTH_LIST && reader->is_in_attempts) {
         reader->attempt = (reported_attempt_t){0};
-        reader->attempt_seen = 0;
+        reader->seen_attempt_fields = 0;
     } else if (reader->depth != DEPTH_ROOT && !read_value(reader, &value)) {
         return false;
     }
     return open_container(reader);
 }
 
-static int read_list_start(void *context)
+static int read_array_start(void *context)
 {
     heartbeat_reader_t *reader = context;
     const value_t value = {.type = VALUE_CONTAINER};
@@ -228,33 +233,33 @@
     return open_container(reader);
 }
 
-static bool end_attempt(heartbeat_reader_t *reader)
+static bool append_attempt(heartbeat_reader_t *reader)
 {
-    static const guint needed =
+    static const guint required =
         1U << ATTEMPT_FIELD_TASK | 1U << ATTEMPT_FIELD_NUMBER | 1U << ATTEMPT_FIELD_STATE;
-    guint missing = needed & ~reader->attempt_seen;
+    guint missing = required & ~reader->seen_attempt_fields;
     reported_attempt_t *attempt = &reader->attempt;
     if (missing)
-        return refuse(reader, CODEC_ERROR_MISSING, attempt_field_names[g_bit_nth_lsf(missing, -1)],
-                      "missing");
+        return set_field_error(reader, CODEC_ERROR_MISSING,
+                               attempt_field_names[g_bit_nth_lsf(missing, -1)], "missing");
     if (attempt->state != TASK_EXITED)
         attempt->cause = CAUSE_NONE;
-    else if (!(reader->attempt_seen & 1U << ATTEMPT_FIELD_CAUSE))
+    else if (!(reader->seen_attempt_fields & 1U << ATTEMPT_FIELD_CAUSE))
         attempt->cause = CAUSE_ERROR;
     g_array_append_val(reader->heartbeat->attempts, *attempt);
     return true;
 }
 
-static int read_map_end(void *context)
+static int read_object_end(void *context)
 {
     heartbeat_reader_t *reader = context;
     reader->depth--;
     if (reader->is_in_attempts && reader->depth == DEPTH_LIST)
-        return end_attempt(reader);
+        return append_attempt(reader);
     return true;
 }
 
-static int read_list_end(void *context)
+static int read_array_end(void *context)
 {
     heartbeat_reader_t *reader = context;
     reader->depth--;
@@ -299,13 +304,13 @@
     return read_value(context, &value);
 }
 
-static bool has_all_fields(heartbeat_reader_t *reader)
+static bool check_required_fields(heartbeat_reader_t *reader)
 {
     static const guint optional = 1U << FIELD_INTERRUPTION | 1U << FIELD_ATTEMPTS;
-    guint missing = ((1U << FIELDS_COUNT) - 1) & ~optional & ~reader->seen;
+    guint missing = ((1U << FIELDS_COUNT) - 1) & ~optional & ~reader->seen_fields;
     if (missing)
-        return refuse(reader, CODEC_ERROR_MISSING, field_names[g_bit_nth_lsf(missing, -1)],
-                      "missing");
+        return set_field_error(reader, CODEC_ERROR_MISSING, field_names[g_bit_nth_lsf(missing, -1)],
+                               "missing");
     return true;
 }
 
@@ -316,18 +321,19 @@
                                              .yajl_boolean = read_boolean,
                                              .yajl_number = read_number,
                                              .yajl_string = read_string,
-                                             .yajl_start_map = read_map_start,
+                                             .yajl_start_map = read_object_start,
                                              .yajl_map_key = read_key,
-                                             .yajl_end_map = read_map_end,
-                                             .yajl_start_array = read_list_start,
-                                             .yajl_end_array = read_list_end};
+                                             .yajl_end_map = read_object_end,
+                                             .yajl_start_array = read_array_start,
+                                             .yajl_end_array = read_array_end};
     heartbeat_reader_t reader = {.heartbeat = heartbeat, .error = error, .field = FIELD_UNKNOWN};
     *heartbeat = (worker_heartbeat_t){.interruption_in_s = -1};
     heartbeat->attempts = g_array_new(FALSE, FALSE, sizeof(reported_attempt_t));
-    bool is_valid = json_events_parse(&callbacks, &reader, text, length) && has_all_fields(&reader);
+    bool is_valid =
+        json_events_parse(&callbacks, &reader, text, length) && check_required_fields(&reader);
     if (!is_valid)
         worker_heartbeat_clear(heartbeat);
-    if (!is_valid && error && !*error) /* no callback objected */
-        codec_fail(error, CODEC_ERROR_SYNTAX, "not JSON");
+    if (!is_valid && error && !*error) /* yajl found the fault, not a callback */
+        codec_set_error(error, CODEC_ERROR_SYNTAX, "not JSON");
     return is_valid;
 }
