--- a/tests/io/codec/test_encoding_samples.c
+++ b/tests/io/codec/test_encoding_samples.c
@@ -1,6 +1,6 @@
-/* The exact bytes of what the service writes and reads, compared with the files of tests/samples,
- * which the builds that are in use wrote: controllers of both builds run side by side during an
- * update, and read each other's values and messages. */
+/* Checks that the service writes and reads exactly the bytes in tests/samples, which the builds in
+ * use wrote. During an update, controllers of the old and the new build run side by side and must
+ * be able to read each other's values and messages. */
 #include "controller/api/reply.h"
 #include "io/codec/codec.h"
 #include "io/records.h"
@@ -51,7 +51,7 @@
     job_spec_clear(&spec);
 }
 
-static void test_stored_job_is_written_as_sampled(void **state)
+static void test_stored_job_matches_sample(void **state)
 {
     (void)state;
     job_spec_t spec = submitted_job();
@@ -71,8 +71,8 @@
     json_decref(value);
 }
 
-/* With what may be left out left out. */
-static void test_each_kind_and_priority_of_a_job_is_written_as_sampled(void **state)
+/* None of the optional fields of these jobs is set. */
+static void test_each_kind_and_priority_of_a_job_matches_sample(void **state)
 {
     (void)state;
     json_t *jobs = json_array();
@@ -107,7 +107,7 @@
     json_decref(jobs);
 }
 
-static void test_answers_to_users_are_written_as_sampled(void **state)
+static void test_answers_to_users_match_samples(void **state)
 {
     (void)state;
     assert_json_is_sample("answer_status.json", codec_build_status("j-000412", "running", 7, 5));
@@ -115,7 +115,7 @@
     assert_json_is_sample("answer_come_back.json", api_retry_later().body);
 }
 
-static void test_worker_report_is_read(void **state)
+static void test_worker_heartbeat_is_read(void **state)
 {
     (void)state;
     static const task_state_t states[] = {TASK_FETCHING, TASK_RUNNING, TASK_SAVING, TASK_FETCHING};
@@ -134,19 +134,19 @@
     for (guint i = 0; i < heartbeat.attempts->len; i++) {
         const reported_attempt_t *attempt =
             &g_array_index(heartbeat.attempts, reported_attempt_t, i);
-        bool over = i >= G_N_ELEMENTS(states);
-        guint cause = over ? i - G_N_ELEMENTS(states) : CAUSE_NONE;
-        assert_string_equal(attempt->job, over ? "j-000398" : "j-000412");
-        assert_int_equal(attempt->task, over ? 10 + cause : 3 + i);
+        bool has_exited = i >= G_N_ELEMENTS(states);
+        guint cause = has_exited ? i - G_N_ELEMENTS(states) : CAUSE_NONE;
+        assert_string_equal(attempt->job, has_exited ? "j-000398" : "j-000412");
+        assert_int_equal(attempt->task, has_exited ? 10 + cause : 3 + i);
         assert_int_equal(attempt->attempt, 2 + i);
-        assert_int_equal(attempt->state, over ? TASK_EXITED : states[i]);
+        assert_int_equal(attempt->state, has_exited ? TASK_EXITED : states[i]);
         assert_int_equal(attempt->cause, cause);
     }
     worker_heartbeat_clear(&heartbeat);
     g_free(text);
 }
 
-static void test_answers_to_workers_are_written_as_sampled(void **state)
+static void test_answers_to_workers_match_samples(void **state)
 {
     (void)state;
     const worker_command_t commands[] = {{COMMAND_RUN, "j-000412", 3, 1ULL << 40, 0},
@@ -160,7 +160,7 @@
     g_array_unref(list);
 }
 
-static void test_requests_to_the_cloud_are_written_as_sampled(void **state)
+static void test_requests_to_the_cloud_match_samples(void **state)
 {
     (void)state;
     GPtrArray *machines = g_ptr_array_new();
@@ -190,17 +190,17 @@
     json_decref(body);
 }
 
-static void test_machines_of_the_cloud_are_read(void **state)
+static void test_list_of_machines_of_the_cloud_is_read(void **state)
 {
     (void)state;
     static const host_t expected[] = {{"m-000001", "g8", "north", true, HOST_BOOTING, 3.5},
                                       {"m-000002", "c16", "south", false, HOST_RUNNING, 40.5},
                                       {"m-000003", "c32", "east", false, HOST_FAILED, 7}};
-    bool more = false;
+    bool has_more = false;
     GArray *hosts = g_array_new(FALSE, FALSE, sizeof(host_t));
     json_t *body = read_json_sample("cloud_machines.json");
-    assert_true(codec_parse_hosts(body, hosts, &more));
-    assert_true(more);
+    assert_true(codec_parse_hosts(body, hosts, &has_more));
+    assert_true(has_more);
     assert_int_equal(hosts->len, G_N_ELEMENTS(expected));
     for (guint i = 0; i < hosts->len; i++) {
         const host_t *host = &g_array_index(hosts, host_t, i);
@@ -215,7 +215,7 @@
     json_decref(body);
 }
 
-/* A machine with work of two jobs, and one that is idle. */
+/* Returns a page with a machine that runs tasks of two jobs and an idle machine. */
 static page_record_t sample_page(uint64_t revision)
 {
     page_record_t record = {.page = 2, .revision = revision, .machines = machine_records_new()};
@@ -236,7 +236,7 @@
     return record;
 }
 
-static void test_record_of_machines_is_written_as_sampled(void **state)
+static void test_page_of_machine_records_matches_sample(void **state)
 {
     (void)state;
     page_record_t record = sample_page(0);
@@ -244,7 +244,7 @@
     g_array_unref(record.machines);
 }
 
-static void test_record_of_machines_is_read(void **state)
+static void test_page_of_machine_records_is_read(void **state)
 {
     (void)state;
     page_record_t record;
@@ -275,7 +275,7 @@
     json_decref(value);
 }
 
-static void test_owners_of_machines_are_chosen_as_sampled(void **state)
+static void test_owners_of_machines_match_sample(void **state)
 {
     (void)state;
     const member_t members[] = {
@@ -295,9 +295,10 @@
     g_string_free(text, TRUE);
 }
 
-/* Progress on the way, the end of a job, a record and one that goes; of the jobs that started, the
- * one that is written anyway makes no condition. */
-static void test_commit_is_written_as_sampled(void **state)
+/* The commit writes a chunk of progress, the end of a job and a page of machine records, and
+ * deletes an empty page. It records starts of two jobs. For j-000412, the write of its progress
+ * already requires the job's revision, so only j-000555 needs a condition of its own. */
+static void test_commit_matches_sample(void **state)
 {
     (void)state;
     const uint64_t chunk_revisions[] = {11, 0, 13};
@@ -337,7 +338,7 @@
     json_decref(commit);
 }
 
-static void test_other_transactions_are_written_as_sampled(void **state)
+static void test_other_transactions_match_samples(void **state)
 {
     (void)state;
     const member_t self = {"node-2", "south", 1700000000456, true};
@@ -349,7 +350,7 @@
     job_spec_clear(&spec);
 }
 
-/* The names and words of operators' settings, none at its default. */
+/* The sample covers the names and words of settings. No tunable has its default value. */
 static void test_settings_are_read(void **state)
 {
     (void)state;
@@ -367,7 +368,7 @@
     assert_non_null(policy);
     for (int tunable = 0; tunable < TUNABLE_COUNT; tunable++)
         if (policy_value(policy, (policy_tunable_t)tunable, &env) != expected[tunable])
-            fail_msg("sample settings.policy: setting %d has another value", tunable);
+            fail_msg("sample settings.policy: tunable %d has the wrong value", tunable);
     policy_free(policy);
     g_ptr_array_unref(faults);
     g_free(text);
@@ -377,22 +378,22 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_submitted_job_is_read),
-        cmocka_unit_test(test_stored_job_is_written_as_sampled),
+        cmocka_unit_test(test_stored_job_matches_sample),
         cmocka_unit_test(test_stored_job_is_read),
-        cmocka_unit_test(test_each_kind_and_priority_of_a_job_is_written_as_sampled),
+        cmocka_unit_test(test_each_kind_and_priority_of_a_job_matches_sample),
         cmocka_unit_test(test_each_kind_and_priority_of_a_stored_job_is_read),
-        cmocka_unit_test(test_answers_to_users_are_written_as_sampled),
-        cmocka_unit_test(test_worker_report_is_read),
-        cmocka_unit_test(test_answers_to_workers_are_written_as_sampled),
-        cmocka_unit_test(test_requests_to_the_cloud_are_written_as_sampled),
+        cmocka_unit_test(test_answers_to_users_match_samples),
+        cmocka_unit_test(test_worker_heartbeat_is_read),
+        cmocka_unit_test(test_answers_to_workers_match_samples),
+        cmocka_unit_test(test_requests_to_the_cloud_match_samples),
         cmocka_unit_test(test_machine_types_of_the_cloud_are_read),
-        cmocka_unit_test(test_machines_of_the_cloud_are_read),
-        cmocka_unit_test(test_record_of_machines_is_written_as_sampled),
-        cmocka_unit_test(test_record_of_machines_is_read),
-        cmocka_unit_test(test_owners_of_machines_are_chosen_as_sampled),
-        cmocka_unit_test(test_commit_is_written_as_sampled),
+        cmocka_unit_test(test_list_of_machines_of_the_cloud_is_read),
+        cmocka_unit_test(test_page_of_machine_records_matches_sample),
+        cmocka_unit_test(test_page_of_machine_records_is_read),
+        cmocka_unit_test(test_owners_of_machines_match_sample),
+        cmocka_unit_test(test_commit_matches_sample),
         cmocka_unit_test(test_progress_is_read),
-        cmocka_unit_test(test_other_transactions_are_written_as_sampled),
+        cmocka_unit_test(test_other_transactions_match_samples),
         cmocka_unit_test(test_settings_are_read),
     };
     return cmocka_run_group_tests_name("encoding_samples", tests, NULL, NULL);
--- a/tests/io/codec/test_worker_heartbeats.c
+++ b/tests/io/codec/test_worker_heartbeats.c
@@ -1,4 +1,5 @@
-/* Tests of the codec of worker heartbeats: what is accepted, what is refused and why. */
+/* Tests of the codec of worker heartbeats: which are accepted and which are refused with which
+ * error. */
 #include "io/codec/codec.h"
 #include "unit_test.h"
 
@@ -8,7 +9,7 @@
     "{\"Piece\":\"j-000412/3\",\"Heave\":2,\"Trim\":\"running\"},"
     "{\"Piece\":\"j-000398/0\",\"Heave\":1,\"Trim\":\"exited\",\"Cause\":\"done\"}]}";
 
-static void test_heartbeat_is_read(void **state)
+static void test_valid_heartbeat_is_parsed(void **state)
 {
     (void)state;
     worker_heartbeat_t heartbeat;
@@ -23,7 +24,7 @@
     worker_heartbeat_clear(&heartbeat);
 }
 
-/* Consumes the body. */
+/* Returns whether the heartbeat is accepted. Consumes the body. */
 static bool is_accepted(json_t *body, GError **error)
 {
     worker_heartbeat_t heartbeat;
@@ -70,6 +71,8 @@
     return body;
 }
 
+/* Fields with unknown names must be skipped with all that they contain, even if names of known
+ * fields occur in them. Optional fields may be null. */
 static void test_unknown_heartbeat_fields_are_ignored(void **state)
 {
     (void)state;
@@ -84,7 +87,7 @@
     assert_true(is_accepted(heartbeat_with("WarningS", json_real(12.5)), NULL));
 }
 
-static void test_heartbeat_with_a_field_of_the_wrong_type_is_refused(void **state)
+static void test_malformed_heartbeat_is_refused(void **state)
 {
     (void)state;
     assert_heartbeat_refused(heartbeat_with("Pieces", json_integer(1)), CODEC_ERROR_TYPE,
@@ -127,8 +130,10 @@
     assert_text_refused("", 0, "not JSON");
 }
 
-/* An attempt that ended has ended, whatever cause the worker gives. */
-static void test_unknown_causes_are_failures(void **state)
+/* An attempt has exited whatever cause the worker gives. A cause that is unknown or missing must
+ * neither make the heartbeat invalid nor count as success. The cause of an attempt that has not
+ * exited is ignored. */
+static void test_unknown_or_missing_cause_counts_as_error(void **state)
 {
     (void)state;
     static const char text[] =
@@ -168,7 +173,7 @@
     assert_heartbeat_refused(body, CODEC_ERROR_VALUE, "Pieces: Piece is not the name of a task");
 }
 
-/* A field that is too long, and one nested beyond the limit. */
+/* A string that is too long for its field and a value that is nested too deeply must be refused. */
 static void test_oversized_heartbeat_is_refused(void **state)
 {
     (void)state;
@@ -187,11 +192,11 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_heartbeat_is_read),
+        cmocka_unit_test(test_valid_heartbeat_is_parsed),
         cmocka_unit_test(test_heartbeat_without_a_required_field_is_refused),
         cmocka_unit_test(test_unknown_heartbeat_fields_are_ignored),
-        cmocka_unit_test(test_heartbeat_with_a_field_of_the_wrong_type_is_refused),
-        cmocka_unit_test(test_unknown_causes_are_failures),
+        cmocka_unit_test(test_malformed_heartbeat_is_refused),
+        cmocka_unit_test(test_unknown_or_missing_cause_counts_as_error),
         cmocka_unit_test(test_oversized_heartbeat_is_refused),
     };
     return cmocka_run_group_tests_name("worker heartbeats", tests, NULL, NULL);
