--- a/src/io/clock.h
+++ b/src/io/clock.h
@@ -1,6 +1,6 @@
 /** @file
- * The process's clocks, in milliseconds. The core never reads them: it gets times as arguments.
- * Thread-safe.
+ * The system's clocks, read in milliseconds. The code in src/core never reads a clock: its callers
+ * pass times as arguments. Thread-safe.
  */
 #ifndef PEPPERPULLEY_CLOCK_H
 #define PEPPERPULLEY_CLOCK_H
@@ -9,7 +9,7 @@
 
 #include "core/types.h"
 
-/** Reads the clock @p id. */
+/** Returns the time of the clock @p id, in milliseconds. */
 static inline msec_t clock_read(clockid_t id)
 {
     struct timespec now;
@@ -17,13 +17,15 @@
     return (msec_t)now.tv_sec * MS_PER_S + now.tv_nsec / NS_PER_MS;
 }
 
-/** Returns the monotonic clock's time, for intervals and deadlines within the process. */
+/** Returns the time of the monotonic clock, in milliseconds, for intervals and deadlines within the
+ * process. */
 static inline msec_t clock_steady(void)
 {
     return clock_read(CLOCK_MONOTONIC);
 }
 
-/** Returns the time of day since 1970, for times that outlive the process or go to others. */
+/** Returns the wall-clock time in milliseconds since the Unix epoch, for times that are stored or
+ * sent to other processes. */
 static inline int64_t clock_day(void)
 {
     return clock_read(CLOCK_REALTIME);
--- a/src/io/http_client.c
+++ b/src/io/http_client.c
@@ -1,12 +1,12 @@
-/* Blocking HTTP calls, by libcurl. */
+/* Blocking HTTP calls, made with libcurl. */
 #include "io/http_client.h"
 
 #include <curl/curl.h>
 
 struct http_client {
     CURL *curl;                 /* owned */
-    GString *answer;            /* the body of the last answer; owned */
-    struct curl_slist *headers; /* of each request; owned, curl borrows it */
+    GString *answer;            /* body of the last answer; owned */
+    struct curl_slist *headers; /* sent with every request; owned, borrowed by curl */
 };
 
 void http_start(void)
@@ -14,7 +14,7 @@
     curl_global_init(CURL_GLOBAL_NOTHING);
 }
 
-/* curl's callback for a part of the answer. */
+/* Callback of curl that appends a received chunk of the answer's body to the buffer. */
 static size_t append_answer(char *data, size_t size, size_t count, void *answer)
 {
     g_string_append_len(answer, data, (gssize)(size * count));
@@ -44,8 +44,8 @@
     curl_easy_setopt(client->curl, CURLOPT_CONNECTTIMEOUT_MS, connect_ms);
 }
 
-/* The outcome of a call without an answer. A connection attempt that was given up does not complete
- * later, so without a byte sent nothing is executed. */
+/* Returns the outcome of a call that got no answer. A connection attempt that curl has given up
+ * does not complete later, so a request of which no byte was sent is never executed. */
 static int classify_failure(CURL *curl, CURLcode code)
 {
     long sent_bytes = 0;
@@ -55,7 +55,8 @@
     return HTTP_NO_ANSWER;
 }
 
-/* The answer of a watch may be large: more than ANSWER_BUFFER_BYTES is not kept. */
+/* Empties the answer buffer. The answer to a watch can be large, so a buffer of more than
+ * ANSWER_BUFFER_BYTES is freed and replaced by a new one. */
 static void clear_answer(http_client_t *client)
 {
     g_string_truncate(client->answer, 0);
--- a/src/io/kv_store.c
+++ b/src/io/kv_store.c
@@ -1,6 +1,6 @@
-/* Client of the key-value store, and the codec of its protocol on HTTP: the names of that
- * protocol's own fields (If, Then, Set, Tether, Stamp, ...) occur here only. The values that it
- * stores are built and parsed in io/codec. */
+/* Client of the key-value store, with the codec of the store's HTTP protocol: the field names of
+ * that protocol (If, Then, Set, Tether, Stamp, ...) occur in this file only. The stored values are
+ * built and parsed in io/codec. */
 #include "io/kv_store.h"
 
 #include <string.h>
@@ -27,14 +27,14 @@
     return entries;
 }
 
-/* Whether the status comes from the store itself: it is up and handled the request. */
+/* Returns whether the status shows that the store itself is up and handled the request. */
 static bool is_answered(int status)
 {
     return status == HTTP_OK || status == HTTP_NOT_FOUND || status == HTTP_CONFLICT ||
            status == HTTP_GONE;
 }
 
-static kv_result_t result_of(int status, const json_t *answer)
+static kv_result_t result_from_status(int status, const json_t *answer)
 {
     switch (status) {
     case HTTP_OK:
@@ -52,12 +52,12 @@
     case HTTP_UNAVAILABLE:
         return KV_NOT_EXECUTED;
     case HTTP_NO_ANSWER:
-    default: /* a status that the protocol does not have says nothing about the execution */
+    default: /* a status outside the protocol does not tell whether the request was executed */
         return KV_INDETERMINATE;
     }
 }
 
-/* Raises answered_at to sent_at, unless a newer request was answered already. */
+/* Advances answered_at to sent_at, unless a request sent later has been answered already. */
 static void record_answer(kv_store_t *kv_store, msec_t sent_at)
 {
     msec_t before = atomic_load(&kv_store->answered_at);
@@ -76,10 +76,10 @@
     int status = http_call(client, method, url, body, timeout_ms, answer);
     if (is_answered(status))
         record_answer(kv_store, sent_at);
-    return result_of(status, *answer);
+    return result_from_status(status, *answer);
 }
 
-static uint64_t get_number(const json_t *object, const char *name)
+static uint64_t get_uint64(const json_t *object, const char *name)
 {
     return (uint64_t)json_integer_value(json_object_get(object, name));
 }
@@ -94,31 +94,32 @@
     if (result == KV_OK) {
         entry->key = g_strdup(key);
         entry->value = json_incref(json_object_get(answer, "Value"));
-        entry->revision = get_number(answer, "Stamp");
+        entry->revision = get_uint64(answer, "Stamp");
     }
     return result;
 }
 
-/* Reads the page after the key `since` (NULL: the first one). */
+/* Reads the page that follows the key `after_key`, or the first page if that is NULL. */
 static kv_result_t list_page(kv_store_t *kv_store, http_client_t *client, const char *prefix,
-                             const char *since, GArray *entries, uint64_t *revision, bool *has_more)
+                             const char *after_key, GArray *entries, uint64_t *revision,
+                             bool *has_more)
 {
     char path[URL_BYTES];
     json_auto_t *answer = NULL;
-    g_snprintf(path, sizeof path, "/keys?Under=%s%s%s&Limit=%d", prefix, since ? "&Since=" : "",
-               since ? since : "", KEYS_PAGE_COUNT);
+    g_snprintf(path, sizeof path, "/keys?Under=%s%s%s&Limit=%d", prefix, after_key ? "&Since=" : "",
+               after_key ? after_key : "", KEYS_PAGE_COUNT);
     kv_result_t result = send_request(kv_store, client, "GET", path, NULL, KV_TIMEOUT_MS, &answer);
     if (result != KV_OK)
         return result;
     if (revision)
-        *revision = get_number(answer, "Logline");
+        *revision = get_uint64(answer, "Logline");
     size_t i;
     json_t *item;
     json_array_foreach(json_object_get(answer, "Entries"), i, item)
     {
         kv_entry_t entry = {.key = g_strdup(json_string_value(json_object_get(item, "K"))),
                             .value = json_incref(json_object_get(item, "Value")),
-                            .revision = get_number(item, "Stamp")};
+                            .revision = get_uint64(item, "Stamp")};
         g_array_append_val(entries, entry);
     }
     *has_more = json_is_true(json_object_get(answer, "More"));
@@ -132,13 +133,13 @@
     bool has_more = true;
     while (has_more) {
         bool is_first = entries->len == before;
-        const char *since =
+        const char *after_key =
             is_first ? NULL : g_array_index(entries, kv_entry_t, entries->len - 1).key;
-        kv_result_t result = list_page(kv_store, client, prefix, since, entries,
+        kv_result_t result = list_page(kv_store, client, prefix, after_key, entries,
                                        is_first ? revision : NULL, &has_more);
         if (result != KV_OK)
             return result;
-        /* A first page without entries has no key to go on from. */
+        /* Without any entry there is no key after which a next page could start. */
         has_more = has_more && entries->len > before;
     }
     return KV_OK;
@@ -169,8 +170,8 @@
 void kv_txn_put(kv_txn_t *txn, const char *key, json_t *value, uint64_t lease)
 {
     json_t *change = json_pack("{s:s,s:o}", "Set", key, "Value", value);
-    /* A record that could not be built must not be committed in part: its attempts would be lost,
-     * and run twice. */
+    /* A transaction with a record that could not be built must not be committed without it: the
+     * record's attempts would be lost, and their tasks would run twice. */
     txn->is_invalid = txn->is_invalid || !change;
     if (lease)
         json_object_set_new(change, "Tether", json_integer((json_int_t)lease));
@@ -202,7 +203,7 @@
     kv_result_t result = send_request(kv_store, client, "POST", "/txn", body, timeout_ms, &answer);
     json_decref(body);
     if (result == KV_OK && revision)
-        *revision = get_number(answer, "Logline");
+        *revision = get_uint64(answer, "Logline");
     if (result == KV_CONFLICT && failed)
         append_failed_keys(answer, failed);
     return result;
@@ -217,7 +218,7 @@
         send_request(kv_store, client, "POST", "/grants", body, KV_TIMEOUT_MS, &answer);
     json_decref(body);
     if (result == KV_OK)
-        *lease = get_number(answer, "Tether");
+        *lease = get_uint64(answer, "Tether");
     return result;
 }
 
@@ -250,9 +251,9 @@
         json_t *key = set ? set : json_object_get(item, "Delete");
         kv_entry_t entry = {.key = g_strdup(json_string_value(key)),
                             .value = set ? json_incref(json_object_get(item, "Value")) : NULL,
-                            .revision = get_number(item, "Stamp")};
+                            .revision = get_uint64(item, "Stamp")};
         g_array_append_val(changes, entry);
     }
-    *revision = get_number(answer, "Logline");
+    *revision = get_uint64(answer, "Logline");
     return KV_OK;
 }
--- a/src/io/log.c
+++ b/src/io/log.c
@@ -12,22 +12,23 @@
 static const char *const level_names[] = {
     [LOG_LEVEL_ERROR] = "error", [LOG_LEVEL_INFO] = "info", [LOG_LEVEL_DEBUG] = "debug"};
 
-/* An error is critical to GLib: its own G_LOG_LEVEL_ERROR ends the process. */
+/* Errors have the level "critical" in GLib, since G_LOG_LEVEL_ERROR aborts the process. */
 static const GLogLevelFlags glib_levels[] = {[LOG_LEVEL_ERROR] = G_LOG_LEVEL_CRITICAL,
                                              [LOG_LEVEL_INFO] = G_LOG_LEVEL_INFO,
                                              [LOG_LEVEL_DEBUG] = G_LOG_LEVEL_DEBUG};
 
-/* Set before any other thread starts, only read afterwards. */
+/* Set before any other thread starts; read-only afterwards. */
 static log_level_t enabled_level = LOG_LEVEL_INFO;
 
-/* Writes a line of ours, whose only field is the finished text. What GLib and other libraries log
- * themselves has more fields, and goes where it goes without us. */
+/* GLib's log writer. A message whose only field is MESSAGE was formatted by log_write() and is
+ * written as one line. Messages of GLib and other libraries have more fields and are passed on to
+ * GLib's default writer. */
 static GLogWriterOutput write_line(GLogLevelFlags level, const GLogField *fields, gsize count,
                                    gpointer data)
 {
     if (count != 1 || strcmp(fields[0].key, "MESSAGE") != 0)
         return g_log_writer_default(level, fields, count, data);
-    /* A single call, so that lines of several threads are not interleaved. */
+    /* A single call, so that lines from different threads are not interleaved. */
     fprintf(stderr, "%s\n", (const char *)fields[0].value);
     return G_LOG_WRITER_HANDLED;
 }
--- a/src/io/log.h
+++ b/src/io/log.h
@@ -1,7 +1,7 @@
 /** @file
- * The log: events on standard error, one a line, as key=value pairs, through GLib's structured
- * logging. The level is set once, before other threads start; writing is thread-safe and lines are
- * not interleaved.
+ * Logging: writes events to standard error through GLib's structured logging, one event per line,
+ * as key=value pairs. The level is set once, before other threads start. Writing is thread-safe,
+ * and lines are not interleaved.
  *
  * The level is checked before GLib is called, since g_log_structured() formats a message before its
  * writer can drop it.
@@ -11,20 +11,19 @@
 
 #include <stdbool.h>
 
-/** Levels, the most important first. */
+/** Log levels, the most severe first. */
 typedef enum {
-    LOG_LEVEL_ERROR, /**< Something that an operator should look into. */
+    LOG_LEVEL_ERROR, /**< A problem that an operator should look into. */
     LOG_LEVEL_INFO,  /**< A rare event. */
-    LOG_LEVEL_DEBUG  /**< Details, for the search for a fault. */
+    LOG_LEVEL_DEBUG  /**< Details for debugging. */
 } log_level_t;
 
-/** Starts the log at a level: error, info or debug, as the variable LOG_LEVEL names it. NULL and
- * the empty text mean info. Called once, before other threads start. Returns false for an unknown
- * word.
- */
+/** Installs the log writer and sets the level to @p level_name, the value of the environment
+ * variable LOG_LEVEL: error, info or debug. NULL and the empty string mean info. Call it once,
+ * before other threads start. Returns false if the name is unknown. */
 bool log_start(const char *level_name);
 
-/** Writes a line, if @p level is enabled; a line above LOG_LINE_BYTES is truncated. */
+/** Writes a line if @p level is enabled. A line longer than LOG_LINE_BYTES is truncated. */
 void log_write(log_level_t level, const char *format, ...) __attribute__((format(printf, 2, 3)));
 
 /** Logs at LOG_LEVEL_ERROR. */
--- a/src/io/peer_protocol.c
+++ b/src/io/peer_protocol.c
@@ -14,7 +14,7 @@
     job_counts_update_clear(&message->job_counts);
 }
 
-/* The message without its lists. */
+/* Returns the message without its lists. The result borrows the sender's name. */
 static wire_message encode_scalars(const peer_message_t *message)
 {
     return (wire_message){
@@ -37,7 +37,7 @@
     };
 }
 
-/* The list borrows the strings of the items. Its memory is freed by free_lists(). */
+/* Encodes the items. The list borrows their strings; free_lists() frees its memory. */
 static void encode_items(const GArray *items, wire_message *wire)
 {
     guint count = items ? items->len : 0;
@@ -48,7 +48,7 @@
     wire->items.items_val = list;
 }
 
-/* The list borrows the strings of the summaries. Its memory is freed by free_lists(). */
+/* Encodes the summaries. The list borrows their strings; free_lists() frees its memory. */
 static void encode_summaries(const summary_update_t *update, wire_message *wire)
 {
     guint count = update->summaries ? update->summaries->len : 0;
@@ -63,7 +63,7 @@
     }
 }
 
-/* Borrows the array's memory. */
+/* Encodes the array, whose memory is borrowed. */
 static void encode_cpus_being_preempted(const GArray *cpus, wire_message *wire)
 {
     if (!cpus)
@@ -72,7 +72,8 @@
     wire->cpus_being_preempted.cpus_being_preempted_val = (double *)(void *)cpus->data;
 }
 
-/* Borrows the array of jobs. The log's incarnation is the sender's and goes with the scalars. */
+/* Encodes the update, whose array of jobs is borrowed. The incarnation of the log is that of the
+ * sender, which encode_scalars() encodes. */
 static void encode_cancellations(const cancellation_update_t *update, wire_message *wire)
 {
     wire->cancellations.after_index = update->after_index;
@@ -85,7 +86,7 @@
     }
 }
 
-/* The list borrows the strings of the counts. Its memory is freed by free_lists(). */
+/* Encodes the counts. The list borrows their strings; free_lists() frees its memory. */
 static void encode_job_counts(const job_counts_update_t *update, wire_message *wire)
 {
     guint count = update->jobs ? update->jobs->len : 0;
@@ -99,7 +100,7 @@
     wire->job_counts.job_counts_val = list;
 }
 
-/* Frees the lists that encoding allocated; the others are borrowed from the message. */
+/* Frees the lists that were allocated for encoding. The others are borrowed from the message. */
 static void free_lists(wire_message *wire)
 {
     g_free(wire->items.items_val);
@@ -107,7 +108,8 @@
     g_free(wire->job_counts.job_counts_val);
 }
 
-/* The bytes of the message, transfer full; NULL: a value exceeds a limit of the protocol. */
+/* Returns the bytes of the message (transfer full), or NULL if a value exceeds a limit of the
+ * protocol. */
 static GByteArray *serialize(wire_message *wire)
 {
     gulong size = xdr_sizeof((xdrproc_t)xdr_wire_message, wire);
@@ -151,7 +153,7 @@
     message->summaries.version = wire->summaries_version;
 }
 
-/* Copies of the names: array of strings that owns them; transfer full. */
+/* Returns copies of the names: an array that owns its strings (transfer full). */
 static GPtrArray *decode_names(const wire_name *names, u_int count)
 {
     GPtrArray *copies = g_ptr_array_new_with_free_func(g_free);
@@ -185,7 +187,7 @@
     return update;
 }
 
-/* Array of channel_item_t; transfer full. */
+/* Returns an array of channel_item_t (transfer full). */
 static GArray *decode_items(const wire_message *wire)
 {
     GArray *items = channel_items_new();
@@ -197,7 +199,7 @@
     return items;
 }
 
-/* Array of machine_summary_t; transfer full. */
+/* Returns an array of machine_summary_t (transfer full). */
 static GArray *decode_summaries(const wire_message *wire)
 {
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
@@ -209,7 +211,7 @@
     return summaries;
 }
 
-/* Array of double; transfer full. */
+/* Returns an array of double (transfer full). */
 static GArray *decode_cpus_being_preempted(const wire_message *wire)
 {
     GArray *cpus = g_array_new(FALSE, FALSE, sizeof(double));
--- a/src/io/peer_protocol.x
+++ b/src/io/peer_protocol.x
@@ -1,6 +1,7 @@
-/* Messages between controllers. One message serves both directions: a batch of items under its
- * number, the number of the last batch received, and the sender's machine summaries where they have
- * changed. Names in this file are not part of the encoding; order and types are. */
+/* Messages between controllers. Both directions use the same message. It carries a numbered batch
+ * of items, the number of the last batch that the sender received, and changes of the sender's
+ * machine summaries. The encoding depends on the order and the types in this file, not on the
+ * names. */
 
 const WIRE_NAME_MAX = 63;
 const WIRE_ITEMS_MAX = 512;
@@ -26,7 +27,7 @@
     wire_name image;
     wire_name zone;
     wire_name types<64>;
-    bool any_type;                  /* types is empty and means every machine type */
+    bool any_type;                  /* true: every machine type is allowed, and types is empty */
     wire_resources need;
     bool spot;
     bool gang;
@@ -36,7 +37,7 @@
     unsigned hyper job_revision;
     bool may_preempt;
     bool claims_guarantee;
-    unsigned hyper preemptible_teams; /* a bit a team */
+    unsigned hyper preemptible_teams; /* one bit for each team */
 };
 
 struct wire_attempt_result {
@@ -45,7 +46,7 @@
     wire_name machine;
 };
 
-/* The values are those of channel_item_kind_t. */
+/* The values equal those of channel_item_kind_t. */
 enum wire_item_kind {
     WIRE_PLACEMENT_REQUEST = 0,
     WIRE_ACKNOWLEDGE = 1,
@@ -106,20 +107,29 @@
     unsigned hyper batch_number;
     unsigned hyper acknowledged_batch;
     hyper kv_answer_age_ms;         /* ms since the key-value store last answered the sender */
-    hyper answer_delay_ms;          /* an answer to a heartbeat: for how long it was held back */
-    hyper worker_heartbeat_age_ms;  /* ms since a worker that the sender owns last sent it a heartbeat */
-    bool is_heartbeat;              /* a call, or the answer to one, from any controller to any other */
-    unsigned hyper known_log_incarnation; /* a call: the caller has the cancellation log of this ... */
-    unsigned hyper known_log_index;       /* ... incarnation up to this entry */
-    wire_cancellation_update cancellations; /* an answer: those that the sender confirmed to users */
-    unsigned hyper job_counts_epoch;   /* a call: the caller has the job counts of this epoch ... */
-    unsigned hyper job_counts_version; /* ... up to this version; an answer: has them with it */
+    hyper answer_delay_ms;          /* in the answer to a heartbeat: how long it was delayed, ms */
+    hyper worker_heartbeat_age_ms;  /* ms since any worker that the sender owns last sent it a
+                                       heartbeat */
+    bool is_heartbeat;              /* a peer heartbeat, from any controller to any other, or the
+                                       answer to one */
+    unsigned hyper known_log_incarnation; /* in a heartbeat: the incarnation of the receiver's
+                                             cancellation log that the sender has a replica of */
+    unsigned hyper known_log_index; /* in a heartbeat: the replica has all entries up to this one */
+    wire_cancellation_update cancellations; /* in an answer to a heartbeat: the cancellations that
+                                               the sender has confirmed to users */
+    unsigned hyper job_counts_epoch;   /* the epoch to which job_counts_version belongs */
+    unsigned hyper job_counts_version; /* in a heartbeat: the version of the job counts that the
+                                          sender has; in an answer: the version that the receiver
+                                          has once it has applied job_counts */
     wire_job_counts job_counts<WIRE_ITEMS_MAX>;
     wire_item items<WIRE_ITEMS_MAX>;
     bool has_summaries;
-    unsigned hyper summaries_base;    /* the version that the summaries change; 0: they are all */
-    unsigned hyper summaries_version; /* a call: of what follows; an answer: of what was applied */
+    unsigned hyper summaries_base;    /* the version to which the changes apply; 0: the message has
+                                         the summaries of all machines */
+    unsigned hyper summaries_version; /* in a call: the version that results from the changes; in
+                                         an answer: the version that the leader has applied */
     wire_machine_summary summaries<WIRE_SUMMARIES_MAX>;
-    wire_name terminated<WIRE_SUMMARIES_MAX>; /* machines of the base that no longer exist */
+    wire_name terminated<WIRE_SUMMARIES_MAX>; /* machines of the base version that no longer
+                                                 exist */
     double cpus_being_preempted<64>;
 };
--- a/src/io/peer_socket.c
+++ b/src/io/peer_socket.c
@@ -12,7 +12,7 @@
 
 #include "core/types.h"
 
-/* Parses "address:port"; false: the endpoint has another form. */
+/* Parses "address:port". Returns false if the endpoint does not have this form. */
 static bool parse_endpoint(const char *endpoint, struct sockaddr_in *address)
 {
     char host[ADDRESS_BYTES];
@@ -25,7 +25,8 @@
     return inet_pton(AF_INET, host, &address->sin_addr) == 1;
 }
 
-/* A socket for the endpoint, whose address it sets; negative: failed. */
+/* Returns a new socket and sets *address to the address of the endpoint. Returns a negative number
+ * on failure. */
 static int open_socket(const char *endpoint, struct sockaddr_in *address)
 {
     if (!parse_endpoint(endpoint, address))
@@ -57,7 +58,8 @@
     return fd;
 }
 
-/* Waits until the connection that was begun is there; false: it failed or took too long. */
+/* Waits until the pending connection is established. Returns false if it fails or the timeout
+ * expires. */
 static bool wait_until_connected(int fd, guint timeout_ms)
 {
     struct pollfd waiting = {.fd = fd, .events = POLLOUT};
@@ -68,7 +70,7 @@
     return getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error == 0;
 }
 
-/* Connects a socket that does not block. */
+/* Connects a non-blocking socket. Returns false if that fails or the timeout expires. */
 static bool connect_within(int fd, const struct sockaddr_in *address, guint timeout_ms)
 {
     if (connect(fd, (const struct sockaddr *)address, sizeof *address) == 0)
@@ -95,7 +97,7 @@
     return fd;
 }
 
-/* Sends all `size` bytes; false: the connection ended or did not take them in time. */
+/* Sends all `size` bytes. Returns false if the connection fails or the timeout expires. */
 static bool write_all(int fd, const void *data, size_t size)
 {
     const char *next = data;
@@ -109,7 +111,7 @@
     return true;
 }
 
-/* Receives exactly `size` bytes; false: the connection ended or they did not come in time. */
+/* Receives exactly `size` bytes. Returns false if the connection ends or the timeout expires. */
 static bool read_all(int fd, void *data, size_t size)
 {
     char *next = data;
@@ -126,17 +128,17 @@
 bool peer_send(int fd, const GByteArray *frame)
 {
     uint32_t length = htonl(frame->len);
-    /* Length and message leave with one call. */
+    /* The length and the message are sent with a single call. */
     g_autoptr(GByteArray) bytes = g_byte_array_sized_new(frame->len + sizeof length);
     g_byte_array_append(bytes, (const guint8 *)&length, sizeof length);
     g_byte_array_append(bytes, frame->data, frame->len);
     return write_all(fd, bytes->data, bytes->len);
 }
 
-/* Receives what has arrived, at least the length of the frame and at most `size` bytes; 0: the
- * connection ended or nothing came in time. The other side sends one frame and waits for the
- * answer, so no bytes of a next frame are received here. */
-static gsize read_some(int fd, uint8_t *data, gsize size)
+/* Receives the start of a frame: at least its length field and at most `size` bytes. Returns the
+ * number of bytes, or 0 if the connection ends or the timeout expires. The other side sends one
+ * frame and waits for the answer, so these bytes never include the start of a next frame. */
+static gsize read_frame_start(int fd, uint8_t *data, gsize size)
 {
     gsize received = 0;
     while (received < sizeof(uint32_t)) {
@@ -152,7 +154,7 @@
 {
     uint8_t start[PEER_READ_BYTES];
     uint32_t length;
-    gsize received = read_some(fd, start, sizeof start);
+    gsize received = read_frame_start(fd, start, sizeof start);
     if (received == 0)
         return NULL;
     memcpy(&length, start, sizeof length);
--- a/src/io/peer_wire.c
+++ b/src/io/peer_wire.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* A cast turns one kind into the other. */
+/* The kinds of items are converted by a cast, so both enumerations must have equal values. */
 G_STATIC_ASSERT((int)WIRE_PLACEMENT_REQUEST == (int)CHANNEL_PLACEMENT_REQUEST);
 G_STATIC_ASSERT((int)WIRE_ACKNOWLEDGE == (int)CHANNEL_ACKNOWLEDGE);
 G_STATIC_ASSERT((int)WIRE_WITHDRAW == (int)CHANNEL_WITHDRAW);
@@ -54,7 +54,7 @@
     to->types.types_val = (wire_name *)request->types;
 }
 
-/* The machine types of a request: an array of strings that ends with NULL; transfer full. */
+/* Returns the machine types of a request, a NULL-terminated array of strings (transfer full). */
 static char **decode_types(const wire_placement_request *from)
 {
     char **types = g_new0(char *, from->types.types_len + 1);
--- a/src/io/rate_limiter.h
+++ b/src/io/rate_limiter.h
@@ -1,6 +1,6 @@
 /** @file
- * A token bucket that keeps requests within an outside service's rate limit. Its capacity is one
- * second's tokens, at least one. Thread-safe: it has a lock of its own.
+ * A token bucket that keeps requests within the rate limit of an external service. Its capacity is
+ * the tokens of one second, but at least one token. Thread-safe: each bucket has its own lock.
  */
 #ifndef PEPPERPULLEY_RATE_LIMITER_H
 #define PEPPERPULLEY_RATE_LIMITER_H
@@ -13,24 +13,24 @@
 typedef struct rate_limiter {
     pthread_mutex_t lock; /**< Guards the other fields. */
     double rate;          /**< Tokens per second. */
-    double tokens;        /**< Tokens left; below 0 after a charge beyond them. */
+    double tokens;        /**< Available tokens; negative if more were taken than there were. */
     msec_t refilled_at;   /**< When tokens were last added. */
 } rate_limiter_t;
 
-/** Initializes a full bucket. */
+/** Initializes a bucket that holds the tokens of one second. @p rate: tokens per second. */
 void rate_limiter_init(rate_limiter_t *limiter, double rate, msec_t now);
 
-/** Changes the rate; it applies to the time since the last refill as well. */
+/** Changes the rate. The new rate also applies to the time since the last refill. */
 void rate_limiter_set_rate(rate_limiter_t *limiter, double rate);
 
-/** Takes @p amount tokens if there are enough; an amount above the capacity needs a full bucket.
- * Returns whether they were taken. */
+/** Takes @p amount tokens if that many are available. An amount above the capacity is taken if the
+ * bucket is full. Returns whether the tokens were taken. */
 bool rate_limiter_take(rate_limiter_t *limiter, double amount, msec_t now);
 
-/** Returns the tokens left; below 0 after a charge beyond them. */
+/** Returns the number of available tokens; negative if more were taken than there were. */
 double rate_limiter_left(rate_limiter_t *limiter, msec_t now);
 
-/** Takes @p amount tokens in any case, for requests that can't be delayed. */
+/** Takes @p amount tokens even if fewer are available, for requests that can't be delayed. */
 void rate_limiter_charge(rate_limiter_t *limiter, double amount, msec_t now);
 
 #endif
--- a/src/io/records.c
+++ b/src/io/records.c
@@ -1,19 +1,19 @@
-/* The transactions on jobs, progress, machine records and members. */
+/* Builds the transactions that write jobs, progress, machine records and members. */
 #include "io/records.h"
 
 #include "io/codec/codec.h"
 
-static void job_key(const char *id, char *key)
+static void format_job_key(const char *id, char *key)
 {
     g_snprintf(key, KV_KEY_BYTES, "jobs/%s", id);
 }
 
-static void ended_key(const char *id, char *key)
+static void format_ended_key(const char *id, char *key)
 {
     g_snprintf(key, KV_KEY_BYTES, "ended/%s", id);
 }
 
-static void chunk_key(const char *id, guint chunk, char *key)
+static void format_chunk_key(const char *id, guint chunk, char *key)
 {
     g_snprintf(key, KV_KEY_BYTES, "done/%s/%u", id, chunk);
 }
@@ -22,8 +22,8 @@
 {
     char key[KV_KEY_BYTES];
     char job[KV_KEY_BYTES];
-    job_key(progress->job, job);
-    chunk_key(progress->job, progress->chunk, key);
+    format_job_key(progress->job, job);
+    format_chunk_key(progress->job, progress->chunk, key);
     kv_txn_require_revision(txn, job, progress->job_revision);
     kv_txn_require_revision(txn, key, progress->revision);
     kv_txn_put(txn, key, codec_build_bits(progress->bits, progress->bytes, progress->done), 0);
@@ -32,22 +32,22 @@
 static void write_job_end(kv_txn_t *txn, const progress_t *progress)
 {
     char key[KV_KEY_BYTES];
-    job_key(progress->job, key);
+    format_job_key(progress->job, key);
     kv_txn_require_revision(txn, key, progress->job_revision);
     kv_txn_delete(txn, key);
-    ended_key(progress->job, key);
+    format_ended_key(progress->job, key);
     kv_txn_put(txn, key, codec_build_ended(true, progress->done), 0);
     for (guint chunk = 0; chunk < progress->old_revisions->len; chunk++) {
         uint64_t revision = g_array_index(progress->old_revisions, uint64_t, chunk);
-        if (revision == 0) /* never written */
+        if (revision == 0) /* the chunk was never written */
             continue;
-        chunk_key(progress->job, chunk, key);
+        format_chunk_key(progress->job, chunk, key);
         kv_txn_require_revision(txn, key, revision);
         kv_txn_delete(txn, key);
     }
 }
 
-/* A page without machines is deleted. */
+/* Writes each page, or deletes it if it has no machines. */
 static void write_pages(kv_txn_t *txn, const GArray *pages)
 {
     char key[KV_KEY_BYTES];
@@ -64,8 +64,8 @@
     }
 }
 
-/* jobs: from id to revision. written_jobs: the ids of those that the transaction requires already.
- */
+/* Requires the revisions of `jobs`, which maps ids to revisions, except for those in
+ * `written_jobs`, the set of ids of the jobs that the transaction requires already. */
 static void require_jobs(kv_txn_t *txn, GHashTable *jobs, GHashTable *written_jobs)
 {
     char key[KV_KEY_BYTES];
@@ -76,7 +76,7 @@
     while (g_hash_table_iter_next(&iter, &id, &revision)) {
         if (g_hash_table_contains(written_jobs, id))
             continue;
-        job_key(id, key);
+        format_job_key(id, key);
         kv_txn_require_revision(txn, key, GPOINTER_TO_SIZE(revision));
     }
 }
@@ -85,7 +85,7 @@
                         uint64_t view_revision)
 {
     kv_txn_t txn = kv_txn_new();
-    g_autoptr(GHashTable) written_jobs = g_hash_table_new(g_str_hash, g_str_equal); /* of ids */
+    g_autoptr(GHashTable) written_jobs = g_hash_table_new(g_str_hash, g_str_equal); /* job ids */
     kv_txn_require_revision(&txn, "view/number", view_revision);
     for (guint i = 0; progress && i < progress->len; i++) {
         const progress_t *entry = &g_array_index(progress, progress_t, i);
@@ -104,8 +104,8 @@
 {
     char job[KV_KEY_BYTES];
     char ended[KV_KEY_BYTES];
-    job_key(spec->id, job);
-    ended_key(spec->id, ended);
+    format_job_key(spec->id, job);
+    format_ended_key(spec->id, ended);
     kv_txn_t txn = kv_txn_new();
     kv_txn_require_revision(&txn, job, 0);
     kv_txn_require_revision(&txn, ended, 0);
@@ -117,15 +117,15 @@
 {
     char key[KV_KEY_BYTES];
     kv_txn_t txn = kv_txn_new();
-    job_key(id, key);
+    format_job_key(id, key);
     kv_txn_require_revision(&txn, key, revision);
     kv_txn_delete(&txn, key);
-    ended_key(id, key);
+    format_ended_key(id, key);
     kv_txn_put(&txn, key, codec_build_ended(false, 0), 0);
-    /* A job of one task never has progress without its end, and each change counts in the write
-     * rate. */
+    /* A job with a single task has no progress before it ends, so there are no chunks to delete,
+     * and each change counts towards the write rate limit. */
     for (uint32_t chunk = 0; tasks > 1 && chunk * CHUNK_BITS < tasks; chunk++) {
-        chunk_key(id, chunk, key);
+        format_chunk_key(id, chunk, key);
         kv_txn_delete(&txn, key);
     }
     return txn;
--- a/src/io/relay.c
+++ b/src/io/relay.c
@@ -6,31 +6,32 @@
 
 #include "io/codec/codec.h"
 
-/* The frame compressed, as base64 text; transfer full. Machine summaries repeat each other's names
- * and resources: uncompressed, those of a zone of hundreds of machines exceed a transaction. */
-static char *pack(const GByteArray *frame)
+/* Returns the frame, compressed and encoded as base64 text (transfer full). Compression is needed
+ * because the uncompressed machine summaries of a zone with hundreds of machines exceed the size
+ * limit of a transaction. It is effective because summaries repeat the same names and resources. */
+static char *compress_frame(const GByteArray *frame)
 {
     uLongf size = compressBound(frame->len);
-    guchar *packed = g_malloc(size);
-    compress2(packed, &size, frame->data, frame->len, Z_BEST_SPEED);
-    char *text = g_base64_encode(packed, size);
-    g_free(packed);
+    guchar *compressed = g_malloc(size);
+    compress2(compressed, &size, frame->data, frame->len, Z_BEST_SPEED);
+    char *text = g_base64_encode(compressed, size);
+    g_free(compressed);
     return text;
 }
 
-/* The reverse of pack(), for a frame of `size` bytes; transfer full. NULL: the text is not of such
- * a frame. */
-static GByteArray *unpack(const char *text, int64_t size)
+/* Reverses compress_frame(): returns the frame of `size` bytes (transfer full), or NULL if the text
+ * is not a compressed frame of that size. */
+static GByteArray *decompress_frame(const char *text, int64_t size)
 {
-    gsize packed_size = 0;
+    gsize compressed_size = 0;
     if (size < 0 || size > PEER_FRAME_MAX_BYTES)
         return NULL;
-    uLongf unpacked_size = (uLongf)size;
-    g_autofree guchar *packed = g_base64_decode(text, &packed_size);
+    uLongf frame_size = (uLongf)size;
+    g_autofree guchar *compressed = g_base64_decode(text, &compressed_size);
     GByteArray *frame = g_byte_array_sized_new((guint)size + 1);
     g_byte_array_set_size(frame, (guint)size);
-    if (uncompress(frame->data, &unpacked_size, packed, packed_size) != Z_OK ||
-        unpacked_size != (uLongf)size)
+    if (uncompress(frame->data, &frame_size, compressed, compressed_size) != Z_OK ||
+        frame_size != (uLongf)size)
         g_clear_pointer(&frame, g_byte_array_unref);
     return frame;
 }
@@ -39,7 +40,7 @@
                   gsize value_max)
 {
     char key[KV_KEY_BYTES];
-    g_autofree char *text = pack(frame);
+    g_autofree char *text = compress_frame(frame);
     gsize length = strlen(text);
     gsize page_max = value_max - RELAY_RESERVE_BYTES;
     guint pages = (guint)((length + page_max - 1) / page_max);
@@ -61,8 +62,9 @@
     g_byte_array_unref(relayed->frame);
 }
 
-/* A key of the form mail/<inbox>/<name>.<page>: finds the name, of at most `size` bytes with its
- * end, and the page. False: the key has another form. */
+/* Parses a key of the form mail/<inbox>/<name>.<page> into the name and the page number. `size` is
+ * the size of the buffer for the name. Returns false if the key does not have this form or the name
+ * does not fit. */
 static bool parse_key(const char *key, const char *inbox, char *name, gsize size, guint64 *page)
 {
     char prefix[KV_KEY_BYTES];
@@ -82,8 +84,9 @@
     return true;
 }
 
-/* The text of a page; NULL: the entry is not the page of that number of the message whose first
- * page is `first`. Page numbers have one digit. */
+/* Returns the text of a page, or NULL if the entry is not page number `page` of the message whose
+ * first page is `first`. Page numbers have one digit, so the keys differ in their last character
+ * only. */
 static const char *page_text(const kv_entry_t *entry, const kv_entry_t *first, guint page)
 {
     gsize digit = strlen(first->key) - 1;
@@ -95,10 +98,10 @@
     return content.text;
 }
 
-/* The text of the message of `pages` pages whose first one is the entry of that index, joined from
- * its pages, which follow each other in the order of their keys; transfer full. NULL: a page is
- * missing. */
-static GString *gather_pages(const GArray *entries, guint first_index, int64_t pages)
+/* Joins the text of a message from its `pages` pages. The entry at `first_index` is the first page,
+ * and the others follow it in the order of their keys. Returns the text (transfer full), or NULL if
+ * a page is missing. */
+static GString *join_pages(const GArray *entries, guint first_index, int64_t pages)
 {
     const kv_entry_t *first = &g_array_index(entries, kv_entry_t, first_index);
     if (pages < 1 || pages > RELAY_PAGES_COUNT || first_index + (guint)pages > entries->len)
@@ -106,25 +109,25 @@
     g_autoptr(GString) text = g_string_new(NULL);
     for (guint page = 0; page < (guint)pages; page++) {
         const kv_entry_t *entry = &g_array_index(entries, kv_entry_t, first_index + page);
-        const char *page_message = page_text(entry, first, page);
-        if (!page_message)
+        const char *fragment = page_text(entry, first, page);
+        if (!fragment)
             return NULL;
-        g_string_append(text, page_message);
+        g_string_append(text, fragment);
     }
     return g_steal_pointer(&text);
 }
 
-/* The frame of the message whose first page is the entry of that index, transfer full; NULL: it is
- * not whole. */
+/* Returns the frame of the message whose first page is the entry at `first_index` (transfer full),
+ * or NULL if the message is incomplete or invalid. */
 static GByteArray *read_frame(const GArray *entries, guint first_index)
 {
     const kv_entry_t *first = &g_array_index(entries, kv_entry_t, first_index);
     relay_page_t content;
     codec_parse_relay_page(first->value, &content);
-    g_autoptr(GString) text = gather_pages(entries, first_index, content.pages);
+    g_autoptr(GString) text = join_pages(entries, first_index, content.pages);
     if (!text)
         return NULL;
-    return unpack(text->str, content.frame_bytes);
+    return decompress_frame(text->str, content.frame_bytes);
 }
 
 GArray *relay_read(const GArray *entries, const char *inbox)
--- a/src/io/settings.c
+++ b/src/io/settings.c
@@ -1,4 +1,4 @@
-/* The platform's settings file. */
+/* Loads the platform's settings file. */
 #include "io/settings.h"
 
 #include <string.h>
@@ -18,8 +18,10 @@
         settings_read_address(reader, item, "endpoint", sibling.endpoint);
         g_array_append_val(settings->siblings, sibling);
     }
+    G_STATIC_ASSERT(MEMBERS_MAX_COUNT - 1 == 15); /* the error text has this limit */
     if (settings->siblings->len >= MEMBERS_MAX_COUNT)
-        settings_fault(reader, SETTINGS_ERROR_RANGE, "siblings", "there are too many");
+        settings_set_error(reader, SETTINGS_ERROR_RANGE, "siblings",
+                           "too many controllers, expected at most 15");
 }
 
 static void read_teams(settings_reader_t *reader, const json_t *platform, settings_t *settings)
@@ -46,8 +48,8 @@
     g_free(slo);
 }
 
-/* Returns the SLOs of the class (transfer none), which are added if there are none. */
-static slo_t *slo_of_class(settings_t *settings, const char *class_name)
+/* Returns the SLOs of the class (transfer none). Adds an entry without SLOs if there is none. */
+static slo_t *get_or_add_slo(settings_t *settings, const char *class_name)
 {
     slo_t *slo = g_hash_table_lookup(settings->slos, class_name);
     if (slo)
@@ -66,7 +68,7 @@
     return (*first > *second) - (*first < *second);
 }
 
-/* Values that are not positive are ignored. */
+/* Inserts the value and keeps the list in ascending order. Ignores a value that is not positive. */
 static void insert_sorted(GArray *list, double value)
 {
     if (value <= 0)
@@ -75,7 +77,7 @@
     g_array_sort(list, compare_doubles);
 }
 
-/* SLOs only affect the order of work: one of an unknown kind is ignored. */
+/* SLOs only affect the order of work, so an SLO of an unknown kind is ignored. */
 static void read_objectives(const json_t *platform, settings_t *settings)
 {
     size_t i;
@@ -86,7 +88,7 @@
         const char *class_name = json_string_value(json_object_get(item, "class"));
         if (!kind || !class_name)
             continue;
-        slo_t *slo = slo_of_class(settings, class_name);
+        slo_t *slo = get_or_add_slo(settings, class_name);
         if (strcmp(kind, "finished") == 0)
             insert_sorted(slo->within_s, json_number_value(json_object_get(item, "within_s")));
         else if (strcmp(kind, "deadline") == 0)
@@ -95,7 +97,7 @@
     }
 }
 
-/* The factor of the pauses between rounds that only serve quality. */
+/* Returns the factor by which the pauses between rounds that only serve quality are lengthened. */
 static double read_pace(settings_reader_t *reader, const json_t *limits)
 {
     if (!json_object_get(limits, "core_share"))
@@ -104,7 +106,8 @@
     return share > 0 ? CLAMP(USUAL_CORE_SHARE / share, 1, PACE_MAX) : PACE_MAX;
 }
 
-/* Connections are limited by sockets and, if it is known, by memory. */
+/* Sets the limits on connections, which follow from the number of sockets and, if it is given, the
+ * size of the memory. */
 static void read_connections(settings_reader_t *reader, const json_t *limits, settings_t *settings)
 {
     double sockets = settings_read_number(reader, limits, "fd_limit", FD_LIMIT_MIN_COUNT);
@@ -127,12 +130,14 @@
         settings_read_number(reader, workers, "report_s", HEARTBEAT_INTERVAL_MIN_S);
     settings->lease_s = settings_read_number(reader, workers, "lease_s", 1);
     settings->cancel_s = settings_read_number(reader, workers, "cancel_s", 1);
-    /* In the time between the two a controller may renew a lease although it no longer learns of
-     * cancellations; without it no worker would keep its lease. */
+    /* A controller that no longer learns of cancellations goes on renewing leases for the
+     * difference between cancel_s and lease_s, less the margin. Without any time left, no worker
+     * could keep its lease. */
+    G_STATIC_ASSERT(CANCEL_MARGIN_MS == 3 * MS_PER_S); /* the error text has this limit */
     if (!reader->error &&
         settings->cancel_s * MS_PER_S <= settings->lease_s * MS_PER_S + CANCEL_MARGIN_MS)
-        settings_fault(reader, SETTINGS_ERROR_VALUE, "cancel_s",
-                       "it must exceed lease_s by more than 3 s");
+        settings_set_error(reader, SETTINGS_ERROR_VALUE, "cancel_s",
+                           "expected a value more than 3 s above lease_s");
 }
 
 static void read_kv_store(settings_reader_t *reader, const json_t *state, settings_t *settings)
@@ -181,7 +186,7 @@
 static void read_file(settings_reader_t *reader, const json_t *root, settings_t *settings)
 {
     if (!json_is_object(root)) {
-        settings_fault(reader, SETTINGS_ERROR_TYPE, "top level", "an object is expected");
+        settings_set_error(reader, SETTINGS_ERROR_TYPE, "top level", "expected an object");
         return;
     }
     settings_read_text(reader, root, "host_name", settings->name, sizeof settings->name);
@@ -212,7 +217,7 @@
     g_free(settings);
 }
 
-/* Returns the file's JSON (transfer full), or NULL with the error set. */
+/* Returns the JSON of the file (transfer full), or NULL with the error set. */
 static json_t *load_json(const char *path, GError **error)
 {
     json_error_t fault;
--- a/src/io/settings_fields.c
+++ b/src/io/settings_fields.c
@@ -1,4 +1,4 @@
-/* Checked access to the fields of the settings file. */
+/* Reads and checks the fields of the settings file. */
 #include "io/settings_fields.h"
 
 #include <arpa/inet.h>
@@ -10,32 +10,32 @@
     return g_quark_from_static_string("settings-error-quark");
 }
 
-void settings_fault(settings_reader_t *reader, settings_error_t code, const char *where,
-                    const char *expected)
+void settings_set_error(settings_reader_t *reader, settings_error_t code, const char *field,
+                        const char *message)
 {
     if (!reader->error)
         reader->error =
-            g_error_new(SETTINGS_ERROR, (gint)code, "%s: %s: %s", reader->path, where, expected);
+            g_error_new(SETTINGS_ERROR, (gint)code, "%s: %s: %s", reader->path, field, message);
 }
 
-static const json_t *find(settings_reader_t *reader, const json_t *object, const char *name)
+static const json_t *find_field(settings_reader_t *reader, const json_t *object, const char *name)
 {
     const json_t *value = json_object_get(object, name);
     if (!value)
-        settings_fault(reader, SETTINGS_ERROR_MISSING, name, "missing");
+        settings_set_error(reader, SETTINGS_ERROR_MISSING, name, "missing");
     return value;
 }
 
 void settings_read_text(settings_reader_t *reader, const json_t *object, const char *name, char *to,
                         gsize size)
 {
-    const json_t *value = find(reader, object, name);
+    const json_t *value = find_field(reader, object, name);
     if (!value)
         return;
     if (!json_is_string(value) || !*json_string_value(value))
-        settings_fault(reader, SETTINGS_ERROR_TYPE, name, "a non-empty string is expected");
+        settings_set_error(reader, SETTINGS_ERROR_TYPE, name, "expected a non-empty string");
     else if (g_strlcpy(to, json_string_value(value), size) >= size)
-        settings_fault(reader, SETTINGS_ERROR_RANGE, name, "too long");
+        settings_set_error(reader, SETTINGS_ERROR_RANGE, name, "string is too long");
 }
 
 static bool is_address(const char *text)
@@ -57,42 +57,42 @@
     to[0] = '\0';
     settings_read_text(reader, object, name, to, ADDRESS_BYTES);
     if (!reader->error && !is_address(to))
-        settings_fault(reader, SETTINGS_ERROR_VALUE, name,
-                       "an IPv4 address with a port is expected");
+        settings_set_error(reader, SETTINGS_ERROR_VALUE, name,
+                           "expected an IPv4 address with a port, \"address:port\"");
 }
 
 double settings_read_number(settings_reader_t *reader, const json_t *object, const char *name,
                             double low)
 {
-    const json_t *value = find(reader, object, name);
+    const json_t *value = find_field(reader, object, name);
     if (!value)
         return low;
     double number = json_number_value(value);
     if (json_is_number(value) && isfinite(number) && number >= low && number <= SETTING_MAX)
         return number;
     char expected[LABEL_BYTES];
-    g_snprintf(expected, sizeof expected, "a number from %g to %g is expected", low, SETTING_MAX);
-    settings_fault(reader, json_is_number(value) ? SETTINGS_ERROR_RANGE : SETTINGS_ERROR_TYPE, name,
-                   expected);
+    g_snprintf(expected, sizeof expected, "expected a number from %g to %g", low, SETTING_MAX);
+    settings_set_error(reader, json_is_number(value) ? SETTINGS_ERROR_RANGE : SETTINGS_ERROR_TYPE,
+                       name, expected);
     return low;
 }
 
 static const json_t *read_container(settings_reader_t *reader, const json_t *object,
                                     const char *name, json_type type, const char *expected)
 {
-    const json_t *value = find(reader, object, name);
+    const json_t *value = find_field(reader, object, name);
     if (value && json_typeof(value) != type)
-        settings_fault(reader, SETTINGS_ERROR_TYPE, name, expected);
+        settings_set_error(reader, SETTINGS_ERROR_TYPE, name, expected);
     return value;
 }
 
 const json_t *settings_read_object(settings_reader_t *reader, const json_t *object,
                                    const char *name)
 {
-    return read_container(reader, object, name, JSON_OBJECT, "an object is expected");
+    return read_container(reader, object, name, JSON_OBJECT, "expected an object");
 }
 
 const json_t *settings_read_list(settings_reader_t *reader, const json_t *object, const char *name)
 {
-    return read_container(reader, object, name, JSON_ARRAY, "a list is expected");
+    return read_container(reader, object, name, JSON_ARRAY, "expected a list");
 }
--- a/tests/io/records_fixture.h
+++ b/tests/io/records_fixture.h
@@ -1,5 +1,5 @@
-/* The fixture of the tests of records: a partition and a key-value store in memory, between which
- * transactions go. */
+/* Fixture for tests of machine records: a partition, and an in-memory key-value store to which its
+ * transactions are applied. */
 #ifndef PEPPERPULLEY_RECORDS_FIXTURE_H
 #define PEPPERPULLEY_RECORDS_FIXTURE_H
 
@@ -16,7 +16,7 @@
     GArray *teams;         /* of team_t */
 } records_fixture_t;
 
-/* A partition of view 1 without machines, and a machine type t16. */
+/* Sets up view 1, a partition without machines and the machine type t16. */
 static inline int records_set_up(void **state)
 {
     records_fixture_t *fixture = g_new0(records_fixture_t, 1);
@@ -45,7 +45,7 @@
     return 0;
 }
 
-/* Gives way to an empty partition of the view, as a controller that takes over has. */
+/* Replaces the partition by an empty one in the view, like that of a controller that takes over. */
 static inline void fixture_replace_partition(records_fixture_t *fixture, uint64_t view)
 {
     partition_free(fixture->partition);
@@ -53,8 +53,8 @@
     partition_set_view(fixture->partition, view);
 }
 
-/* View 2 begins. */
-static inline void fixture_move_view(records_fixture_t *fixture)
+/* Writes the number of view 2 to the store. */
+static inline void fixture_start_view_2(records_fixture_t *fixture)
 {
     kv_txn_t txn = kv_txn_new();
     kv_txn_put(&txn, "view/number", json_integer(2), 0);
@@ -71,7 +71,7 @@
     return spec;
 }
 
-/* A heartbeat of a machine without attempts, at the second of its sequence number. */
+/* Handles a heartbeat of a machine without attempts. Its sequence number is also its time, in s. */
 static inline void fixture_heartbeat(records_fixture_t *fixture, const char *id, const char *type,
                                      uint64_t heartbeat_sequence)
 {
@@ -91,8 +91,9 @@
     g_array_unref(commands);
 }
 
-/* Machine m-000001 sends a heartbeat and gets task 0 of the job, as attempt 100. */
-static inline void fixture_place(records_fixture_t *fixture, const char *id, uint64_t job_revision)
+/* Handles a heartbeat of machine m-000001 and places task 0 of the job there, as attempt 100. */
+static inline void fixture_place_task(records_fixture_t *fixture, const char *id,
+                                      uint64_t job_revision)
 {
     fixture_heartbeat(fixture, "m-000001", "t16", 1);
     placement_request_t request = {.need = {4, 0, 4},
@@ -104,7 +105,7 @@
     assert_non_null(partition_place(fixture->partition, &request, 1000));
 }
 
-/* Places that many tasks, three to a job. */
+/* Places `tasks` tasks, three of each job. */
 static inline void fixture_place_tasks(records_fixture_t *fixture, guint tasks, double cpus)
 {
     for (guint i = 0; i < tasks; i++) {
@@ -118,7 +119,7 @@
     }
 }
 
-/* Takes what is to be committed. */
+/* Takes the batch of records that are due to be committed. */
 static inline partition_batch_t *fixture_take_batch(records_fixture_t *fixture)
 {
     return partition_batch_take(fixture->partition,
@@ -134,7 +135,7 @@
     return result;
 }
 
-/* The key of the first page of the shard of m-000001. */
+/* Returns the key of the first page of the shard of m-000001. */
 static inline const char *fixture_record_key(void)
 {
     static char key[SHARD_NAME_BYTES + 16];
@@ -144,7 +145,7 @@
     return key;
 }
 
-/* Returns false if the key is none of a page. */
+/* Parses the record of a page. Returns false if the key is not that of a page. */
 static inline bool fixture_read_page(const char *key, const kv_entry_t *entry,
                                      page_record_t *record)
 {
--- a/tests/io/test_message_samples.c
+++ b/tests/io/test_message_samples.c
@@ -1,14 +1,16 @@
-/* The exact bytes of messages between controllers, as XDR and as values in the key-value store, and
- * of their view, compared with the files of tests/samples; and those files read back. Controllers
- * of both builds run side by side during an update. */
+/* Tests that messages between controllers, as XDR and as values in the key-value store, and the
+ * view are encoded to exactly the bytes of the files in tests/samples, and that these files are
+ * decoded correctly. Both must hold because controllers of the old and the new version run side by
+ * side during an update. */
 #include "io/codec/codec.h"
 #include "io/peer_protocol.h"
 #include "io/relay.h"
 #include "sample_files.h"
 
-enum { RELAY_VALUE_BYTES = 700, RELAYED_BYTES = 600, NOISE_BYTES = 400 };
+enum { RELAY_VALUE_BYTES = 700, RELAYED_BYTES = 600, RANDOM_BYTES = 400 };
 
-/* Of each kind of item a message; the first has two: for some types of machines and for any. */
+/* The sample message for each kind of item. The message with placement requests has two items: a
+ * request for some machine types and one for any type. */
 static const char *const item_samples[] = {[CHANNEL_PLACEMENT_REQUEST] =
                                                "peer_placement_request.hex",
                                            [CHANNEL_ACKNOWLEDGE] = "peer_acknowledge.hex",
@@ -18,7 +20,7 @@
                                            [CHANNEL_CANCEL_DRAIN] = "peer_cancel_drain.hex",
                                            [CHANNEL_ATTEMPT_RESULT] = "peer_attempt_result.hex"};
 
-/* Without lists. */
+/* Returns a message without lists. */
 static peer_message_t sample_message(void)
 {
     return (peer_message_t){.sender = "node-2",
@@ -78,7 +80,7 @@
     return item;
 }
 
-/* Consumes the message. */
+/* Checks that the message is encoded to the sample, and frees what the message owns. */
 static void assert_message_is_sample(const char *name, peer_message_t message)
 {
     GByteArray *frame = peer_encode(&message);
@@ -93,12 +95,12 @@
     peer_message_t message;
     GByteArray *frame = read_hex_sample(name);
     if (!peer_decode(frame->data, frame->len, &message))
-        fail_msg("sample %s is not read", name);
+        fail_msg("sample %s can't be decoded", name);
     g_byte_array_unref(frame);
     return message;
 }
 
-static void test_each_kind_of_item_is_written_as_sampled(void **state)
+static void test_each_kind_of_item_encodes_to_its_sample(void **state)
 {
     (void)state;
     for (guint kind = 0; kind < G_N_ELEMENTS(item_samples); kind++) {
@@ -114,7 +116,7 @@
     }
 }
 
-static void test_placement_request_is_read(void **state)
+static void test_placement_request_sample_is_decoded(void **state)
 {
     (void)state;
     peer_message_t message = read_message_sample(item_samples[CHANNEL_PLACEMENT_REQUEST]);
@@ -143,7 +145,7 @@
     peer_message_clear(&message);
 }
 
-static void test_other_items_are_read(void **state)
+static void test_samples_of_other_items_are_decoded(void **state)
 {
     (void)state;
     for (guint kind = CHANNEL_ACKNOWLEDGE; kind < G_N_ELEMENTS(item_samples); kind++) {
@@ -165,7 +167,7 @@
     }
 }
 
-static void test_heartbeat_is_written_as_sampled(void **state)
+static void test_heartbeat_encodes_to_its_sample(void **state)
 {
     (void)state;
     const job_counts_t counts[] = {{"j-000412", 7, 5}, {"j-000398", 8, 6}};
@@ -178,7 +180,7 @@
     assert_message_is_sample("peer_heartbeat.hex", message);
 }
 
-static void test_heartbeat_is_read(void **state)
+static void test_heartbeat_sample_is_decoded(void **state)
 {
     (void)state;
     peer_message_t message = read_message_sample("peer_heartbeat.hex");
@@ -210,7 +212,7 @@
     peer_message_clear(&message);
 }
 
-static void test_machine_summaries_are_written_as_sampled(void **state)
+static void test_machine_summaries_encode_to_their_sample(void **state)
 {
     (void)state;
     const double cpus_being_preempted[] = {2.5, 0.75};
@@ -251,7 +253,7 @@
     assert_message_is_sample("peer_summaries.hex", message);
 }
 
-static void test_machine_summaries_are_read(void **state)
+static void test_machine_summaries_sample_is_decoded(void **state)
 {
     (void)state;
     peer_message_t message = read_message_sample("peer_summaries.hex");
@@ -279,22 +281,24 @@
     peer_message_clear(&message);
 }
 
-/* Bytes that hardly pack, then some of them once more. */
+/* Returns a frame of pseudorandom bytes, which hardly compress, followed by a repetition of the
+ * first ones. */
 static GByteArray *relayed_frame(void)
 {
     GByteArray *frame = g_byte_array_new();
     guint32 number = 1;
     for (guint i = 0; i < RELAYED_BYTES; i++) {
         number = number * 1664525U + 1013904223U;
-        guint8 byte = i < NOISE_BYTES ? (guint8)(number >> 24) : frame->data[i - NOISE_BYTES];
+        guint8 byte = i < RANDOM_BYTES ? (guint8)(number >> 24) : frame->data[i - RANDOM_BYTES];
         g_byte_array_append(frame, &byte, 1);
     }
     return frame;
 }
 
-/* The packed bytes are those of zlib 1.2.13. A library that packs otherwise would fail here without
- * harm, since each reads what any other wrote. */
-static void test_relayed_message_is_written_as_sampled(void **state)
+/* The sample has the bytes that zlib 1.2.13 produces. With a library that compresses differently
+ * this test fails although nothing is wrong: every version can decompress what any other has
+ * written. */
+static void test_relayed_message_encodes_to_its_sample(void **state)
 {
     (void)state;
     GByteArray *frame = relayed_frame();
@@ -306,7 +310,7 @@
     g_byte_array_unref(frame);
 }
 
-static void test_relayed_message_is_read(void **state)
+static void test_relayed_message_sample_is_decoded(void **state)
 {
     (void)state;
     GArray *entries = kv_entries_new();
@@ -331,7 +335,7 @@
     json_decref(changes);
 }
 
-static void test_view_is_written_as_sampled(void **state)
+static void test_view_encodes_to_its_sample(void **state)
 {
     (void)state;
     const view_t view = {.number = 41,
@@ -342,7 +346,7 @@
     assert_json_is_sample("view.json", codec_build_view(&view));
 }
 
-static void test_view_is_read(void **state)
+static void test_view_sample_is_decoded(void **state)
 {
     (void)state;
     view_t view;
@@ -363,17 +367,17 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_each_kind_of_item_is_written_as_sampled),
-        cmocka_unit_test(test_placement_request_is_read),
-        cmocka_unit_test(test_other_items_are_read),
-        cmocka_unit_test(test_heartbeat_is_written_as_sampled),
-        cmocka_unit_test(test_heartbeat_is_read),
-        cmocka_unit_test(test_machine_summaries_are_written_as_sampled),
-        cmocka_unit_test(test_machine_summaries_are_read),
-        cmocka_unit_test(test_relayed_message_is_written_as_sampled),
-        cmocka_unit_test(test_relayed_message_is_read),
-        cmocka_unit_test(test_view_is_written_as_sampled),
-        cmocka_unit_test(test_view_is_read),
+        cmocka_unit_test(test_each_kind_of_item_encodes_to_its_sample),
+        cmocka_unit_test(test_placement_request_sample_is_decoded),
+        cmocka_unit_test(test_samples_of_other_items_are_decoded),
+        cmocka_unit_test(test_heartbeat_encodes_to_its_sample),
+        cmocka_unit_test(test_heartbeat_sample_is_decoded),
+        cmocka_unit_test(test_machine_summaries_encode_to_their_sample),
+        cmocka_unit_test(test_machine_summaries_sample_is_decoded),
+        cmocka_unit_test(test_relayed_message_encodes_to_its_sample),
+        cmocka_unit_test(test_relayed_message_sample_is_decoded),
+        cmocka_unit_test(test_view_encodes_to_its_sample),
+        cmocka_unit_test(test_view_sample_is_decoded),
     };
     return cmocka_run_group_tests_name("message_samples", tests, NULL, NULL);
 }
--- a/tests/io/test_peer_protocol.c
+++ b/tests/io/test_peer_protocol.c
@@ -1,4 +1,5 @@
-/* Tests of messages between controllers: what is encoded is decoded again. */
+/* Tests that messages between controllers are decoded as they were encoded, and that a truncated
+ * message is refused. */
 #include "io/peer_protocol.h"
 #include "unit_test.h"
 
@@ -52,7 +53,7 @@
     return update;
 }
 
-/* The bytes of a message with two items, a summary and the counts of a job. */
+/* Returns the bytes of a message with two items, a machine summary and the counts of a job. */
 static GByteArray *encode_sample(void)
 {
     g_auto(peer_message_t) message = {.sender = "controller-1",
@@ -85,7 +86,7 @@
     assert_true(counts->done == 4 && counts->outstanding == 100000);
 }
 
-static void test_message_survives_its_encoding(void **state)
+static void test_message_is_decoded_as_it_was_encoded(void **state)
 {
     (void)state;
     g_autoptr(GByteArray) frame = encode_sample();
@@ -96,12 +97,12 @@
     assert_items_are_sample(decoded.items);
     assert_true(g_array_index(decoded.summaries.summaries, machine_summary_t, 0).free.memory > 6.9);
     assert_job_counts_are_sample(&decoded.job_counts);
-    peer_message_t cut_off;
-    assert_false(peer_decode(frame->data, frame->len / 2, &cut_off));
+    peer_message_t truncated;
+    assert_false(peer_decode(frame->data, frame->len / 2, &truncated));
 }
 
 int main(void)
 {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(test_message_survives_its_encoding)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(test_message_is_decoded_as_it_was_encoded)};
     return cmocka_run_group_tests_name("peer_protocol", tests, NULL, NULL);
 }
--- a/tests/io/test_records.c
+++ b/tests/io/test_records.c
@@ -1,9 +1,11 @@
-/* Tests of transactions against the key-value store: executed late, repeated, racing. */
+/* Tests of the transactions on the key-value store when they are executed late, repeatedly or
+ * concurrently with others. */
 #include "records_fixture.h"
 
-/* An entry executed after a newer one of the same controller would bind it to a lease that ends:
- * the controller would drop out of the view. */
-static void test_late_entry_of_a_member_fails(void **state)
+/* A write of a member's entry that is executed after a newer write of the same controller must
+ * fail. Otherwise it would bind the entry to the old lease, which ends, and the controller would
+ * drop out of the view. */
+static void test_member_entry_executed_late_is_refused(void **state)
 {
     records_fixture_t *fixture = *state;
     member_t self = {.name = "controller-1", .zone = "zone-a", .incarnation = 5};
@@ -16,25 +18,26 @@
                      KV_OK);
 }
 
-static void test_late_start_record_of_an_older_view_fails(void **state)
+static void test_start_record_of_an_older_view_is_refused(void **state)
 {
     records_fixture_t *fixture = *state;
     job_spec_t spec = fixture_job("j-000001", 1);
     uint64_t view = fake_kv_store_revision(fixture->store, "view/number");
     fake_kv_store_apply(fixture->store, records_submit(&spec));
-    fixture_place(fixture, "j-000001", fake_kv_store_revision(fixture->store, "jobs/j-000001"));
-    fixture_move_view(fixture);
+    fixture_place_task(fixture, "j-000001",
+                       fake_kv_store_revision(fixture->store, "jobs/j-000001"));
+    fixture_start_view_2(fixture);
     assert_int_equal(fixture_commit(fixture, view), KV_CONFLICT);
     assert_null(fake_kv_store_get(fixture->store, fixture_record_key()));
 }
 
-static void test_start_record_after_the_abort_fails(void **state)
+static void test_start_record_after_cancellation_is_refused(void **state)
 {
     records_fixture_t *fixture = *state;
     job_spec_t spec = fixture_job("j-000001", 1);
     fake_kv_store_apply(fixture->store, records_submit(&spec));
     uint64_t revision = fake_kv_store_revision(fixture->store, "jobs/j-000001");
-    fixture_place(fixture, "j-000001", revision);
+    fixture_place_task(fixture, "j-000001", revision);
     assert_int_equal(fake_kv_store_apply(fixture->store, records_abort("j-000001", revision, 1)),
                      KV_OK);
     assert_int_equal(fixture_commit(fixture, fake_kv_store_revision(fixture->store, "view/number")),
@@ -48,7 +51,8 @@
     g_autoptr(GError) error = NULL;
     job_spec_t spec = fixture_job("j-000001", 1);
     fake_kv_store_apply(fixture->store, records_submit(&spec));
-    fixture_place(fixture, "j-000001", fake_kv_store_revision(fixture->store, "jobs/j-000001"));
+    fixture_place_task(fixture, "j-000001",
+                       fake_kv_store_revision(fixture->store, "jobs/j-000001"));
     assert_int_equal(fixture_commit(fixture, fake_kv_store_revision(fixture->store, "view/number")),
                      KV_OK);
     const kv_entry_t *entry = fake_kv_store_get(fixture->store, fixture_record_key());
@@ -64,7 +68,7 @@
     assert_string_equal(attempt->job, "j-000001");
     assert_true(attempt->need.cpus > 3.9 && attempt->need.memory > 3.9);
     g_array_unref(record.machines);
-    /* Under another shard's key it would have two owners. */
+    /* Under the key of another shard the record is invalid: its machine would have two owners. */
     assert_false(codec_parse_record("zone-a.99", entry->value, entry->revision, &record, &error));
     assert_true(g_error_matches(error, CODEC_ERROR, CODEC_ERROR_VALUE));
 }
@@ -83,7 +87,7 @@
     assert_non_null(fake_kv_store_get(fixture->store, "ended/j-000001"));
 }
 
-static void test_abort_and_done_exclude_each_other(void **state)
+static void test_finished_job_cannot_be_cancelled(void **state)
 {
     records_fixture_t *fixture = *state;
     job_spec_t spec = fixture_job("j-000001", 1);
@@ -93,20 +97,20 @@
     end.old_revisions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     GArray *progress = g_array_new(FALSE, FALSE, sizeof(progress_t));
     g_array_append_val(progress, end);
-    partition_batch_t *nothing = fixture_take_batch(fixture);
+    partition_batch_t *empty_batch = fixture_take_batch(fixture);
     uint64_t view = fake_kv_store_revision(fixture->store, "view/number");
-    assert_int_equal(fake_kv_store_apply(fixture->store, records_commit(progress, nothing, view)),
-                     KV_OK);
+    assert_int_equal(
+        fake_kv_store_apply(fixture->store, records_commit(progress, empty_batch, view)), KV_OK);
     assert_int_equal(fake_kv_store_apply(fixture->store, records_abort("j-000001", revision, 1)),
                      KV_CONFLICT);
     const kv_entry_t *ended = fake_kv_store_get(fixture->store, "ended/j-000001");
     assert_string_equal(json_string_value(json_object_get(ended->value, "Trim")), "done");
     g_array_unref(end.old_revisions);
     g_array_unref(progress);
-    partition_batch_free(nothing);
+    partition_batch_free(empty_batch);
 }
 
-static void test_abort_deletes_the_progress(void **state)
+static void test_cancellation_deletes_the_progress(void **state)
 {
     records_fixture_t *fixture = *state;
     job_spec_t spec = fixture_job("j-000001", 20000);
@@ -122,13 +126,13 @@
     assert_null(fake_kv_store_get(fixture->store, "done/j-000001/1"));
 }
 
-static void test_transaction_with_an_unbuildable_value_is_never_sent(void **state)
+static void test_transaction_with_an_invalid_value_is_not_sent(void **state)
 {
     (void)state;
-    kv_store_t service = {0};
+    kv_store_t store = {0};
     kv_txn_t txn = kv_txn_new();
     kv_txn_put(&txn, "machines/m-000001", NULL, 0);
-    assert_int_equal(kv_commit(&service, NULL, &txn, 1, NULL, NULL), KV_INVALID);
+    assert_int_equal(kv_commit(&store, NULL, &txn, 1, NULL, NULL), KV_INVALID);
     kv_txn_free(&txn);
 }
 
@@ -139,8 +143,8 @@
     return count;
 }
 
-/* Each change counts in the key-value store's write rate. */
-static void test_jobs_of_one_task_cost_few_changes(void **state)
+/* Each change counts towards the write rate limit of the key-value store. */
+static void test_jobs_with_one_task_need_few_changes(void **state)
 {
     records_fixture_t *fixture = *state;
     job_spec_t spec = fixture_job("j-000001", 1);
@@ -148,27 +152,29 @@
     assert_int_equal(count_changes(records_abort("j-000001", 5, 1)), 2);
     assert_int_equal(count_changes(records_abort("j-000001", 5, 2)), 3); /* it may have progress */
     fixture_heartbeat(fixture, "m-000001", "t16", 1);
-    fixture_place_tasks(fixture, 8, 2); /* one record has all their starts */
+    fixture_place_tasks(fixture, 8, 2); /* all their starts are in one record */
     partition_batch_t *batch = fixture_take_batch(fixture);
     assert_int_equal(count_changes(records_commit(NULL, batch, 1)), 1);
     partition_batch_free(batch);
 }
 
-/* A machine that is not in the cloud's list yet gets work. The answer to the commit of its record
- * is lost, and the leader fails: the next one knows machine and task from the record alone,
- * contacts the machine at once, and accepts only proof of the task's end. */
-static void test_a_start_on_a_machine_just_up_outlives_its_leader(void **state)
+/* A task is placed on a machine that is not in the cloud's list yet, the answer to the commit of
+ * the machine's record is lost, and the leader fails. The next leader knows the machine and the
+ * task from the record alone. It must contact the machine at once and keep the attempt until there
+ * is proof that the task has ended. */
+static void test_start_on_a_new_machine_survives_leader_failure(void **state)
 {
     records_fixture_t *fixture = *state;
     job_spec_t spec = fixture_job("j-000001", 1);
     fake_kv_store_apply(fixture->store, records_submit(&spec));
     uint64_t view = fake_kv_store_revision(fixture->store, "view/number");
-    fixture_place(fixture, "j-000001", fake_kv_store_revision(fixture->store, "jobs/j-000001"));
+    fixture_place_task(fixture, "j-000001",
+                       fake_kv_store_revision(fixture->store, "jobs/j-000001"));
     partition_batch_t *batch = fixture_take_batch(fixture);
     kv_txn_t late = records_commit(NULL, batch, view);
     assert_int_equal(fake_kv_store_apply(fixture->store, records_commit(NULL, batch, view)), KV_OK);
     partition_batch_free(batch);
-    fixture_move_view(fixture);
+    fixture_start_view_2(fixture);
     fixture_replace_partition(fixture, 2);
     page_record_t record = {0};
     assert_true(fixture_read_page(
@@ -180,8 +186,8 @@
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     const machine_t *machine = partition_take_push(fixture->partition, G_MAXUINT32, 1000, commands);
     assert_string_equal(machine_address(machine), "10.1.255.254:9000");
-    assert_int_equal(commands->len, 0);               /* contacted, without commands */
-    fixture_heartbeat(fixture, "m-000001", "t16", 2); /* of the old view */
+    assert_int_equal(commands->len, 0);               /* a probe, without commands */
+    fixture_heartbeat(fixture, "m-000001", "t16", 2); /* with the fencing token of view 1 */
     assert_int_equal(partition_results(fixture->partition)->len, 0);
     assert_int_equal(partition_attempt_count(fixture->partition), 1);
     partition_machine_terminated(fixture->partition, "m-000001");
@@ -194,24 +200,24 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_late_entry_of_a_member_fails, records_set_up,
+        cmocka_unit_test_setup_teardown(test_member_entry_executed_late_is_refused, records_set_up,
                                         records_tear_down),
-        cmocka_unit_test_setup_teardown(test_late_start_record_of_an_older_view_fails,
+        cmocka_unit_test_setup_teardown(test_start_record_of_an_older_view_is_refused,
+                                        records_set_up, records_tear_down),
+        cmocka_unit_test_setup_teardown(test_start_record_after_cancellation_is_refused,
                                         records_set_up, records_tear_down),
-        cmocka_unit_test_setup_teardown(test_start_record_after_the_abort_fails, records_set_up,
-                                        records_tear_down),
         cmocka_unit_test_setup_teardown(test_start_record_contains_the_attempt, records_set_up,
                                         records_tear_down),
         cmocka_unit_test_setup_teardown(test_submission_executed_late_does_not_restore_the_job,
                                         records_set_up, records_tear_down),
-        cmocka_unit_test_setup_teardown(test_abort_and_done_exclude_each_other, records_set_up,
+        cmocka_unit_test_setup_teardown(test_finished_job_cannot_be_cancelled, records_set_up,
                                         records_tear_down),
-        cmocka_unit_test_setup_teardown(test_abort_deletes_the_progress, records_set_up,
+        cmocka_unit_test_setup_teardown(test_cancellation_deletes_the_progress, records_set_up,
                                         records_tear_down),
-        cmocka_unit_test(test_transaction_with_an_unbuildable_value_is_never_sent),
-        cmocka_unit_test_setup_teardown(test_jobs_of_one_task_cost_few_changes, records_set_up,
+        cmocka_unit_test(test_transaction_with_an_invalid_value_is_not_sent),
+        cmocka_unit_test_setup_teardown(test_jobs_with_one_task_need_few_changes, records_set_up,
                                         records_tear_down),
-        cmocka_unit_test_setup_teardown(test_a_start_on_a_machine_just_up_outlives_its_leader,
+        cmocka_unit_test_setup_teardown(test_start_on_a_new_machine_survives_leader_failure,
                                         records_set_up, records_tear_down),
     };
     return cmocka_run_group_tests_name("records", tests, NULL, NULL);
--- a/tests/io/test_relay.c
+++ b/tests/io/test_relay.c
@@ -1,4 +1,4 @@
-/* Tests of messages that go through the key-value store. */
+/* Tests of messages that are relayed through the key-value store. */
 #include "fake_kv_store.h"
 #include "io/peer_protocol.h"
 #include "io/relay.h"
@@ -18,37 +18,37 @@
     return 0;
 }
 
-/* Bytes from a fixed seed, which compression does not make shorter; the first and the last one are
- * `fill`. */
-static GByteArray *noise_frame(guint size, guint8 fill)
+/* Returns a frame of pseudorandom bytes from the seed `fill`, which compression does not shorten.
+ * The first and the last byte are `fill`. */
+static GByteArray *random_frame(guint size, guint8 fill)
 {
     GByteArray *frame = g_byte_array_new();
     g_byte_array_set_size(frame, size);
-    GRand *noise = g_rand_new_with_seed(fill);
+    GRand *random = g_rand_new_with_seed(fill);
     for (guint i = 0; i < size; i++)
-        frame->data[i] = (guint8)g_rand_int(noise);
-    g_rand_free(noise);
+        frame->data[i] = (guint8)g_rand_int(random);
+    g_rand_free(random);
     frame->data[0] = fill;
     frame->data[size - 1] = fill;
     return frame;
 }
 
-/* Commits a message to the leader; returns the number of its pages. */
-static guint post(fake_kv_store_t *store, const char *name, guint size, guint8 fill)
+/* Commits a message to the leader and returns the number of its pages. */
+static guint commit_message(fake_kv_store_t *store, const char *name, guint size, guint8 fill)
 {
-    g_autoptr(GByteArray) frame = noise_frame(size, fill);
+    g_autoptr(GByteArray) frame = random_frame(size, fill);
     kv_txn_t txn = kv_txn_new();
     guint pages = relay_write(&txn, "up", name, frame, VALUE_MAX_BYTES);
     assert_int_equal(fake_kv_store_apply(store, txn), KV_OK);
     return pages;
 }
 
-static gint by_key(gconstpointer left, gconstpointer right)
+static gint compare_keys(gconstpointer left, gconstpointer right)
 {
     return strcmp(((const kv_entry_t *)left)->key, ((const kv_entry_t *)right)->key);
 }
 
-/* The messages to the leader: array of relay_message_t. */
+/* Returns the messages to the leader: array of relay_message_t. */
 static GArray *read_inbox(const fake_kv_store_t *store)
 {
     GArray *entries = kv_entries_new();
@@ -56,13 +56,13 @@
     gpointer value;
     g_hash_table_iter_init(&iter, store->keys);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const kv_entry_t *copy = value;
-        kv_entry_t entry = {.key = g_strdup(copy->key),
-                            .value = json_incref(copy->value),
-                            .revision = copy->revision};
+        const kv_entry_t *stored = value;
+        kv_entry_t entry = {.key = g_strdup(stored->key),
+                            .value = json_incref(stored->value),
+                            .revision = stored->revision};
         g_array_append_val(entries, entry);
     }
-    g_array_sort(entries, by_key);
+    g_array_sort(entries, compare_keys);
     GArray *relayed_messages = relay_read(entries, "up");
     g_array_unref(entries);
     return relayed_messages;
@@ -91,7 +91,8 @@
     return item;
 }
 
-/* The number of pages, of 16 KiB, of a message with so many summaries and a batch of results. */
+/* Returns the number of pages of 16 KiB of a message with the summaries of `machines` machines and
+ * a batch of results. */
 static guint pages_of_summaries(guint machines)
 {
     g_auto(peer_message_t) message = {0};
@@ -113,9 +114,10 @@
     return pages;
 }
 
-/* One surviving controller with a thousand machines behind a network cut: its machine summaries and
- * a batch of results must fit into one transaction of 64 KiB, or nothing is placed there. */
-static void test_summaries_of_a_thousand_machines_fit_a_message(void **state)
+/* If a network partition leaves one surviving controller with a thousand machines on the other
+ * side, its machine summaries and a batch of results must fit into one transaction of 64 KiB.
+ * Otherwise nothing is placed on these machines. */
+static void test_summaries_of_a_thousand_machines_fit_into_a_transaction(void **state)
 {
     (void)state;
     guint pages = pages_of_summaries(1030);
@@ -123,13 +125,14 @@
     assert_true(pages_of_summaries(70) <= pages);
 }
 
-/* The summaries of 70 machines with a second's results exceed a value: in one page they would be
- * refused, and a zone behind a network cut would get no work at all. */
-static void test_long_message_goes_in_pages(void **state)
+/* The summaries of 70 machines and the results of a second exceed the size limit of a value.
+ * Written as one page they would be refused, and a zone on the other side of a network partition
+ * would get no work at all. */
+static void test_long_message_is_split_into_pages(void **state)
 {
     fake_kv_store_t *store = *state;
-    assert_true(post(store, "controller-1", 5000, 7) > 2);
-    assert_int_equal(post(store, "controller-10", 10, 9), 1);
+    assert_true(commit_message(store, "controller-1", 5000, 7) > 2);
+    assert_int_equal(commit_message(store, "controller-10", 10, 9), 1);
     GArray *relayed_messages = read_inbox(store);
     assert_int_equal(relayed_messages->len, 2);
     const relay_message_t *relayed = &g_array_index(relayed_messages, relay_message_t, 0);
@@ -140,12 +143,13 @@
     g_array_unref(relayed_messages);
 }
 
-/* A shorter message leaves the last pages of the one before, which have an older revision. */
-static void test_pages_of_an_earlier_message_are_passed_over(void **state)
+/* When a shorter message replaces a longer one, the last pages of the longer one remain, with an
+ * older revision. They must be skipped. */
+static void test_remaining_pages_of_a_longer_message_are_skipped(void **state)
 {
     fake_kv_store_t *store = *state;
-    guint before = post(store, "controller-1", 5000, 7);
-    guint after = post(store, "controller-1", 1800, 8);
+    guint before = commit_message(store, "controller-1", 5000, 7);
+    guint after = commit_message(store, "controller-1", 1800, 8);
     assert_true(after > 1 && after < before);
     GArray *relayed_messages = read_inbox(store);
     assert_int_equal(relayed_messages->len, 1);
@@ -155,11 +159,12 @@
     g_array_unref(relayed_messages);
 }
 
-/* As when a new message is committed while the pages are listed one by one. */
-static void test_torn_message_is_ignored(void **state)
+/* The pages of a message have different revisions if a new message is committed while the pages are
+ * listed one by one. */
+static void test_message_with_pages_of_two_revisions_is_ignored(void **state)
 {
     fake_kv_store_t *store = *state;
-    post(store, "controller-1", 3000, 7);
+    commit_message(store, "controller-1", 3000, 7);
     kv_entry_t *page = g_hash_table_lookup(store->keys, "mail/up/controller-1.1");
     assert_non_null(page);
     page->revision++;
@@ -171,12 +176,13 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_long_message_goes_in_pages, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_pages_of_an_earlier_message_are_passed_over, set_up,
-                                        tear_down),
-        cmocka_unit_test_setup_teardown(test_torn_message_is_ignored, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_summaries_of_a_thousand_machines_fit_a_message, set_up,
+        cmocka_unit_test_setup_teardown(test_long_message_is_split_into_pages, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(test_remaining_pages_of_a_longer_message_are_skipped,
+                                        set_up, tear_down),
+        cmocka_unit_test_setup_teardown(test_message_with_pages_of_two_revisions_is_ignored, set_up,
                                         tear_down),
+        cmocka_unit_test_setup_teardown(
+            test_summaries_of_a_thousand_machines_fit_into_a_transaction, set_up, tear_down),
     };
     return cmocka_run_group_tests_name("relay", tests, NULL, NULL);
 }
--- a/tests/io/test_settings.c
+++ b/tests/io/test_settings.c
@@ -1,4 +1,4 @@
-/* Tests of the platform's settings file. */
+/* Tests of loading the platform's settings file. */
 #include <jansson.h>
 #include <unistd.h>
 
@@ -21,8 +21,8 @@
         0, NULL);
 }
 
-/* Writes the body to a file of its own and loads it; consumes body. */
-static settings_t *load(json_t *body, GError **error)
+/* Writes the body to a temporary file and loads that. Consumes the reference to the body. */
+static settings_t *load_settings(json_t *body, GError **error)
 {
     char path[] = "/tmp/pepperpulley-test-XXXXXX";
     int fd = mkstemp(path);
@@ -39,7 +39,7 @@
 {
     (void)state;
     g_autoptr(GError) error = NULL;
-    settings_t *settings = load(settings_body(), &error);
+    settings_t *settings = load_settings(settings_body(), &error);
     assert_non_null(settings);
     assert_string_equal(settings->name, "controller-0");
     assert_int_equal(settings->siblings->len, 1);
@@ -49,23 +49,24 @@
     settings_free(settings);
 }
 
-/* The field with this value, in the object of the settings (NULL: at the top), is refused. */
+/* Checks that loading fails with `code` if the field `name` has this value, in the given object of
+ * the settings or, if `object` is NULL, at the top level. */
 static void assert_refused(const char *object, const char *name, json_t *value,
                            settings_error_t code)
 {
     g_autoptr(GError) error = NULL;
     json_t *body = settings_body();
-    json_t *at = body;
+    json_t *parent = body;
     if (object)
-        at = json_object_get(json_object_get(body, "settings"), object);
-    json_object_set_new(at, name, value);
-    assert_null(load(body, &error));
+        parent = json_object_get(json_object_get(body, "settings"), object);
+    json_object_set_new(parent, name, value);
+    assert_null(load_settings(body, &error));
     assert_true(g_error_matches(error, SETTINGS_ERROR, (gint)code));
     assert_non_null(strstr(error->message, name));
     assert_null(strchr(error->message, '\n'));
 }
 
-static void test_wrong_types_and_values_are_reported_by_name(void **state)
+static void test_invalid_fields_are_reported_by_name(void **state)
 {
     (void)state;
     assert_refused(NULL, "host_name", json_integer(3), SETTINGS_ERROR_TYPE);
@@ -76,7 +77,7 @@
     assert_refused("state", "txn_ops", json_null(), SETTINGS_ERROR_TYPE);
     assert_refused("state", "rps", json_real(1e300), SETTINGS_ERROR_RANGE);
     assert_refused("workers", "cancel_s", json_real(12),
-                   SETTINGS_ERROR_VALUE); /* lease_s is 10: no time to answer in */
+                   SETTINGS_ERROR_VALUE); /* lease_s is 10 s, so the margin of 3 s is not kept */
     assert_refused("limits", "fd_limit", json_integer(20), SETTINGS_ERROR_RANGE);
     assert_refused("limits", "ram_mb", json_integer(-188), SETTINGS_ERROR_RANGE);
 }
@@ -89,18 +90,19 @@
     json_object_set_new(limits, "fd_limit", json_real(fd_limit));
     if (ram_mb > 0)
         json_object_set_new(limits, "ram_mb", json_real(ram_mb));
-    settings_t *settings = load(body, &error);
+    settings_t *settings = load_settings(body, &error);
     assert_non_null(settings);
     guint limit = settings->connections;
     settings_free(settings);
     return limit;
 }
 
-/* Of 2,537 sockets, only as many are used as the memory permits. */
-static void test_connections_stay_below_sockets_and_memory(void **state)
+/* With many sockets, such as 2,537, memory limits the number of connections. */
+static void test_connections_are_limited_by_sockets_and_memory(void **state)
 {
     (void)state;
-    /* less CONNECTIONS_SPARE_COUNT, and 16 dispatchers' connections to workers: 6 and 16 each */
+    /* fd_limit less CONNECTIONS_SPARE_COUNT and the connections of the 16 dispatchers to workers,
+     * which are 6 each with 600 sockets and 16 each with 2537 */
     assert_int_equal(connections(600, 0), 404);
     assert_int_equal(connections(2537, 0), 2181);
     assert_int_equal(connections(2537, 188), 2181);
@@ -114,15 +116,15 @@
     json_t *body = settings_body();
     json_t *limits = json_object_get(json_object_get(body, "settings"), "limits");
     json_object_set_new(limits, "core_share", json_real(core_share));
-    settings_t *settings = load(body, &error);
+    settings_t *settings = load_settings(body, &error);
     assert_non_null(settings);
     double factor = settings->pace;
     settings_free(settings);
     return factor;
 }
 
-/* From USUAL_CORE_SHARE on, nothing is slowed down. */
-static void test_only_a_small_share_slows_the_pace(void **state)
+/* With a share of a core of USUAL_CORE_SHARE or more, no pause is lengthened. */
+static void test_only_a_small_core_share_lengthens_pauses(void **state)
 {
     (void)state;
     assert_true(pace(1) == 1);
@@ -141,50 +143,50 @@
     assert_non_null(strstr(error->message, "/nonexistent/settings.json"));
 }
 
-/* One field less than a complete file: the message names it. */
+/* The file lacks a single field, which the message must name. */
 static void test_missing_field_is_reported_by_name(void **state)
 {
     (void)state;
     g_autoptr(GError) error = NULL;
     json_t *body = settings_body();
     json_object_del(json_object_get(json_object_get(body, "settings"), "workers"), "lease_s");
-    assert_null(load(body, &error));
+    assert_null(load_settings(body, &error));
     assert_true(g_error_matches(error, SETTINGS_ERROR, SETTINGS_ERROR_MISSING));
     assert_true(g_str_has_suffix(error->message, ": lease_s: missing"));
 }
 
-static void test_file_without_an_object_is_reported(void **state)
+static void test_file_without_a_top_level_object_is_reported(void **state)
 {
     (void)state;
     g_autoptr(GError) error = NULL;
-    assert_null(load(json_array(), &error));
+    assert_null(load_settings(json_array(), &error));
     assert_true(g_error_matches(error, SETTINGS_ERROR, SETTINGS_ERROR_TYPE));
-    assert_true(g_str_has_suffix(error->message, ": top level: an object is expected"));
+    assert_true(g_str_has_suffix(error->message, ": top level: expected an object"));
 }
 
-/* With two faults, the message is of the first one. */
-static void test_first_fault_is_reported(void **state)
+/* The file has two errors, and the message must be that of the first one. */
+static void test_only_the_first_error_is_reported(void **state)
 {
     (void)state;
     g_autoptr(GError) error = NULL;
     json_t *body = settings_body();
     json_object_set_new(body, "location", json_string(""));
     json_object_set_new(body, "mesh_addr", json_string("nowhere"));
-    assert_null(load(body, &error));
-    assert_true(g_str_has_suffix(error->message, ": location: a non-empty string is expected"));
+    assert_null(load_settings(body, &error));
+    assert_true(g_str_has_suffix(error->message, ": location: expected a non-empty string"));
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_complete_file_is_loaded_and_unknown_fields_are_ignored),
-        cmocka_unit_test(test_wrong_types_and_values_are_reported_by_name),
-        cmocka_unit_test(test_connections_stay_below_sockets_and_memory),
-        cmocka_unit_test(test_only_a_small_share_slows_the_pace),
+        cmocka_unit_test(test_invalid_fields_are_reported_by_name),
+        cmocka_unit_test(test_connections_are_limited_by_sockets_and_memory),
+        cmocka_unit_test(test_only_a_small_core_share_lengthens_pauses),
         cmocka_unit_test(test_missing_file_is_reported),
         cmocka_unit_test(test_missing_field_is_reported_by_name),
-        cmocka_unit_test(test_file_without_an_object_is_reported),
-        cmocka_unit_test(test_first_fault_is_reported),
+        cmocka_unit_test(test_file_without_a_top_level_object_is_reported),
+        cmocka_unit_test(test_only_the_first_error_is_reported),
     };
     return cmocka_run_group_tests_name("settings", tests, NULL, NULL);
 }
