--- a/src/io/log.c
+++ b/src/io/log.c
@@ -1,4 +1,4 @@
-/* Events on standard error, through GLib's structured logging. */
+/* Writes events to standard error through GLib's structured logging. */
 #include "io/log.h"
 
 #include <stdarg.h>
--- a/src/io/peer_protocol.x
+++ b/src/io/peer_protocol.x
@@ -42,7 +42,7 @@
 
 struct wire_attempt_result {
     wire_task_ref ref;
-    unsigned int cause;
+    unsigned int cause; /* a value of cause_t */
     wire_name machine;
 };
 
@@ -76,21 +76,21 @@
     wire_name type;
     wire_name zone;
     bool spot;
-    bool open;
+    bool open;              /* accepts starts */
     bool draining;
     wire_resources total;
     wire_resources free;
-    unsigned int attempts;
-    hyper silent_ms;
-    hyper idle_ms;
-    hyper known_ms;
+    unsigned int attempts;  /* number of attempts recorded on it */
+    hyper silent_ms;        /* ms since the machine was last reached */
+    hyper idle_ms;          /* ms since it last had work */
+    hyper known_ms;         /* ms since the partition first received anything from it */
 };
 
 struct wire_cancellation_update {
     unsigned hyper after_index;
     unsigned hyper last_index;
     bool is_complete;
-    hyper complete_since_age_ms;
+    hyper complete_since_age_ms; /* age of the time since which the log has dropped no entry */
     wire_name jobs<WIRE_ITEMS_MAX>;
 };
 
@@ -131,5 +131,5 @@
     wire_machine_summary summaries<WIRE_SUMMARIES_MAX>;
     wire_name terminated<WIRE_SUMMARIES_MAX>; /* machines of the base version that no longer
                                                  exist */
-    double cpus_being_preempted<64>;
+    double cpus_being_preempted<64>; /* of each team, in the order of the settings */
 };
--- a/src/io/peer_socket.h
+++ b/src/io/peer_socket.h
@@ -29,9 +29,8 @@
 bool peer_send(int fd, const GByteArray *frame);
 
 /** Receives a frame and returns its message, without the length (transfer full). Returns NULL if
- * the timeout expires, the connection fails or the frame is invalid; the connection must be closed
- * then.
- */
+ * the timeout expires, the connection ends or the frame is invalid. The connection must be closed
+ * then. */
 GByteArray *peer_receive(int fd);
 
 #endif
--- a/src/io/settings.c
+++ b/src/io/settings.c
@@ -220,15 +220,15 @@
 /* Returns the JSON of the file (transfer full), or NULL with the error set. */
 static json_t *load_json(const char *path, GError **error)
 {
-    json_error_t fault;
-    json_t *root = json_load_file(path, 0, &fault);
+    json_error_t json_error;
+    json_t *root = json_load_file(path, 0, &json_error);
     if (root)
         return root;
-    if (fault.line > 0)
-        g_set_error(error, SETTINGS_ERROR, SETTINGS_ERROR_FILE, "%s:%d:%d: %s", path, fault.line,
-                    fault.column, fault.text);
+    if (json_error.line > 0)
+        g_set_error(error, SETTINGS_ERROR, SETTINGS_ERROR_FILE, "%s:%d:%d: %s", path,
+                    json_error.line, json_error.column, json_error.text);
     else
-        g_set_error(error, SETTINGS_ERROR, SETTINGS_ERROR_FILE, "%s: %s", path, fault.text);
+        g_set_error(error, SETTINGS_ERROR, SETTINGS_ERROR_FILE, "%s: %s", path, json_error.text);
     return NULL;
 }
 
--- a/tests/io/test_message_samples.c
+++ b/tests/io/test_message_samples.c
@@ -80,7 +80,7 @@
     return item;
 }
 
-/* Checks that the message is encoded to the sample, and frees what the message owns. */
+/* Checks that the message encodes to the sample, and frees what the message owns. */
 static void assert_message_is_sample(const char *name, peer_message_t message)
 {
     GByteArray *frame = peer_encode(&message);
