--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -1,4 +1,4 @@
-/* The program: its command line, and the start of the controller. */
+/* The command line of the program, and the start of the controller. */
 #include <glib.h>
 #include <malloc.h>
 #include <pthread.h>
@@ -16,29 +16,29 @@
     char *config;
     char *policy;
     gboolean version;
-    char **rest;
+    char **remaining;
 } arguments_t;
 
-enum { EXIT_FAULT = 1, EXIT_USAGE = 2 };
+enum { EXIT_ERROR = 1, EXIT_USAGE = 2 };
 
 static bool parse_arguments(int *argc, char ***argv, arguments_t *arguments)
 {
     g_autoptr(GError) error = NULL;
     const GOptionEntry entries[] = {
         {"config", 'c', 0, G_OPTION_ARG_FILENAME, &arguments->config,
-         "the platform's settings file (JSON)", "FILE"},
-        {"policy", 'p', 0, G_OPTION_ARG_FILENAME, &arguments->policy, "the operators' own settings",
-         "FILE"},
+         "settings file of the platform (JSON)", "FILE"},
+        {"policy", 'p', 0, G_OPTION_ARG_FILENAME, &arguments->policy,
+         "policy file: the operators' settings", "FILE"},
         {"version", 'V', 0, G_OPTION_ARG_NONE, &arguments->version, "print the version", NULL},
-        {G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_FILENAME_ARRAY, &arguments->rest, NULL,
+        {G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_FILENAME_ARRAY, &arguments->remaining, NULL,
          "[check FILE]"},
         {0}};
     g_autoptr(GOptionContext) context = g_option_context_new(NULL);
     g_option_context_add_main_entries(context, entries, NULL);
     g_option_context_set_summary(context,
-                                 "Places array tasks on rented machines, as one of several "
-                                 "controllers.\nWith `check FILE`: reports every fault of an "
-                                 "operators' settings file.");
+                                 "Schedules jobs on cloud machines, as one of several "
+                                 "controllers.\nWith `check FILE`: reports every error in a "
+                                 "policy file.");
     g_option_context_set_description(context,
                                      "Environment:\n  LOG_LEVEL  error, info (default) or debug\n");
     bool is_valid = g_option_context_parse(context, argc, argv, &error);
@@ -47,8 +47,9 @@
     return is_valid;
 }
 
-/* Returns the compiled file, or the defaults for NULL (transfer full). Returns NULL after printing
- * the faults on standard error, one a line. */
+/* Returns the compiled policy file, or the default policy if path is NULL (transfer full). If the
+ * file cannot be read or has errors, prints them to standard error, one per line, and returns NULL.
+ */
 static policy_t *load_policy(const char *path)
 {
     g_autofree char *text = NULL;
@@ -59,24 +60,24 @@
         fprintf(stderr, "pepperpulley: %s\n", error->message);
         return NULL;
     }
-    g_autoptr(GPtrArray) faults = policy_faults_new();
-    policy_t *policy = policy_compile(path, text, faults);
-    for (guint i = 0; i < faults->len; i++)
-        fprintf(stderr, "%s\n", ((const GError *)g_ptr_array_index(faults, i))->message);
+    g_autoptr(GPtrArray) errors = policy_faults_new();
+    policy_t *policy = policy_compile(path, text, errors);
+    for (guint i = 0; i < errors->len; i++)
+        fprintf(stderr, "%s\n", ((const GError *)g_ptr_array_index(errors, i))->message);
     return policy;
 }
 
-static int check_policy(char **rest)
+static int check_policy(char **remaining)
 {
-    if (strcmp(rest[0], "check") != 0 || !rest[1] || rest[2]) {
-        fprintf(stderr, "pepperpulley: unexpected argument: %s\n", rest[0]);
+    if (strcmp(remaining[0], "check") != 0 || !remaining[1] || remaining[2]) {
+        fprintf(stderr, "pepperpulley: unexpected argument: %s\n", remaining[0]);
         return EXIT_USAGE;
     }
-    policy_t *policy = load_policy(rest[1]);
+    policy_t *policy = load_policy(remaining[1]);
     if (!policy)
-        return EXIT_FAULT;
+        return EXIT_ERROR;
     policy_free(policy);
-    printf("%s: no faults\n", rest[1]);
+    printf("%s: no errors\n", remaining[1]);
     return EXIT_SUCCESS;
 }
 
@@ -84,7 +85,7 @@
 {
     g_autoptr(GError) error = NULL;
     if (!log_start(g_getenv("LOG_LEVEL"))) {
-        fputs("pepperpulley: LOG_LEVEL: error, info or debug is expected\n", stderr);
+        fputs("pepperpulley: LOG_LEVEL must be error, info or debug\n", stderr);
         return EXIT_USAGE;
     }
     policy_t *policy = load_policy(arguments->policy);
@@ -101,7 +102,7 @@
     log_info("event=process_started version=%s host=%s incarnation=%" G_GUINT64_FORMAT,
              PEPPERPULLEY_VERSION, settings->name, controller->incarnation);
     if (!controller_start(controller))
-        return EXIT_FAULT;
+        return EXIT_ERROR;
     for (;;)
         pause();
 }
@@ -109,8 +110,9 @@
 int main(int argc, char **argv)
 {
     arguments_t arguments = {0};
-    /* Many threads, little memory: one arena, and freed memory is returned soon. */
-    // NOLINTBEGIN(concurrency-mt-unsafe): there is no other thread yet
+    /* The process has many threads and little memory, so malloc uses one arena and soon returns
+     * freed memory to the system. */
+    // NOLINTBEGIN(concurrency-mt-unsafe): no other thread runs yet
     mallopt(M_ARENA_MAX, 1);
     mallopt(M_TRIM_THRESHOLD, HEAP_TRIM_BYTES);
     // NOLINTEND(concurrency-mt-unsafe)
@@ -120,8 +122,8 @@
         puts("pepperpulley " PEPPERPULLEY_VERSION);
         return EXIT_SUCCESS;
     }
-    if (arguments.rest)
-        return check_policy(arguments.rest);
+    if (arguments.remaining)
+        return check_policy(arguments.remaining);
     if (!arguments.config) {
         fputs("pepperpulley: --config FILE is required, see --help\n", stderr);
         return EXIT_USAGE;
--- a/src/policy/ast.h
+++ b/src/policy/ast.h
@@ -1,13 +1,14 @@
 /** @file
- * The syntax tree of an expression, between the parser, the checker and the evaluator. Private to
- * policy/. A tree belongs to one thread while it is built and is read-only afterwards.
+ * The syntax tree of an expression: the parser builds it, the checker adds types, and the evaluator
+ * reads it. Private to policy/. A tree belongs to one thread while it is built and checked, and is
+ * read-only afterwards.
  */
 #ifndef PEPPERPULLEY_POLICY_AST_H
 #define PEPPERPULLEY_POLICY_AST_H
 
 #include "policy/policy.h"
 
-/** What a node is: a leaf or an operator. */
+/** The kinds of nodes: leaves and operators. */
 typedef enum {
     AST_NUMBER,        /**< Leaf: a number. */
     AST_TEXT,          /**< Leaf: a text. */
@@ -31,10 +32,10 @@
     AST_MAX            /**< max(a, b). */
 } ast_op_t;
 
-/** Operands of a node, at most. */
-enum { AST_OPERANDS = 3 };
+/** The most operands of a node. */
+enum { AST_OPERANDS_MAX = 3 };
 
-/** Attribute of a node that refers to none. */
+/** Value of `attribute` in a node that does not refer to an attribute. */
 enum { AST_NO_ATTRIBUTE = -1 };
 
 /** A node. */
@@ -42,38 +43,39 @@
 
 /** A node. */
 struct ast {
-    ast_op_t op;                   /**< What it is. */
-    policy_type_t type;            /**< The type of its value; set by the checker. */
-    int line;                      /**< Place in the file, from 1. */
-    int column;                    /**< Place in the line, from 1. */
-    double number;                 /**< Of a number or a named constant, in the base unit. */
-    char *text;                    /**< Of a text or a name; owned. */
-    int attribute;                 /**< Of a name: policy_attr_t, or AST_NO_ATTRIBUTE. */
-    ast_t *operands[AST_OPERANDS]; /**< Owned; NULL: none. */
+    ast_op_t op;        /**< Kind of the node. */
+    policy_type_t type; /**< The type of its value; set by the checker. */
+    int line;           /**< Place in the file, from 1. */
+    int column;         /**< Place in the line, from 1. */
+    double number;      /**< Value of a number or a named constant, in the base unit. */
+    char *text;         /**< Content of a text, or a name; owned. */
+    int attribute;      /**< policy_attr_t of a name, or AST_NO_ATTRIBUTE. */
+    ast_t *operands[AST_OPERANDS_MAX]; /**< Owned; unused ones are NULL. */
 };
 
-/** A token's value and place, from the lexer. */
+/** The value and the place of a token, from the lexer. */
 typedef struct token {
-    double number; /**< Of a number. */
-    char *text;    /**< Of a text, name or unit; owned by whoever has the token. */
+    double number; /**< Value of a number. */
+    char *text;    /**< Content of a text, or a name or a unit; the token's holder owns it. */
     int line;      /**< Place in the file, from 1. */
     int column;    /**< Place in the line, from 1. */
 } token_t;
 
-/** Returns an operator's node (transfer full), at the place of its first operand. Takes the
- * operands (transfer full); @p second and @p third may be NULL. */
+/** Returns a node for an operator (transfer full), with the place of its first operand. Takes the
+ * operands (transfer full). @p second and @p third may be NULL. */
 ast_t *ast_new(ast_op_t op, ast_t *first, ast_t *second, ast_t *third);
 
 /** Returns a leaf (transfer full). Takes the token's text (transfer full). */
-ast_t *ast_leaf(ast_op_t op, token_t token);
+ast_t *ast_new_leaf(ast_op_t op, token_t token);
 
 /** Frees the tree; NULL is allowed. */
 void ast_free(ast_t *ast);
 
-/** Returns the value of a checked tree. */
+/** Returns the value of a checked tree in the base unit of its type. */
 double ast_evaluate(const ast_t *ast, const policy_env_t *env);
 
-/** Gets the value of a tree without attributes. Returns false if it has attributes or is faulty. */
+/** Stores the value of a constant tree in @p value. Returns false if the tree uses attributes or
+ * has an error. */
 bool ast_constant_value(const ast_t *ast, double *value);
 
 #endif
--- a/src/policy/names.c
+++ b/src/policy/names.c
@@ -1,4 +1,4 @@
-/* The names of the operators' settings language. */
+/* The names of the policy file's language. */
 #include "policy/names.h"
 
 #include <string.h>
--- a/src/policy/parser.y
+++ b/src/policy/parser.y
@@ -11,14 +11,14 @@
 
 int policy_yylex(POLICY_YYSTYPE *value, void *scanner);
 
-/* bison's message names what was found and what is expected. */
+/* Records a syntax error. Bison's message says what was found and what is expected. */
 static void policy_yyerror(void *scanner, parse_t *parse, const char *message)
 {
     (void)scanner;
     static const char prefix[] = "syntax error, ";
     const char *detail =
         g_str_has_prefix(message, prefix) ? message + sizeof prefix - 1 : message;
-    parse_fault(parse, POLICY_ERROR_SYNTAX, parse->line, parse->token_column, "%s", detail);
+    parse_add_error(parse, POLICY_ERROR_SYNTAX, parse->line, parse->token_column, "%s", detail);
 }
 }
 %union {
@@ -27,7 +27,7 @@
 }
 %token <token> TOKEN_NUMBER "number" TOKEN_NAME "name" TOKEN_TEXT "text" TOKEN_MIN "min"
 %token TOKEN_IF "if" TOKEN_THEN "then" TOKEN_ELSE "else" TOKEN_MAX "max"
-%token TOKEN_STRANGE "strange character"
+%token TOKEN_INVALID "invalid character"
 %token TOKEN_OR "or" TOKEN_AND "and" TOKEN_NOT "not"
 %token TOKEN_LESS_EQUAL "<=" TOKEN_GREATER_EQUAL ">=" TOKEN_EQUAL "==" TOKEN_UNEQUAL "!="
 %type <ast> expression
@@ -51,8 +51,8 @@
 expression: TOKEN_NUMBER { $$ = parse_number(parse, $1, NULL); }
           | TOKEN_NUMBER TOKEN_NAME { $$ = parse_number(parse, $1, &$2); }
           | TOKEN_NUMBER "min" { $$ = parse_number(parse, $1, &$2); }
-          | TOKEN_TEXT { $$ = ast_leaf(AST_TEXT, $1); }
-          | TOKEN_NAME { $$ = ast_leaf(AST_NAME, $1); }
+          | TOKEN_TEXT { $$ = ast_new_leaf(AST_TEXT, $1); }
+          | TOKEN_NAME { $$ = ast_new_leaf(AST_NAME, $1); }
           | '(' expression ')' { $$ = $2; }
           | "min" '(' expression ',' expression ')'
               { g_free($1.text); $$ = ast_new(AST_MIN, $3, $5, NULL); }
--- a/src/policy/policy.c
+++ b/src/policy/policy.c
@@ -1,4 +1,4 @@
-/* Compiling the operators' settings, and their values. */
+/* Compilation of a policy file, and the values of its settings. */
 #include "policy/policy.h"
 
 #include <string.h>
@@ -12,29 +12,31 @@
 int policy_yylex_destroy(void *scanner);
 struct yy_buffer_state *policy_yy_scan_string(const char *text, void *scanner);
 
-/* Bytes of a file; far more than all settings take. */
+/* Most bytes of a policy file, which is far more than all settings take. */
 enum { TEXT_MAX = 64 * 1024 };
 
 struct policy {
     ast_t *values[TUNABLE_COUNT]; /* owned */
 };
 
-/* Returns whether the text has no faults. */
+/* Parses and checks the text, and records its errors. Returns whether it has none. */
 static bool parse_text(parse_t *parse, const char *text)
 {
     void *scanner;
-    guint before = parse->faults->len;
+    guint previous_count = parse->errors->len;
     if (strlen(text) > TEXT_MAX) {
-        parse_fault(parse, POLICY_ERROR_SIZE, 1, 1, "longer than %d bytes", TEXT_MAX);
+        parse_add_error(parse, POLICY_ERROR_SIZE, 1, 1, "the text is longer than %d bytes",
+                        TEXT_MAX);
         return false;
     }
     policy_yylex_init_extra(parse, &scanner);
     policy_yy_scan_string(text, scanner);
     int result = policy_yyparse(scanner, parse);
     policy_yylex_destroy(scanner);
-    if (result != 0 && parse->faults->len == before)
-        parse_fault(parse, POLICY_ERROR_SYNTAX, parse->line, parse->column, "can't be read");
-    return parse->faults->len == before;
+    if (result != 0 && parse->errors->len == previous_count)
+        parse_add_error(parse, POLICY_ERROR_SYNTAX, parse->line, parse->column,
+                        "the rest of the text cannot be parsed");
+    return parse->errors->len == previous_count;
 }
 
 static void free_error(gpointer error)
@@ -47,11 +49,11 @@
     return g_ptr_array_new_with_free_func(free_error);
 }
 
-policy_t *policy_compile(const char *file, const char *text, GPtrArray *faults)
+policy_t *policy_compile(const char *file, const char *text, GPtrArray *errors)
 {
     policy_t *policy = g_new0(policy_t, 1);
     parse_t parse = {.file = file,
-                     .faults = faults,
+                     .errors = errors,
                      .values = policy->values,
                      .line = 1,
                      .column = 1,
@@ -72,8 +74,8 @@
 
 policy_t *policy_default(void)
 {
-    g_autoptr(GPtrArray) faults = policy_faults_new();
-    return policy_compile("defaults", "", faults);
+    g_autoptr(GPtrArray) errors = policy_faults_new();
+    return policy_compile("defaults", "", errors);
 }
 
 void policy_free(policy_t *policy)
@@ -85,8 +87,8 @@
 
 double policy_value(const policy_t *policy, policy_tunable_t tunable, const policy_env_t *env)
 {
-    static const policy_env_t nothing = {0};
-    double value = ast_evaluate(policy->values[tunable], env ? env : &nothing);
+    static const policy_env_t no_attributes = {0};
+    double value = ast_evaluate(policy->values[tunable], env ? env : &no_attributes);
     const tunable_info_t *info = policy_tunable_info(tunable);
     return CLAMP(value, info->low, info->high);
 }
--- a/src/policy/policy_evaluate.c
+++ b/src/policy/policy_evaluate.c
@@ -1,10 +1,10 @@
-/* The evaluator of the operators' settings: walks a checked tree. */
+/* Evaluates the expressions of a policy by walking their checked trees. */
 #include "policy/ast.h"
 
 #include <math.h>
 #include <string.h>
 
-static const char *text_of(const ast_t *ast, const policy_env_t *env)
+static const char *text_value(const ast_t *ast, const policy_env_t *env)
 {
     const char *text = ast->op == AST_TEXT ? ast->text : env->text[ast->attribute];
     return text ? text : "";
@@ -23,8 +23,8 @@
     return (left == right) == (op == AST_EQUAL);
 }
 
-/* right is 0 for an operator with one operand. */
-static double apply(ast_op_t op, double left, double right)
+/* Returns the value of an operator. right is not used if the operator has one operand. */
+static double apply_operator(ast_op_t op, double left, double right)
 {
     switch (op) {
     case AST_NOT:
@@ -63,7 +63,7 @@
     return 0;
 }
 
-// NOLINTNEXTLINE(misc-no-recursion): a checked tree has a limited depth
+// NOLINTNEXTLINE(misc-no-recursion): the checker limits the depth of the tree
 double ast_evaluate(const ast_t *ast, const policy_env_t *env)
 {
     if (ast->op == AST_NUMBER)
@@ -73,23 +73,24 @@
     if (ast->op == AST_IF)
         return ast_evaluate(ast->operands[ast_evaluate(ast->operands[0], env) != 0 ? 1 : 2], env);
     if (ast->operands[0]->type == POLICY_TEXT) {
-        bool same = strcmp(text_of(ast->operands[0], env), text_of(ast->operands[1], env)) == 0;
-        return same == (ast->op == AST_EQUAL);
+        bool is_same =
+            strcmp(text_value(ast->operands[0], env), text_value(ast->operands[1], env)) == 0;
+        return is_same == (ast->op == AST_EQUAL);
     }
     double left = ast_evaluate(ast->operands[0], env);
     double right = ast->operands[1] ? ast_evaluate(ast->operands[1], env) : 0;
-    return apply(ast->op, left, right);
+    return apply_operator(ast->op, left, right);
 }
 
-// NOLINTNEXTLINE(misc-no-recursion): as deep as the tree, which the parser's stack limits
+// NOLINTNEXTLINE(misc-no-recursion): the parser's stack limits the depth of the tree
 static bool is_constant(const ast_t *ast)
 {
     if (ast->op == AST_NAME && ast->attribute >= 0)
         return false;
-    for (int i = 0; i < AST_OPERANDS; i++)
+    for (int i = 0; i < AST_OPERANDS_MAX; i++)
         if (ast->operands[i] && !is_constant(ast->operands[i]))
             return false;
-    return ast->type != POLICY_FAULTY;
+    return ast->type != POLICY_INVALID;
 }
 
 bool ast_constant_value(const ast_t *ast, double *value)
--- a/tools/load.c
+++ b/tools/load.c
@@ -1,9 +1,9 @@
-/* Puts a load on the service, to find where its processor time goes: the stand-ins of the tests for
- * the outside services, simulated workers and users, and controllers that are processes of their
- * own, so that a profiler can be attached to them. Not a test, and not part of CI.
+/* A load generator that shows where the service spends its processor time. It runs the fakes of the
+ * external services that the tests use, and simulates workers and users. The controllers run as
+ * separate processes, so that a profiler can be attached to them. Not a test, and not part of CI.
  *
- * For each controller it prints the rates of its /metrics between the end of the warm-up and the
- * end of the run. CONTRIBUTING.md describes its use. */
+ * For each controller it prints the rate at which each of its /metrics grew between the end of the
+ * warm-up and the end of the run. CONTRIBUTING.md describes its use. */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -20,26 +20,26 @@
 #include "io/http_client.h"
 
 enum {
-    WORKER_TICK_MS = 250,   /* between a worker's checks for changes */
-    CONTROLLERS_MAX = 3,    /* each has a port of the key-value store */
-    CHANGE_GAP_MS = 500,    /* least time from a worker's heartbeat to the next, after a change */
-    USER_POLL_MS = 5000,    /* between users' requests for the status of a job */
-    HTTP_TIMEOUT_MS = 4000, /* of a call */
-    RANDOM_STEPS = 1000     /* resolution of a random decision */
+    WORKER_TICK_MS = 250, /* interval at which a worker checks for changes */
+    CONTROLLERS_MAX = 3,  /* the fake key-value store has this many ports, one per controller */
+    CHANGED_INTERVAL_MS = 500, /* least time between a worker's heartbeats after a change */
+    USER_POLL_MS = 5000,       /* interval at which users request the status of their jobs */
+    HTTP_TIMEOUT_MS = 4000,    /* time-out of a request */
+    RANDOM_STEPS = 1000        /* resolution of a random decision */
 };
 
 typedef struct options {
     int controllers;
-    int machines;                /* simulated workers */
-    int seconds;                 /* measured */
-    int warmup;                  /* seconds before that */
-    double heartbeat_interval_s; /* of a worker */
-    double jobs_per_s;           /* submitted; 0: none */
-    int tasks;                   /* of a job */
+    int machines;                /* number of simulated workers */
+    int seconds;                 /* duration of the measurement */
+    int warmup;                  /* seconds before the measurement */
+    double heartbeat_interval_s; /* interval between a worker's heartbeats */
+    double jobs_per_s;           /* rate of submissions; 0 submits no job */
+    int tasks;                   /* number of tasks of a job */
     double run_s;                /* mean run time of a task */
-    double core_share;           /* in the controllers' settings */
-    char *program;               /* the service */
-    char *command;               /* run during the measurement; NULL: none */
+    double core_share;           /* value of core_share in the controllers' settings */
+    char *program;               /* path of the service's program */
+    char *command;               /* shell command to run during the measurement, or NULL */
 } options_t;
 
 typedef struct load {
@@ -47,7 +47,7 @@
     uint16_t ports[CONTROLLERS_MAX];
     uint16_t peer_ports[CONTROLLERS_MAX];
     GPid pids[CONTROLLERS_MAX];
-    volatile bool is_over;
+    volatile bool is_stopping;
 } load_t;
 
 static load_t load = {.options = {.controllers = 3,
@@ -66,15 +66,15 @@
     g_usleep((gulong)ms * US_PER_MS);
 }
 
-static int call(http_client_t *client, guint controller, const char *method, const char *path,
-                const json_t *body, json_t **answer)
+static int send_request(http_client_t *client, guint controller, const char *method,
+                        const char *path, const json_t *body, json_t **answer)
 {
     char url[URL_BYTES];
     g_snprintf(url, sizeof url, "http://127.0.0.1:%u%s", load.ports[controller], path);
     return http_call(client, method, url, body, HTTP_TIMEOUT_MS, answer);
 }
 
-static json_t *endpoint(uint16_t port)
+static json_t *loopback_endpoint(uint16_t port)
 {
     return json_sprintf("127.0.0.1:%u", port);
 }
@@ -88,7 +88,7 @@
             json_array_append_new(siblings,
                                   json_pack("{s:o,s:s,s:o}", "host_name",
                                             json_sprintf("controller-%u", i), "location", "zone-a",
-                                            "endpoint", endpoint(load.peer_ports[i])));
+                                            "endpoint", loopback_endpoint(load.peer_ports[i])));
     json_t *settings = json_pack(
         "{s:i,s:[s],s:[{s:s,s:f,s:f,s:f,s:f}],s:[],s:{s:f,s:f,s:f,s:f,s:f},s:{s:f,s:f,s:f,s:i},"
         "s:{s:f,s:f},s:{s:f,s:f,s:i}}",
@@ -101,9 +101,10 @@
     json_object_set_new(settings, "clock_off_ms", json_real(5));
     return json_pack("{s:o,s:s,s:o,s:o,s:o,s:{s:o,s:o},s:o}", "host_name",
                      json_sprintf("controller-%u", index), "location", "zone-a", "client_listen",
-                     endpoint(load.ports[index]), "mesh_addr", endpoint(load.peer_ports[index]),
-                     "siblings", siblings, "endpoints", "cloud", endpoint(cloud->port), "state",
-                     endpoint(kv_server->ports[index]), "settings", settings);
+                     loopback_endpoint(load.ports[index]), "mesh_addr",
+                     loopback_endpoint(load.peer_ports[index]), "siblings", siblings, "endpoints",
+                     "cloud", loopback_endpoint(cloud->port), "state",
+                     loopback_endpoint(kv_server->ports[index]), "settings", settings);
 }
 
 static void start_controller(const fake_kv_server_t *kv_server, const fake_cloud_t *cloud,
@@ -128,7 +129,7 @@
     return arc4random_uniform((guint)load.options.controllers);
 }
 
-/* Ends a task now and then, so that tasks run for run_s on average. */
+/* Ends the machine's tasks at random times, so that tasks run for run_s on average. */
 static void end_tasks(fake_machine_t *machine)
 {
     double probability = (double)WORKER_TICK_MS / MS_PER_S / load.options.run_s;
@@ -136,7 +137,7 @@
         fake_machine_complete(machine);
 }
 
-/* Whether the worker has changed since *runs, which is updated. */
+/* Returns whether the worker has started attempts since it had started *runs, and updates *runs. */
 static bool has_changed(fake_machine_t *machine, guint *runs)
 {
     pthread_mutex_lock(&machine->lock);
@@ -146,14 +147,15 @@
     return is_changed;
 }
 
-/* Sends a heartbeat to *controller, which becomes the one for the next: the owner if it is named,
- * another if there is no answer. Returns whether it was accepted. */
+/* Sends a heartbeat to *controller and returns whether it was accepted. If not, sets *controller to
+ * the controller for the next heartbeat: the machine's owner if the answer names it, otherwise the
+ * next controller in turn. */
 static bool send_heartbeat(fake_machine_t *machine, http_client_t *client, guint *controller,
                            msec_t *sent_at)
 {
     json_auto_t *answer = NULL;
     json_auto_t *body = fake_machine_heartbeat(machine);
-    int status = call(client, *controller, "POST", "/hello", body, &answer);
+    int status = send_request(client, *controller, "POST", "/hello", body, &answer);
     const char *owner = json_string_value(json_object_get(answer, "Bosun"));
     *sent_at = clock_steady();
     if (status == HTTP_OK)
@@ -165,8 +167,8 @@
     return status == HTTP_OK;
 }
 
-/* A worker: sends a heartbeat at the interval, and soon after a change. */
-static void *machine_run(void *data)
+/* The thread of a worker. Sends a heartbeat at each interval, and sooner after a change. */
+static void *run_worker(void *data)
 {
     fake_machine_t *machine = data;
     http_client_t *client = http_client_new(2);
@@ -174,14 +176,14 @@
     guint controller = random_controller();
     guint runs = 0;
     msec_t sent_at = 0;
-    while (!load.is_over) {
+    while (!load.is_stopping) {
         sleep_ms(WORKER_TICK_MS);
         end_tasks(machine);
-        msec_t gap_ms = has_changed(machine, &runs) ? CHANGE_GAP_MS : interval_ms;
-        if (clock_steady() - sent_at < gap_ms)
+        msec_t due_after_ms = has_changed(machine, &runs) ? CHANGED_INTERVAL_MS : interval_ms;
+        if (clock_steady() - sent_at < due_after_ms)
             continue;
         if (!send_heartbeat(machine, client, &controller, &sent_at))
-            sent_at -= interval_ms; /* the next one is due at once */
+            sent_at -= interval_ms; /* makes the next one due at once */
     }
     return NULL;
 }
@@ -194,32 +196,32 @@
         load.options.tasks, "Cpus", 1.0, "Accelerators", 0.0, "MemGb", 2.0, "Cargo", "i", "ImageGb",
         1.0, "Hulls", "Dock", "SamePlace", 0, "Apart", 0, "Driftwood", 1, "HaulS",
         load.options.run_s, "KnotS", 0.0, "StowS", 0.0, "TideS");
-    call(client, random_controller(), "POST", "/v2/runs", body, NULL);
+    send_request(client, random_controller(), "POST", "/v2/runs", body, NULL);
 }
 
-/* Requests the status of each job and removes those that are done. */
+/* Requests the status of each job, and removes the ids of jobs that are done. */
 static void poll_jobs(http_client_t *client, GPtrArray *ids)
 {
     for (guint i = ids->len; i-- > 0;) {
         char path[URL_BYTES];
         json_auto_t *answer = NULL;
         g_snprintf(path, sizeof path, "/v2/runs/%s", (char *)g_ptr_array_index(ids, i));
-        call(client, random_controller(), "GET", path, NULL, &answer);
+        send_request(client, random_controller(), "GET", path, NULL, &answer);
         if (g_strcmp0(json_string_value(json_object_get(answer, "Trim")), "done") == 0)
             g_ptr_array_remove_index(ids, i);
     }
 }
 
-/* The users: submit jobs, and poll each until it is done. */
-static void *users_run(void *data)
+/* The thread of the users. Submits jobs and polls each of them until it is done. */
+static void *run_users(void *data)
 {
     (void)data;
     http_client_t *client = http_client_new(2);
-    GPtrArray *ids = g_ptr_array_new_with_free_func(g_free); /* of char *, jobs that are not done */
+    GPtrArray *ids = g_ptr_array_new_with_free_func(g_free); /* char *, of jobs not yet done */
     const double jobs_per_s = load.options.jobs_per_s;
     guint number = 0;
     msec_t polled_at = 0;
-    while (!load.is_over) {
+    while (!load.is_stopping) {
         sleep_ms(jobs_per_s > 0 ? (msec_t)(MS_PER_S / jobs_per_s) : MS_PER_S);
         if (jobs_per_s > 0) {
             char *id = g_strdup_printf("j-%06u", ++number);
@@ -234,11 +236,12 @@
     return NULL;
 }
 
-/* Returns the controller's /metrics: from a name (char *) to its value (double *), both owned. */
+/* Returns the controller's /metrics, from names (char *) to values (double *), both owned by the
+ * table. */
 static GHashTable *read_metrics(http_client_t *client, guint controller)
 {
     GHashTable *values = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    if (call(client, controller, "GET", "/metrics", NULL, NULL) != HTTP_OK)
+    if (send_request(client, controller, "GET", "/metrics", NULL, NULL) != HTTP_OK)
         return values;
     gsize length;
     char **lines = g_strsplit(http_answer(client, &length), "\n", -1);
@@ -259,7 +262,7 @@
     return strcmp(*(char *const *)left, *(char *const *)right);
 }
 
-static void print_difference(guint controller, GHashTable *before, GHashTable *after)
+static void print_rates(guint controller, GHashTable *before, GHashTable *after)
 {
     GPtrArray *names = g_ptr_array_new();
     GHashTableIter iter;
@@ -285,25 +288,30 @@
     options_t *options = &load.options;
     GError *error = NULL;
     const GOptionEntry entries[] = {
-        {"controllers", 0, 0, G_OPTION_ARG_INT, &options->controllers, "1 to 3", "N"},
-        {"machines", 0, 0, G_OPTION_ARG_INT, &options->machines, "workers", "N"},
-        {"seconds", 0, 0, G_OPTION_ARG_INT, &options->seconds, "measured", "N"},
-        {"warmup", 0, 0, G_OPTION_ARG_INT, &options->warmup, "not measured", "N"},
+        {"controllers", 0, 0, G_OPTION_ARG_INT, &options->controllers,
+         "number of controllers, 1 to 3", "N"},
+        {"machines", 0, 0, G_OPTION_ARG_INT, &options->machines, "number of workers", "N"},
+        {"seconds", 0, 0, G_OPTION_ARG_INT, &options->seconds, "duration of the measurement", "N"},
+        {"warmup", 0, 0, G_OPTION_ARG_INT, &options->warmup, "seconds before the measurement", "N"},
         {"heartbeat-s", 0, 0, G_OPTION_ARG_DOUBLE, &options->heartbeat_interval_s,
-         "between heartbeats", "S"},
-        {"jobs-per-s", 0, 0, G_OPTION_ARG_DOUBLE, &options->jobs_per_s, "0: none", "R"},
-        {"tasks", 0, 0, G_OPTION_ARG_INT, &options->tasks, "of a job", "N"},
-        {"run-s", 0, 0, G_OPTION_ARG_DOUBLE, &options->run_s, "of a task, about", "S"},
-        {"core-share", 0, 0, G_OPTION_ARG_DOUBLE, &options->core_share, "in their settings", "F"},
-        {"program", 0, 0, G_OPTION_ARG_FILENAME, &options->program, "the service", "FILE"},
+         "seconds between heartbeats", "S"},
+        {"jobs-per-s", 0, 0, G_OPTION_ARG_DOUBLE, &options->jobs_per_s,
+         "jobs submitted per second, 0 for none", "R"},
+        {"tasks", 0, 0, G_OPTION_ARG_INT, &options->tasks, "number of tasks per job", "N"},
+        {"run-s", 0, 0, G_OPTION_ARG_DOUBLE, &options->run_s, "mean run time of a task", "S"},
+        {"core-share", 0, 0, G_OPTION_ARG_DOUBLE, &options->core_share,
+         "core_share of the controllers", "F"},
+        {"program", 0, 0, G_OPTION_ARG_FILENAME, &options->program, "program of the service",
+         "FILE"},
         {"command", 0, 0, G_OPTION_ARG_STRING, &options->command,
-         "run in the measured time; {} is the process id of controller-0", "LINE"},
+         "shell command to run during the measurement; {} is the process id of controller-0",
+         "LINE"},
         {0}};
     g_autoptr(GOptionContext) context = g_option_context_new("- load for the service");
     g_option_context_add_main_entries(context, entries, NULL);
     bool is_valid = g_option_context_parse(context, &argc, &argv, &error);
     if (!is_valid || options->controllers < 1 || options->controllers > CONTROLLERS_MAX) {
-        fprintf(stderr, "load: %s\n", error ? error->message : "1 to 3 controllers");
+        fprintf(stderr, "load: %s\n", error ? error->message : "--controllers must be from 1 to 3");
         exit(EXIT_FAILURE);
     }
 }
@@ -331,20 +339,21 @@
         load.peer_ports[i] = free_port();
     }
     http_client_t *client = http_client_new(2);
-    for (guint i = 0; i < controllers; i++) { /* one after the other: the first is the leader */
+    /* Each controller is ready before the next starts, so that the first one is the leader. */
+    for (guint i = 0; i < controllers; i++) {
         start_controller(kv_server, cloud, i, folder);
-        while (call(client, i, "GET", "/ready", NULL, NULL) != HTTP_OK)
+        while (send_request(client, i, "GET", "/ready", NULL, NULL) != HTTP_OK)
             sleep_ms(WORKER_TICK_MS);
     }
     for (int i = 0; i < load.options.machines; i++) {
         char id[ID_BYTES];
         g_snprintf(id, sizeof id, "m-%06d", i + 1);
-        threads_start("machine", machine_run, fake_machine_new(id));
+        threads_start("machine", run_worker, fake_machine_new(id));
     }
-    threads_start("users", users_run, NULL);
+    threads_start("users", run_users, NULL);
 }
 
-/* Each worker uses some. */
+/* Each simulated worker uses several sockets. */
 static void allow_many_sockets(void)
 {
     struct rlimit limit;
@@ -353,7 +362,7 @@
     setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-/* Measures all controllers for the time of the run, and prints their rates. */
+/* Measures all controllers for options.seconds, and prints the rates of their metrics. */
 static void measure(void)
 {
     const guint controllers = (guint)load.options.controllers;
@@ -365,7 +374,7 @@
     run_command();
     sleep_ms(MAX(until - clock_steady(), 0));
     for (guint i = 0; i < controllers; i++)
-        print_difference(i, before[i], read_metrics(client, i));
+        print_rates(i, before[i], read_metrics(client, i));
 }
 
 int main(int argc, char **argv)
@@ -381,7 +390,7 @@
     start_all(kv_server, cloud, folder);
     sleep((guint)load.options.warmup);
     measure();
-    load.is_over = true;
+    load.is_stopping = true;
     for (int i = 0; i < load.options.controllers; i++)
         kill(load.pids[i], SIGKILL);
     return EXIT_SUCCESS;
