--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -85,7 +85,7 @@
 {
     g_autoptr(GError) error = NULL;
     if (!log_start(g_getenv("LOG_LEVEL"))) {
-        fputs("pepperpulley: LOG_LEVEL must be error, info or debug\n", stderr);
+        fputs("pepperpulley: LOG_LEVEL must be one of error, info, debug\n", stderr);
         return EXIT_USAGE;
     }
     policy_t *policy = load_policy(arguments->policy);
--- a/tests/fakes/fake_http_server.c
+++ b/tests/fakes/fake_http_server.c
@@ -10,7 +10,7 @@
 
 #include <glib.h>
 
-/* Who handles a server's requests. */
+/* A server: the handler of its requests and the handler's data. */
 typedef struct server {
     fake_http_handler_t handler;
     void *data; /* borrowed */
@@ -38,8 +38,9 @@
     return result;
 }
 
-/* Whether the request is complete; until then its body is gathered in *context. */
-static bool gather_body(const char *upload, size_t *upload_size, void **context)
+/* Collects the body of a request in *context, as a GString. Returns whether the request is
+ * complete. */
+static bool collect_body(const char *upload, size_t *upload_size, void **context)
 {
     GString *text = *context;
     if (!text) {
@@ -59,7 +60,7 @@
 {
     (void)version;
     const server_t *server = data;
-    if (!gather_body(upload, upload_size, context))
+    if (!collect_body(upload, upload_size, context))
         return MHD_YES;
     const GString *text = *context;
     json_t *body = json_loadb(text->str, text->len, 0, NULL);
--- a/tests/fakes/fake_kv_server.c
+++ b/tests/fakes/fake_kv_server.c
@@ -4,10 +4,10 @@
 
 #include "fake_http_server.h"
 
-/* A change of a key, as watches return it. */
+/* A change of a key, for watches. */
 typedef struct fake_kv_change {
     char *key;     /* owned */
-    json_t *value; /* owned; NULL: deleted */
+    json_t *value; /* owned; NULL if the key was deleted */
     uint64_t revision;
 } fake_kv_change_t;
 
@@ -48,7 +48,7 @@
 
 static fake_http_answer_t list_keys(const fake_kv_server_t *server, const char *prefix)
 {
-    g_autoptr(GPtrArray) found = g_ptr_array_new(); /* kv_entry_t, borrowed */
+    g_autoptr(GPtrArray) found = g_ptr_array_new(); /* of kv_entry_t *, borrowed */
     GHashTableIter iter;
     gpointer key;
     gpointer entry;
@@ -84,7 +84,8 @@
     return changes;
 }
 
-/* Called with the lock held, which is released while nothing changes. */
+/* Returns the changes since the revision. Waits for one for up to block_ms, in whole seconds, if
+ * there is none yet. Called with the lock held; releases it while waiting. */
 static fake_http_answer_t watch_changes(fake_kv_server_t *server, const char *prefix,
                                         uint64_t revision, guint block_ms)
 {
@@ -116,7 +117,8 @@
     return failed;
 }
 
-/* Whether the answer to a change of the key is to be lost: once. */
+/* Returns whether the answer to this change of the key is to be lost. Clears unanswered_key in that
+ * case, so that it applies once. */
 static bool take_unanswered_key(fake_kv_server_t *server, const char *key)
 {
     if (g_strcmp0(server->unanswered_key, key) != 0)
@@ -125,8 +127,9 @@
     return true;
 }
 
-/* Whether the answer to this executed transaction is the one of its period that is lost. */
-static bool take_unanswered_turn(fake_kv_server_t *server)
+/* Counts an executed transaction. Returns whether it is the one of its period whose answer is to be
+ * lost. */
+static bool count_for_unanswered_period(fake_kv_server_t *server)
 {
     if (server->unanswered_period == 0)
         return false;
@@ -151,10 +154,10 @@
         g_array_append_val(server->changes, change);
         is_unanswered = take_unanswered_key(server, change.key) || is_unanswered;
     }
-    return take_unanswered_turn(server) || is_unanswered;
+    return count_for_unanswered_period(server) || is_unanswered;
 }
 
-/* Called with the lock held; consumes the transaction. */
+/* Executes the transaction and frees it. Called with the lock held. */
 static fake_http_answer_t execute_txn(fake_kv_server_t *server, kv_txn_t txn)
 {
     json_t *failed = build_failed_keys(server, txn.conditions);
@@ -169,8 +172,8 @@
                        json_pack("{s:I}", "Logline", current_revision(server)));
 }
 
-/* Whether the request is for users: about one job, or some; not a list of all, nor the leader's
- * other requests. */
+/* Returns whether the request was sent on behalf of users. Such a request is about one job or a few
+ * jobs. A list of all jobs is not such a request, and neither are the leader's other requests. */
 static bool is_for_users(const fake_http_request_t *request)
 {
     if (strcmp(request->path, "/txn") == 0) {
@@ -182,7 +185,8 @@
            g_str_has_prefix(request->path, "/keys/ended/");
 }
 
-/* Called with the lock held, which is released while the server is stalled. */
+/* Counts a request on behalf of users, and waits while the server is stalled. Called with the lock
+ * held; releases it while waiting. */
 static void count_user_request(fake_kv_server_t *server)
 {
     server->user_requests++;
@@ -190,8 +194,8 @@
         pthread_cond_wait(&server->changed, &server->lock);
 }
 
-/* Called with the lock held. Leases never end: no test waits for it. */
-static fake_http_answer_t serve(const kv_port_t *port, const fake_http_request_t *request)
+/* Called with the lock held. Leases never expire, because no test waits for that. */
+static fake_http_answer_t answer_request(const kv_port_t *port, const fake_http_request_t *request)
 {
     fake_kv_server_t *server = port->server;
     const char *path = request->path;
@@ -226,7 +230,7 @@
 {
     const kv_port_t *port = data;
     pthread_mutex_lock(&port->server->lock);
-    fake_http_answer_t answer = serve(port, request);
+    fake_http_answer_t answer = answer_request(port, request);
     pthread_mutex_unlock(&port->server->lock);
     return answer;
 }
--- a/tests/fakes/fake_kv_store.c
+++ b/tests/fakes/fake_kv_store.c
@@ -46,7 +46,7 @@
     return true;
 }
 
-static void put(fake_kv_store_t *store, const char *key, json_t *value)
+static void store_entry(fake_kv_store_t *store, const char *key, json_t *value)
 {
     kv_entry_t *entry = g_new0(kv_entry_t, 1);
     entry->key = g_strdup(key);
@@ -64,7 +64,7 @@
     {
         const char *key = json_string_value(json_object_get(change, "Set"));
         if (key)
-            put(store, key, json_object_get(change, "Value"));
+            store_entry(store, key, json_object_get(change, "Value"));
         else
             g_hash_table_remove(store->keys, json_string_value(json_object_get(change, "Delete")));
     }
--- a/tests/fakes/fake_machine.c
+++ b/tests/fakes/fake_machine.c
@@ -45,7 +45,7 @@
     return op;
 }
 
-/* An array of worker_command_t; the caller's. */
+/* Returns an array of worker_command_t, which the caller owns. */
 static GArray *parse_commands(const json_t *body)
 {
     GArray *commands = g_array_new(FALSE, TRUE, sizeof(worker_command_t));
--- a/tests/fakes/fake_machine.h
+++ b/tests/fakes/fake_machine.h
@@ -1,5 +1,6 @@
-/* A machine over a loopback socket: its worker takes pushed commands on a port of its own and sends
- * heartbeats when the test says so. Never freed: its threads do not end. */
+/* A fake machine. Its worker receives pushed commands on a loopback port of its own. The
+ * test sends its heartbeats and hands over the answers to them. Never freed, because its threads do
+ * not end. */
 #ifndef PEPPERPULLEY_FAKE_MACHINE_H
 #define PEPPERPULLEY_FAKE_MACHINE_H
 
@@ -16,15 +17,15 @@
 } fake_machine_t;
 
 fake_machine_t *fake_machine_new(const char *id);
-/* The body of its next heartbeat; the caller's. */
+/* Returns the body of its next heartbeat, which the caller owns. */
 json_t *fake_machine_heartbeat(fake_machine_t *machine);
-/* Executes the commands of the answer to a heartbeat. */
+/* Executes the commands in the answer to a heartbeat. */
 void fake_machine_handle_answer(fake_machine_t *machine, const json_t *answer);
-/* The attempts that have not exited. */
+/* Returns the number of attempts that have not exited. */
 guint fake_machine_active(fake_machine_t *machine);
-/* The attempts started so far. */
+/* Returns the number of attempts started so far. */
 guint fake_machine_runs(fake_machine_t *machine);
-/* Every attempt that has not exited completes. */
+/* Lets every attempt that has not exited complete successfully. */
 void fake_machine_complete(fake_machine_t *machine);
 
 #endif
--- a/tests/fakes/fake_worker.c
+++ b/tests/fakes/fake_worker.c
@@ -31,7 +31,8 @@
     return heartbeat;
 }
 
-/* The index of the command's attempt; the number of attempts: the worker does not have it. */
+/* Returns the index of the command's attempt, or the number of attempts if the worker does not have
+ * it. */
 static guint find_attempt(const fake_worker_t *worker, const worker_command_t *command)
 {
     guint i = 0;
--- a/tests/fakes/fake_worker.h
+++ b/tests/fakes/fake_worker.h
@@ -1,5 +1,5 @@
-/* A worker in memory: executes commands and builds heartbeats as the protocol says. It has no
- * clock: tests call what happens. */
+/* A fake worker in memory, which executes commands and builds heartbeats according to the protocol.
+ * It has no clock. Nothing happens to its attempts unless the test calls a function. */
 #ifndef PEPPERPULLEY_FAKE_WORKER_H
 #define PEPPERPULLEY_FAKE_WORKER_H
 
@@ -10,25 +10,27 @@
     uint64_t worker_epoch;
     uint64_t heartbeat_sequence;
     uint64_t fencing_token;
-    GArray *attempts; /* reported_attempt_t, owned */
-    guint runs;       /* attempts started so far */
+    GArray *attempts; /* of reported_attempt_t, owned */
+    guint runs;       /* number of attempts started so far */
 } fake_worker_t;
 
 fake_worker_t *fake_worker_new(const char *id);
 void fake_worker_free(fake_worker_t *worker);
-/* The next heartbeat; the caller clears it by worker_heartbeat_clear. */
+/* Returns the next heartbeat, which the caller clears with worker_heartbeat_clear. */
 worker_heartbeat_t fake_worker_heartbeat(fake_worker_t *worker);
-/* Executes the commands of the answer to a heartbeat, unless its fencing token is outdated: then
- * false. */
+/* Executes the commands in the answer to a heartbeat. Returns false and executes none of them if
+ * the fencing token is outdated. */
 bool fake_worker_answer(fake_worker_t *worker, uint64_t fencing_token, const GArray *commands);
-/* The same of pushed commands, which must be for the worker's epoch. */
+/* Does the same with pushed commands. Also returns false and executes none of them if they are for
+ * another worker epoch. */
 bool fake_worker_push(fake_worker_t *worker, uint64_t fencing_token, uint64_t worker_epoch,
                       const GArray *commands);
-/* The attempts at the task exit for that cause. */
+/* Makes all attempts at the task exit with the cause. */
 void fake_worker_exit(fake_worker_t *worker, const char *job, uint32_t task, cause_t cause);
-/* Its lease ran out: all attempts are killed and forgotten, and a new epoch begins. */
+/* Plays the expiry of the worker's lease: kills and forgets all attempts, and begins a new epoch.
+ */
 void fake_worker_lose_lease(fake_worker_t *worker);
-/* The attempts that have not exited. */
+/* Returns the number of attempts that have not exited. */
 guint fake_worker_active(const fake_worker_t *worker);
 
 #endif
--- a/tests/fakes/free_port.c
+++ b/tests/fakes/free_port.c
@@ -7,11 +7,11 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Below the range from which the system takes the ports of outgoing connections: one of those would
- * otherwise have taken it before it is listened on. */
+/* These ports lie below the range from which the system chooses ports for outgoing connections.
+ * Otherwise such a connection could take a port before the test listens on it. */
 enum { FIRST_PORT = 20000, BLOCK_PORTS = 50, BLOCK_COUNT = 200 };
 
-/* Returns a socket bound to the port; -1: the port is in use. */
+/* Returns a socket bound to the port, or -1 if the port is in use. */
 static int bind_port(uint16_t port)
 {
     struct sockaddr_in address = {
@@ -33,8 +33,9 @@
     return fd >= 0;
 }
 
-/* Test programs run at the same time. A block of ports belongs to the process that has its first
- * one bound: it stays bound until the process ends. */
+/* Reserves a block of ports for this process and returns its first port. Test programs run at the
+ * same time, so a process owns a block by binding its first port, which stays bound until the
+ * process ends. */
 static uint16_t reserve_block(void)
 {
     uint32_t start = arc4random_uniform(BLOCK_COUNT);
--- a/tests/fakes/sample_files.h
+++ b/tests/fakes/sample_files.h
@@ -1,7 +1,9 @@
-/* Samples of exact bytes, in tests/samples: JSON as the service writes it, XDR as hex text.
+/* Reads and compares the sample messages in tests/samples, byte for byte. They are JSON as the
+ * service writes it, and XDR as hex text.
  *
- * With SAMPLES_WRITE=DIRECTORY in the environment, what the code under test writes is stored in
- * that directory too. It is compared all the same, so such a run fails where a sample differs. */
+ * If the environment variable SAMPLES_WRITE names a directory, the messages that the code under
+ * test writes are also stored there. They are still compared, so such a run fails if a sample
+ * differs. */
 #ifndef PEPPERPULLEY_SAMPLE_FILES_H
 #define PEPPERPULLEY_SAMPLE_FILES_H
 
@@ -12,8 +14,8 @@
 
 enum { HEX_LINE_BYTES = 48 };
 
-/* The sample without the newline at its end; the caller's. Its name is printed, so that it stands
- * above whatever fails. */
+/* Returns the sample without its final newline; the caller owns it. Prints the name of the sample,
+ * so that it stands above the message of a failure. */
 static inline char *read_sample(const char *name)
 {
     char *text = NULL;
@@ -70,16 +72,17 @@
     if (directory)
         write_sample(directory, name, text);
     char *sample = read_sample(name);
-    gsize same = 0;
-    while (sample[same] && sample[same] == text[same])
-        same++;
-    if (sample[same] != text[same])
-        fail_msg("sample %s differs from byte %zu on\nsample:  %s\nwritten: %s", name, (size_t)same,
-                 sample, text);
+    gsize equal_bytes = 0;
+    while (sample[equal_bytes] && sample[equal_bytes] == text[equal_bytes])
+        equal_bytes++;
+    if (sample[equal_bytes] != text[equal_bytes])
+        fail_msg("sample %s differs from byte %zu on\nsample:  %s\nwritten: %s", name,
+                 (size_t)equal_bytes, sample, text);
     g_free(sample);
 }
 
-/* Expects the value as the service sends JSON to be the sample. Consumes the value. */
+/* Expects that the value, written as the service writes JSON, equals the sample. Consumes the
+ * value. */
 static inline void assert_json_is_sample(const char *name, json_t *value)
 {
     char *text = json_dumps(value, JSON_COMPACT | JSON_REAL_PRECISION(9));
--- a/tests/fakes/unit_test.h
+++ b/tests/fakes/unit_test.h
@@ -1,4 +1,4 @@
-/* What every test file needs. */
+/* Includes what every test file needs: cmocka, the headers that it requires, and string.h. */
 #ifndef PEPPERPULLEY_UNIT_TEST_H
 #define PEPPERPULLEY_UNIT_TEST_H
 
