--- a/tests/fakes/fake_worker.h
+++ b/tests/fakes/fake_worker.h
@@ -27,7 +27,8 @@
                       const GArray *commands);
 /* Makes all attempts at the task exit with the cause. */
 void fake_worker_exit(fake_worker_t *worker, const char *job, uint32_t task, cause_t cause);
-/* Plays the expiry of the worker's lease: kills and forgets all attempts, and begins a new epoch.
+/* Simulates the expiry of the worker's lease: kills and forgets all attempts, and begins a new
+ * epoch.
  */
 void fake_worker_lose_lease(fake_worker_t *worker);
 /* Returns the number of attempts that have not exited. */
--- a/tests/policy/test_policy.c
+++ b/tests/policy/test_policy.c
@@ -26,6 +26,7 @@
     assert_string_equal(error->message, message);
 }
 
+/* Guards against an example in deploy/ that no longer shows the defaults in names.c. */
 static void test_example_policy_has_the_default_values(void **state)
 {
     GPtrArray *errors = *state;
@@ -59,6 +60,8 @@
     policy_free(policy);
 }
 
+/* The value of an expression is known only when it is evaluated for a job, so the compiler cannot
+ * refuse one that leaves the range. A division by 0 gives 0, which is below this range. */
 static void test_value_is_clamped_to_the_range_of_the_setting(void **state)
 {
     GPtrArray *errors = *state;
@@ -100,6 +103,7 @@
     assert_int_equal(errors->len, 3);
 }
 
+/* Guards against deep nesting that exhausts the stack of the parser or of the checker. */
 static void test_deeply_nested_expression_is_refused(void **state)
 {
     GPtrArray *errors = *state;
