--- a/src/constants.h
+++ b/src/constants.h
@@ -280,9 +280,9 @@
     PEER_TIMEOUT_MS = 1500, /**< Timeout of an exchange; an answer is delayed by less than this. */
     /** The leader delays an answer without items for up to this long, in case one arrives. */
     PEER_ANSWER_DELAY_MS = 200,
-    PEER_IDLE_MS = 15000, /**< A connection without an exchange for this time is closed. */
-    PEER_GAP_MS = 50,     /**< Pause between exchanges: batches bursts. */
-    PEER_RETRY_MS = 300,  /**< Pause after a failed exchange. */
+    PEER_IDLE_MS = 15000,      /**< A connection without an exchange for this time is closed. */
+    PEER_EXCHANGE_GAP_MS = 50, /**< Pause between exchanges: batches bursts. */
+    PEER_RETRY_MS = 300,       /**< Pause after a failed exchange. */
     /** Below this, changes of the time since a machine's last heartbeat are not sent: readers
      * compare it with ACKNOWLEDGEMENT_TIMEOUT_MS or more. */
     SUMMARY_SILENT_MS = 3500,
@@ -295,9 +295,9 @@
     PEER_BATCH_COUNT = 128,
     /** Longest time that the answer to a peer heartbeat waits for new cancellations. */
     PEER_HEARTBEAT_HOLD_MS = 1000,
-    PEER_HEARTBEAT_TIMEOUT_MS = 2500, /**< The hold time, and the delay of a slow sibling. */
-    PEER_HEARTBEAT_GAP_MS = 500,      /**< Pause after a failed peer heartbeat. */
-    PEER_HEARTBEAT_NEWS_GAP_MS = 250, /**< Pause after cancellations: batches bursts. */
+    PEER_HEARTBEAT_TIMEOUT_MS = 2500,   /**< The hold time, and the delay of a slow sibling. */
+    PEER_HEARTBEAT_GAP_MS = 500,        /**< Pause after a failed peer heartbeat. */
+    PEER_HEARTBEAT_UPDATE_GAP_MS = 250, /**< Pause after cancellations: batches bursts. */
     RELAY_AFTER_MS = 2500, /**< The relay is used after this time without an exchange by socket. */
     RELAY_SOCKET_GAP_MS = 6000, /**< Interval between socket attempts while the relay is used. */
     RELAY_GAP_MS = 400,         /**< Interval between reads of the relay: saves request rate. */
--- a/src/controller/peer/leader_end.c
+++ b/src/controller/peer/leader_exchange.c
@@ -1,4 +1,4 @@
-#include "controller/peer/leader_end.h"
+#include "controller/peer/leader_exchange.h"
 #include "controller/peer/peer_exchange.h"
 #include "controller/placement/partition_items.h"
 
--- a/src/controller/peer/leader_end.h
+++ b/src/controller/peer/leader_exchange.h
@@ -2,8 +2,8 @@
  * The leader's side of the exchange with the partitions: handles the messages that the other
  * members of the view send, by socket or by relay.
  */
-#ifndef PEPPERPULLEY_LEADER_END_H
-#define PEPPERPULLEY_LEADER_END_H
+#ifndef PEPPERPULLEY_LEADER_EXCHANGE_H
+#define PEPPERPULLEY_LEADER_EXCHANGE_H
 
 #include "controller/controller.h"
 #include "io/peer_protocol.h"
--- a/src/controller/peer/partition_end.c
+++ b/src/controller/peer/partition_exchange.c
@@ -1,4 +1,4 @@
-#include "controller/peer/partition_end.h"
+#include "controller/peer/partition_exchange.h"
 #include "controller/peer/peer_exchange.h"
 #include "controller/placement/partition_items.h"
 
--- a/src/controller/peer/partition_end.h
+++ b/src/controller/peer/partition_exchange.h
@@ -2,8 +2,8 @@
  * The partition's side of the exchange with the leader: handles the messages that the leader sends,
  * by socket or by relay.
  */
-#ifndef PEPPERPULLEY_PARTITION_END_H
-#define PEPPERPULLEY_PARTITION_END_H
+#ifndef PEPPERPULLEY_PARTITION_EXCHANGE_H
+#define PEPPERPULLEY_PARTITION_EXCHANGE_H
 
 #include "controller/controller.h"
 #include "io/peer_protocol.h"
--- a/src/controller/peer/peer_client.c
+++ b/src/controller/peer/peer_client.c
@@ -1,5 +1,5 @@
 #include "controller/peer/peer_client.h"
-#include "controller/peer/partition_end.h"
+#include "controller/peer/partition_exchange.h"
 #include "controller/peer/peer_exchange.h"
 #include "controller/peer/peer_relay.h"
 #include "controller/placement/partition_items.h"
@@ -160,7 +160,7 @@
             continue;
         bool used_socket = exchange_once(&client, frame);
         g_byte_array_unref(frame);
-        controller_sleep(used_socket ? PEER_GAP_MS : PEER_RETRY_MS);
+        controller_sleep(used_socket ? PEER_EXCHANGE_GAP_MS : PEER_RETRY_MS);
     }
     return NULL;
 }
--- a/src/controller/peer/peer_heartbeat.c
+++ b/src/controller/peer/peer_heartbeat.c
@@ -176,8 +176,8 @@
         }
         if (!is_answered)
             controller_sleep(PEER_HEARTBEAT_GAP_MS);
-        else if (clock_steady() - sent_at < PEER_HEARTBEAT_NEWS_GAP_MS)
-            controller_sleep(PEER_HEARTBEAT_NEWS_GAP_MS);
+        else if (clock_steady() - sent_at < PEER_HEARTBEAT_UPDATE_GAP_MS)
+            controller_sleep(PEER_HEARTBEAT_UPDATE_GAP_MS);
     }
     return NULL;
 }
--- a/src/controller/peer/peer_relay.c
+++ b/src/controller/peer/peer_relay.c
@@ -1,6 +1,6 @@
 #include "controller/peer/peer_relay.h"
-#include "controller/peer/leader_end.h"
-#include "controller/peer/partition_end.h"
+#include "controller/peer/leader_exchange.h"
+#include "controller/peer/partition_exchange.h"
 #include "controller/peer/peer_exchange.h"
 
 #include <string.h>
--- a/src/controller/peer/peer_server.c
+++ b/src/controller/peer/peer_server.c
@@ -1,5 +1,5 @@
 #include "controller/peer/peer_server.h"
-#include "controller/peer/leader_end.h"
+#include "controller/peer/leader_exchange.h"
 #include "controller/peer/peer_exchange.h"
 #include "controller/peer/peer_heartbeat.h"
 
