--- a/src/constants.h
+++ b/src/constants.h
@@ -113,16 +113,16 @@
 enum {
     /** Duration of a controller's lease in the key-value store, including the leader's. Failover
      * completes well within the shortest worker lease, 10 s. */
-    LEASE_LIFE_MS = 4000,
+    LEASE_TTL_MS = 4000,
     LEASE_EXTEND_GAP_MS = 1000, /**< Between extensions: three attempts before the lease ends. */
-    ELECT_POLL_MS = 500,        /**< Pause after a failed read of the view or of other keys. */
-    ELECT_YIELD_MS = 400,     /**< Additional delay before a less suitable candidate's candidacy. */
-    ELECT_SPREAD_MS = 150,    /**< Highest random delay before a candidacy; avoids conflicts. */
-    MEMBER_TICK_MS = 250,     /**< Interval between membership checks. */
+    KV_RETRY_DELAY_MS = 500,    /**< Pause after a failed read of the view or of other keys. */
+    CANDIDACY_YIELD_MS = 400, /**< Additional delay before a less suitable candidate's candidacy. */
+    CANDIDACY_JITTER_MS = 150, /**< Highest random delay before a candidacy; avoids conflicts. */
+    MEMBER_TICK_MS = 250,      /**< Interval between membership checks. */
     MEMBER_RECHECK_MS = 2500, /**< A newly written key is reported by the watch within this time. */
     MEMBERSHIP_BATCH_MS = 300, /**< Changes within this time are combined into one view. */
     /** A leader whose view is unconfirmed for longer than this sends no requests to the cloud. */
-    VIEW_FRESH_MS = 5000,
+    VIEW_CONFIRMED_WITHIN_MS = 5000,
     /** A new leader collects heartbeats for this long before it judges machines unresponsive or
      * scales out. */
     LEADER_GRACE_MS = 4000,
@@ -132,7 +132,7 @@
     /** Interval between fencing token increases that only serve to permit a forget command. */
     FENCING_TOKEN_GAP_MS = 15000,
     /** How long a member that its workers do not reach is excluded and owns no machines. */
-    EXCLUDED_MS = 90000
+    EXCLUSION_MS = 90000
 };
 
 /** Users' requests. */
@@ -259,7 +259,7 @@
     SIBLING_TIMEOUT_MS = 5000,
     /** Without the key-value store and without siblings, a controller still answers workers for
      * this long. Their new owner is elected after 5 s and waits 15 s before it releases them. */
-    SERVE_ALONE_MS = 8000,
+    ISOLATED_SERVE_MS = 8000,
     CANCEL_MARGIN_MS = 3000, /**< Subtracted from cancel_s - lease_s for a heartbeat in transit. */
     /** No start is sent if the last time until which all cancellations are known is longer ago than
      * this. A watch answers every 2 s; slow answers take longer. */
--- a/src/controller/api/health.c
+++ b/src/controller/api/health.c
@@ -9,8 +9,8 @@
 static bool is_isolated_locked(const controller_t *controller)
 {
     connectivity_t connectivity = worker_lease_connectivity(controller);
-    connectivity_state_t state = connectivity_judge(&connectivity, clock_steady());
-    return state == CONNECTIVITY_REFUSED || state == CONNECTIVITY_NONE;
+    connectivity_state_t state = connectivity_assess(&connectivity, clock_steady());
+    return state == CONNECTIVITY_REFUSED || state == CONNECTIVITY_ISOLATED;
 }
 
 bool api_must_shed_load(controller_t *controller)
--- a/src/controller/autoscaler/member_exclusion.c
+++ b/src/controller/autoscaler/member_exclusion.c
@@ -43,11 +43,11 @@
     return count;
 }
 
-/* Excludes the member for EXCLUDED_MS, unless the placement generation has changed. */
+/* Excludes the member for EXCLUSION_MS, unless the placement generation has changed. */
 static void exclude_member(controller_t *controller, guint member, uint64_t generation,
                            guint retained_count, msec_t now)
 {
-    msec_t until = now + EXCLUDED_MS;
+    msec_t until = now + EXCLUSION_MS;
     pthread_mutex_lock(&controller->lock);
     if (controller->placement.generation == generation) {
         const char *name = controller->membership.view.members[member].name;
--- a/src/controller/kv_watch_loop.c
+++ b/src/controller/kv_watch_loop.c
@@ -54,13 +54,13 @@
         if (!is_synced) {
             is_synced = read_all(&loop);
             if (!is_synced)
-                controller_sleep(ELECT_POLL_MS);
+                controller_sleep(KV_RETRY_DELAY_MS);
             continue;
         }
         kv_result_t result = watch_changes(&loop);
         if (result == KV_COMPACTED)
             is_synced = false;
         else if (result != KV_OK)
-            controller_sleep(ELECT_POLL_MS);
+            controller_sleep(KV_RETRY_DELAY_MS);
     }
 }
--- a/src/controller/membership/member_loop.c
+++ b/src/controller/membership/member_loop.c
@@ -55,7 +55,7 @@
     controller_t *controller = loop->controller;
     uint64_t lease = 0;
     uint64_t revision = 0;
-    if (kv_lease_create(&controller->kv_store, loop->client, LEASE_LIFE_MS, &lease) != KV_OK)
+    if (kv_lease_create(&controller->kv_store, loop->client, LEASE_TTL_MS, &lease) != KV_OK)
         return;
     if (!read_key_revision(loop, now, &revision))
         return;
@@ -93,7 +93,7 @@
     const controller_t *controller = loop->controller;
     return controller->membership.is_view_synced && loop->lease &&
            now - loop->key_written_at > MEMBER_RECHECK_MS &&
-           election_is_displaced(&controller->membership.election);
+           election_has_lost_member_key(&controller->membership.election);
 }
 
 /* Returns the number of controllers in the zone, this one included. */
@@ -131,9 +131,9 @@
      * yield to. */
     bool has_own_lease = controller->membership.election.lease_revision != 0;
     pthread_mutex_unlock(&controller->lock);
-    msec_t delay = arc4random_uniform(ELECT_SPREAD_MS);
+    msec_t delay = arc4random_uniform(CANDIDACY_JITTER_MS);
     if (!has_own_lease && should_yield(controller->settings))
-        delay += ELECT_YIELD_MS;
+        delay += CANDIDACY_YIELD_MS;
     controller_sleep(delay);
 }
 
@@ -150,7 +150,7 @@
     g_strlcpy(next.leader, controller->settings->name, sizeof next.leader);
     election_fill_members(&controller->membership.election, &next, clock_steady());
     /* Another controller may have taken view/lease during the wait. */
-    bool is_taken = election_is_taken(&controller->membership.election);
+    bool is_taken = election_lease_is_taken(&controller->membership.election);
     pthread_mutex_unlock(&controller->lock);
     if (is_taken)
         return;
@@ -159,7 +159,7 @@
     if (result == KV_OK)
         log_info("event=leader_elected view=%" G_GUINT64_FORMAT, next.number);
     else
-        controller_sleep(ELECT_SPREAD_MS);
+        controller_sleep(CANDIDACY_JITTER_MS);
 }
 
 /* Installs a view with the current members, under the same leader. */
@@ -193,7 +193,7 @@
     msec_t wait = loop->lease ? loop->extended_at + LEASE_EXTEND_GAP_MS - now : 0;
     wait = MAX(wait, MEMBER_TICK_MS); /* a failed call is not retried sooner */
     bool has_excluded = g_hash_table_size(election->excluded) > 0;
-    bool has_lost_member_key = loop->lease && election_is_displaced(election);
+    bool has_lost_member_key = loop->lease && election_has_lost_member_key(election);
     if (has_pending_members || has_excluded || has_lost_member_key)
         wait = MIN(wait, MEMBER_TICK_MS);
     return wait;
@@ -210,11 +210,11 @@
         log_info("event=member_key_conflict host=%s", controller->settings->name);
         loop->lease = 0;
     }
-    bool is_vacant =
-        membership->is_view_synced && loop->lease && election_is_vacant(&membership->election);
+    bool is_vacant = membership->is_view_synced && loop->lease &&
+                     election_lease_is_vacant(&membership->election);
     bool has_pending_members = has_pending_members_locked(controller, now);
-    bool is_change_due =
-        has_pending_members && now - membership->election.present_changed_at > MEMBERSHIP_BATCH_MS;
+    bool is_change_due = has_pending_members &&
+                         now - membership->election.live_members_changed_at > MEMBERSHIP_BATCH_MS;
     if (!is_vacant && !is_change_due)
         controller_wait(controller, &controller->membership.changed,
                         next_wait_locked(loop, has_pending_members, clock_steady()));
--- a/src/controller/placement/placement_loop.c
+++ b/src/controller/placement/placement_loop.c
@@ -164,7 +164,7 @@
     controller->placement.generation++;
     pthread_mutex_unlock(&controller->lock);
     while (!view_advance_fencing_token(controller, loop->client))
-        controller_sleep(ELECT_POLL_MS);
+        controller_sleep(KV_RETRY_DELAY_MS);
     loop->fencing_token_advanced_at = clock_steady();
 }
 
--- a/src/controller/placement/record_loader.c
+++ b/src/controller/placement/record_loader.c
@@ -245,5 +245,5 @@
     pthread_mutex_unlock(&controller->lock);
     listing_clear(&listing);
     if (!is_read)
-        controller_sleep(ELECT_POLL_MS);
+        controller_sleep(KV_RETRY_DELAY_MS);
 }
--- a/src/controller/placement/record_loader.h
+++ b/src/controller/placement/record_loader.h
@@ -9,8 +9,9 @@
 #include "io/http_client.h"
 
 /** Reads all records and replaces the loaded data by them, unless the view changed meanwhile. If
- * the key-value store can't be read, changes nothing and sleeps for ELECT_POLL_MS. If a record is
- * invalid, the data stay marked as not loaded. Called by the placement loop, without the lock. */
+ * the key-value store can't be read, changes nothing and sleeps for KV_RETRY_DELAY_MS. If a record
+ * is invalid, the data stay marked as not loaded. Called by the placement loop, without the lock.
+ */
 void record_loader_load(controller_t *controller, http_client_t *client);
 
 #endif
--- a/src/core/membership/connectivity.h
+++ b/src/core/membership/connectivity.h
@@ -31,15 +31,15 @@
     CONNECTIVITY_OUTAGE,  /**< Outage: siblings can be reached, and it does not answer them either.
                              Also assumed by a controller without siblings. */
     CONNECTIVITY_REFUSED, /**< It answers a sibling but not this controller. */
-    CONNECTIVITY_NONE     /**< Neither the key-value store nor any sibling can be reached. */
+    CONNECTIVITY_ISOLATED /**< Neither the key-value store nor any sibling can be reached. */
 } connectivity_state_t;
 
 /** Returns the state at @p now. */
-connectivity_state_t connectivity_judge(const connectivity_t *connectivity, msec_t now);
+connectivity_state_t connectivity_assess(const connectivity_t *connectivity, msec_t now);
 
 /** Returns whether the controller's connectivity still allows it to answer worker heartbeats at
- * @p now. In the state CONNECTIVITY_NONE, it allows this only until SERVE_ALONE_MS after the newest
- * answered request to the key-value store was sent. */
+ * @p now. In the state CONNECTIVITY_ISOLATED, it allows this only until ISOLATED_SERVE_MS after the
+ * newest answered request to the key-value store was sent. */
 bool connectivity_may_serve_workers(const connectivity_t *connectivity, msec_t now);
 
 #endif
--- a/src/core/membership/election.c
+++ b/src/core/membership/election.c
@@ -24,7 +24,7 @@
         member_t *copy = g_memdup2(member, sizeof *member);
         g_hash_table_insert(election->live_members, copy->name, copy);
     }
-    election->present_changed_at = now;
+    election->live_members_changed_at = now;
 }
 
 void election_record_lease(election_t *election, const char *holder, uint64_t incarnation,
@@ -42,14 +42,14 @@
     return strcmp(election->lease_holder, election->self.name) == 0;
 }
 
-bool election_is_vacant(const election_t *election)
+bool election_lease_is_vacant(const election_t *election)
 {
     return election->lease_revision == 0 ||
            (is_lease_in_own_name(election) &&
             election->lease_incarnation != election->self.incarnation);
 }
 
-bool election_is_taken(const election_t *election)
+bool election_lease_is_taken(const election_t *election)
 {
     return election->lease_revision && !is_lease_in_own_name(election);
 }
@@ -98,10 +98,10 @@
 bool election_may_act(const view_t *view, uint64_t highest_view_seen, msec_t complete_until,
                       msec_t now)
 {
-    return highest_view_seen <= view->number && now - complete_until < VIEW_FRESH_MS;
+    return highest_view_seen <= view->number && now - complete_until < VIEW_CONFIRMED_WITHIN_MS;
 }
 
-bool election_is_displaced(const election_t *election)
+bool election_has_lost_member_key(const election_t *election)
 {
     const member_t *listed = g_hash_table_lookup(election->live_members, election->self.name);
     return !listed || listed->incarnation != election->self.incarnation;
--- a/src/core/membership/election.h
+++ b/src/core/membership/election.h
@@ -30,10 +30,10 @@
                                  members that hold a live lease. */
     GHashTable *excluded; /**< Leader only. Name (char *, owned) -> msec_t *, owned: the time until
                              which the member owns no machines. */
-    msec_t present_changed_at;   /**< When live_members last changed. */
-    uint64_t lease_revision;     /**< The revision of view/lease; 0: no controller holds it. */
-    char lease_holder[ID_BYTES]; /**< The name of the controller that holds view/lease. */
-    uint64_t lease_incarnation;  /**< The incarnation of that controller. */
+    msec_t live_members_changed_at; /**< When live_members last changed. */
+    uint64_t lease_revision;        /**< The revision of view/lease; 0: no controller holds it. */
+    char lease_holder[ID_BYTES];    /**< The name of the controller that holds view/lease. */
+    uint64_t lease_incarnation;     /**< The incarnation of that controller. */
 } election_t;
 
 /** Initializes an election for which no key has been read yet. @p self is copied. */
@@ -56,10 +56,10 @@
 /** Returns whether this controller may try to become the leader: no controller holds the lease, or
  * an earlier process of this controller does, which no longer exists because this process has its
  * name. */
-bool election_is_vacant(const election_t *election);
+bool election_lease_is_vacant(const election_t *election);
 
 /** Returns whether the lease is held under the name of another controller. */
-bool election_is_taken(const election_t *election);
+bool election_lease_is_taken(const election_t *election);
 
 /** Fills in the members of the next view, sorted by name, with the exclusions in effect at @p now.
  * This controller is always one of them. */
@@ -76,6 +76,6 @@
                       msec_t now);
 
 /** Returns whether this controller's member key is missing or names another incarnation. */
-bool election_is_displaced(const election_t *election);
+bool election_has_lost_member_key(const election_t *election);
 
 #endif
--- a/tests/controller/test_controller_cancellation.c
+++ b/tests/controller/test_controller_cancellation.c
@@ -158,7 +158,7 @@
 static void exclude_member(const fixture_t *fixture, guint member)
 {
     char name[ID_BYTES];
-    msec_t until = clock_steady() + EXCLUDED_MS;
+    msec_t until = clock_steady() + EXCLUSION_MS;
     g_snprintf(name, sizeof name, "controller-%u", member);
     for (guint i = 0; i < 2; i++) {
         controller_t *locked = fixture_lock(fixture, i);
--- a/tests/controller/test_controller_timing.c
+++ b/tests/controller/test_controller_timing.c
@@ -128,9 +128,9 @@
     connectivity_t other = {.kv_answered_at = now - 2 * (msec_t)ISOLATED_AFTER_MS,
                             .peer_message_at = now,
                             .siblings_kv_answered_at = now - age};
-    assert_int_equal(connectivity_judge(&other, now), CONNECTIVITY_OUTAGE);
+    assert_int_equal(connectivity_assess(&other, now), CONNECTIVITY_OUTAGE);
     connectivity_t own = worker_lease_connectivity(new_controller);
-    assert_int_not_equal(connectivity_judge(&own, now), CONNECTIVITY_GOOD);
+    assert_int_not_equal(connectivity_assess(&own, now), CONNECTIVITY_GOOD);
 }
 
 /* Returns the answer to a peer heartbeat of a sibling that knows this controller's cancellation log
--- a/tests/core/membership/test_connectivity.c
+++ b/tests/core/membership/test_connectivity.c
@@ -8,8 +8,8 @@
     (void)state;
     connectivity_t connectivity = {
         .kv_answered_at = 10000, .siblings_kv_answered_at = 10100, .peer_message_at = 19000};
-    assert_int_equal(connectivity_judge(&connectivity, 12000), CONNECTIVITY_GOOD);
-    assert_int_equal(connectivity_judge(&connectivity, 20000), CONNECTIVITY_OUTAGE);
+    assert_int_equal(connectivity_assess(&connectivity, 12000), CONNECTIVITY_GOOD);
+    assert_int_equal(connectivity_assess(&connectivity, 20000), CONNECTIVITY_OUTAGE);
     connectivity.peer_message_at = 99000;
     /* The lease renewal has another limit, which is not checked here: the age of the newest time up
      * to which all cancellations are known. */
@@ -21,7 +21,7 @@
     (void)state;
     connectivity_t connectivity = {
         .kv_answered_at = 10000, .siblings_kv_answered_at = 19500, .peer_message_at = 19500};
-    assert_int_equal(connectivity_judge(&connectivity, 20000), CONNECTIVITY_REFUSED);
+    assert_int_equal(connectivity_assess(&connectivity, 20000), CONNECTIVITY_REFUSED);
 }
 
 /* A controller that reaches its workers but neither the key-value store nor any sibling may have
@@ -32,10 +32,10 @@
     (void)state;
     connectivity_t connectivity = {
         .kv_answered_at = 10000, .siblings_kv_answered_at = 10000, .peer_message_at = 10000};
-    assert_int_equal(connectivity_judge(&connectivity, 14000), CONNECTIVITY_OUTAGE);
-    assert_int_equal(connectivity_judge(&connectivity, 16000), CONNECTIVITY_NONE);
+    assert_int_equal(connectivity_assess(&connectivity, 14000), CONNECTIVITY_OUTAGE);
+    assert_int_equal(connectivity_assess(&connectivity, 16000), CONNECTIVITY_ISOLATED);
     assert_true(connectivity_may_serve_workers(&connectivity, 16000));
-    assert_false(connectivity_may_serve_workers(&connectivity, 10000 + SERVE_ALONE_MS));
+    assert_false(connectivity_may_serve_workers(&connectivity, 10000 + ISOLATED_SERVE_MS));
     connectivity.kv_answered_at = 30000; /* answered again */
     assert_true(connectivity_may_serve_workers(&connectivity, 30100));
 }
@@ -44,7 +44,7 @@
 {
     (void)state;
     connectivity_t connectivity = {.kv_answered_at = 10000, .has_no_siblings = true};
-    assert_int_equal(connectivity_judge(&connectivity, 60000), CONNECTIVITY_OUTAGE);
+    assert_int_equal(connectivity_assess(&connectivity, 60000), CONNECTIVITY_OUTAGE);
     assert_true(connectivity_may_serve_workers(&connectivity, 60000));
 }
 
--- a/tests/core/membership/test_election.c
+++ b/tests/core/membership/test_election.c
@@ -43,10 +43,10 @@
 {
     election_t *election = *state;
     election_record_lease(election, "controller-1", 100, 50);
-    assert_true(election_is_vacant(election));
-    assert_false(election_is_taken(election));
+    assert_true(election_lease_is_vacant(election));
+    assert_false(election_lease_is_taken(election));
     election_record_lease(election, "controller-1", 200, 60); /* now its own */
-    assert_false(election_is_vacant(election));
+    assert_false(election_lease_is_vacant(election));
 }
 
 /* A candidate that lost a close race sees that another controller holds the lease. The deletion of
@@ -54,15 +54,15 @@
 static void test_late_lease_change_does_not_make_the_lease_vacant(void **state)
 {
     election_t *election = *state;
-    assert_true(election_is_vacant(election));
+    assert_true(election_lease_is_vacant(election));
     election_record_lease(election, "controller-2", 300, 60);
-    assert_true(election_is_taken(election));
+    assert_true(election_lease_is_taken(election));
     election_record_lease(election, NULL, 0, 55);
     election_record_lease(election, "controller-1", 100, 50);
-    assert_true(election_is_taken(election));
-    assert_false(election_is_vacant(election));
+    assert_true(election_lease_is_taken(election));
+    assert_false(election_lease_is_vacant(election));
     election_record_lease(election, NULL, 0, 70);
-    assert_true(election_is_vacant(election));
+    assert_true(election_lease_is_vacant(election));
 }
 
 /* A member that restarts quickly needs a new view, although the names of the members stay the same:
@@ -90,11 +90,11 @@
 static void test_late_write_by_an_earlier_incarnation_is_detected(void **state)
 {
     election_t *election = *state;
-    assert_true(election_is_displaced(election));
+    assert_true(election_has_lost_member_key(election));
     record_member(election, "controller-1", 200, 1000);
-    assert_false(election_is_displaced(election));
+    assert_false(election_has_lost_member_key(election));
     record_member(election, "controller-1", 100, 2000);
-    assert_true(election_is_displaced(election));
+    assert_true(election_has_lost_member_key(election));
     view_t view = {0};
     election_fill_members(election, &view, 3000);
     assert_int_equal(incarnation_in(&view, "controller-1"),
