--- a/src/constants.h
+++ b/src/constants.h
@@ -240,14 +240,15 @@
     RETAIN_REFUSED_MS = 3000,
     /** An owner counts as reachable for workers if it received a worker's heartbeat within this
      * time. Less than the 5 s after which workers try another controller. */
-    OWNER_FRESH_MS = 3000,
+    OWNER_REACHABLE_WITHIN_MS = 3000,
     RETAINED_WRITE_GAP_MS = 3000, /**< Interval between writes of the list of retained workers. */
     /** The same if a worker was added, because the leader may be about to release its machine. */
     RETAINED_GROWN_GAP_MS = 1000,
     RETAINED_FRESH_MS = 8000,      /**< A list of retained workers older than this is ignored. */
     REDIRECTION_FORGET_MS = 60000, /**< A worker not seen for longer is forgotten. */
     REDIRECTION_GRACE_MS = 10000,  /**< Time for workers to move to the owners of a new view. */
-    LOST_SILENT_MS = 5000,         /**< A worker silent for longer may be cut off from its owner. */
+    LOST_OWNER_SILENCE_MIN_MS =
+        5000, /**< A worker silent for longer may be cut off from its owner. */
     /** Fewer unresponsive machines are no evidence that their owner or zone is unreachable. */
     LOST_MACHINES_MIN_COUNT = 3
 };
--- a/src/controller/api/worker_heartbeats.c
+++ b/src/controller/api/worker_heartbeats.c
@@ -44,7 +44,7 @@
 {
     g_autoptr(GArray) commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     log_debug("event=worker_retained machine=%s", heartbeat->machine);
-    redirection_stop_ended(heartbeat, controller->jobs.live, commands);
+    redirection_append_stops(heartbeat, controller->jobs.live, commands);
     return api_reply_json(HTTP_OK,
                           codec_build_commands(controller->membership.view.number, commands));
 }
@@ -98,7 +98,7 @@
     if (verdict == HEARTBEAT_DUPLICATE)
         return api_refuse(HTTP_UNAVAILABLE, "an old report", 0);
     if (verdict != HEARTBEAT_ACCEPTED)
-        redirection_stop_ended(heartbeat, controller->jobs.live, commands);
+        redirection_append_stops(heartbeat, controller->jobs.live, commands);
     return commands_reply_locked(controller, commands);
 }
 
--- a/src/controller/autoscaler/retained_workers.c
+++ b/src/controller/autoscaler/retained_workers.c
@@ -39,7 +39,7 @@
 static GPtrArray *own_retained_machines(controller_t *controller, msec_t now)
 {
     pthread_mutex_lock(&controller->lock);
-    GPtrArray *machines = redirection_retained(controller->membership.redirection, now);
+    GPtrArray *machines = redirection_list_retained(controller->membership.redirection, now);
     pthread_mutex_unlock(&controller->lock);
     return machines;
 }
--- a/src/controller/membership/membership.c
+++ b/src/controller/membership/membership.c
@@ -12,7 +12,7 @@
 {
     if (view->incarnation != controller->membership.view.incarnation ||
         !election_same_members(view, &controller->membership.view))
-        redirection_clear(controller->membership.redirection, view->number, clock_steady());
+        redirection_reset(controller->membership.redirection, view->number, clock_steady());
 }
 
 /* Copies the job counts that this controller made as the leader to its replica. Users are answered
--- a/src/core/membership/redirection.c
+++ b/src/core/membership/redirection.c
@@ -42,7 +42,7 @@
     g_free(redirection);
 }
 
-void redirection_clear(redirection_t *redirection, uint64_t fencing_token, msec_t now)
+void redirection_reset(redirection_t *redirection, uint64_t fencing_token, msec_t now)
 {
     redirection->fencing_token = fencing_token;
     redirection->cleared_at = now;
@@ -78,8 +78,8 @@
 
 bool redirection_owner_is_healthy(const owner_health_t *health, msec_t now)
 {
-    return health->answered_at > 0 && now - health->answered_at < OWNER_FRESH_MS &&
-           now - health->worker_heartbeat_at < OWNER_FRESH_MS;
+    return health->answered_at > 0 && now - health->answered_at < OWNER_REACHABLE_WITHIN_MS &&
+           now - health->worker_heartbeat_at < OWNER_REACHABLE_WITHIN_MS;
 }
 
 static bool is_duplicate(const redirected_worker_t *worker, const worker_heartbeat_t *heartbeat)
@@ -167,8 +167,8 @@
     return REDIRECTION_TO_OWNER;
 }
 
-void redirection_stop_ended(const worker_heartbeat_t *heartbeat, GHashTable *live_jobs,
-                            GArray *commands)
+void redirection_append_stops(const worker_heartbeat_t *heartbeat, GHashTable *live_jobs,
+                              GArray *commands)
 {
     for (guint i = 0; i < heartbeat->attempts->len; i++) {
         const reported_attempt_t *attempt =
@@ -182,7 +182,7 @@
     }
 }
 
-GPtrArray *redirection_retained(redirection_t *redirection, msec_t now)
+GPtrArray *redirection_list_retained(redirection_t *redirection, msec_t now)
 {
     GPtrArray *retained = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter iter;
@@ -202,7 +202,7 @@
 
 void redirection_add_retained(redirection_t *redirection, msec_t now, GHashTable *ids)
 {
-    g_autoptr(GPtrArray) retained = redirection_retained(redirection, now);
+    g_autoptr(GPtrArray) retained = redirection_list_retained(redirection, now);
     for (guint i = 0; i < retained->len; i++)
         g_hash_table_add(ids, g_strdup(g_ptr_array_index(retained, i)));
 }
--- a/src/core/membership/redirection.h
+++ b/src/core/membership/redirection.h
@@ -50,7 +50,7 @@
 /** Discards the state of the workers because a new view may have changed their owners. They are all
  * redirected again, except to owners that were recently unreachable. @p fencing_token: the token of
  * that view; heartbeats with a lower one were sent before the worker knew the view. */
-void redirection_clear(redirection_t *redirection, uint64_t fencing_token, msec_t now);
+void redirection_reset(redirection_t *redirection, uint64_t fencing_token, msec_t now);
 
 /** Returns whether the owner has recently answered this controller and received a heartbeat from
  * one of its own workers. */
@@ -68,16 +68,17 @@
 /** Appends a stop command for each attempt in the heartbeat that has not exited and whose job is
  * not live. @p live_jobs: id (char *) -> any value; transfer none. @p commands: array of
  * worker_command_t. */
-void redirection_stop_ended(const worker_heartbeat_t *heartbeat, GHashTable *live_jobs,
-                            GArray *commands);
+void redirection_append_stops(const worker_heartbeat_t *heartbeat, GHashTable *live_jobs,
+                              GArray *commands);
 
 /** Returns the ids of the retained machines whose heartbeats recently showed that this controller's
  * answers reach them (transfer full; array of char *, which owns them). The arrival of a heartbeat
  * alone does not prove that the worker is alive, because it may be a late copy. Also discards the
  * state of workers that have sent no heartbeat for REDIRECTION_FORGET_MS. */
-GPtrArray *redirection_retained(redirection_t *redirection, msec_t now);
+GPtrArray *redirection_list_retained(redirection_t *redirection, msec_t now);
 
-/** Adds the ids that redirection_retained returns to the set @p ids, which owns its keys (char *).
+/** Adds the ids that redirection_list_retained returns to the set @p ids, which owns its keys (char
+ * *).
  */
 void redirection_add_retained(redirection_t *redirection, msec_t now, GHashTable *ids);
 
--- a/tests/core/membership/test_redirection.c
+++ b/tests/core/membership/test_redirection.c
@@ -33,7 +33,7 @@
 
 static guint retained_count(redirection_t *redirection, msec_t now)
 {
-    g_autoptr(GPtrArray) retained = redirection_retained(redirection, now);
+    g_autoptr(GPtrArray) retained = redirection_list_retained(redirection, now);
     return retained->len;
 }
 
@@ -123,7 +123,7 @@
     assert_int_equal(receive_after_loss(redirection, "m-000001", 1, 1000), REDIRECTION_TO_OWNER);
     assert_int_equal(receive_after_loss(redirection, "m-000001", 2, 2000), REDIRECTION_RETAINED);
     worker_heartbeat_t heartbeat = heartbeat_of("m-000002", 1);
-    redirection_clear(redirection, 0, REDIRECTION_GRACE_MS + 2050);
+    redirection_reset(redirection, 0, REDIRECTION_GRACE_MS + 2050);
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false,
                                                   REDIRECTION_GRACE_MS + 2100),
                      REDIRECTION_TO_OWNER);
@@ -143,7 +143,7 @@
     redirection_t *redirection = *state;
     receive_after_loss(redirection, "m-000001", 1, 1000);
     receive_after_loss(redirection, "m-000001", 2, 11000); /* controller-1 is unreachable */
-    redirection_clear(redirection, 0, REDIRECTION_GRACE_MS + 11500);
+    redirection_reset(redirection, 0, REDIRECTION_GRACE_MS + 11500);
     worker_heartbeat_t heartbeat = heartbeat_of("m-000004", 1);
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false,
                                                   REDIRECTION_GRACE_MS + 12000),
@@ -171,7 +171,7 @@
     redirection_t *redirection = *state;
     worker_heartbeat_t heartbeat = heartbeat_of("m-000001", 5);
     heartbeat.fencing_token = 6;
-    redirection_clear(redirection, 7, 1000);
+    redirection_reset(redirection, 7, 1000);
     assert_int_equal(
         redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false, 1100),
         REDIRECTION_UNVERIFIED);
@@ -209,7 +209,7 @@
     GHashTable *live = g_hash_table_new(g_str_hash, g_str_equal);
     g_hash_table_add(live, (gpointer) "j-000001");
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
-    redirection_stop_ended(&heartbeat, live, commands);
+    redirection_append_stops(&heartbeat, live, commands);
     assert_int_equal(commands->len, 2);
     for (guint i = 0; i < commands->len; i++) {
         const worker_command_t *command = &g_array_index(commands, worker_command_t, i);
@@ -241,9 +241,10 @@
     assert_true(redirection_owner_is_healthy(&health, now));
     /* An owner may be cut off from its workers if it answers this controller but receives no worker
      * heartbeats. One that does not answer this controller is not known to be healthy either. */
-    health.worker_heartbeat_at = now - OWNER_FRESH_MS;
+    health.worker_heartbeat_at = now - OWNER_REACHABLE_WITHIN_MS;
     assert_false(redirection_owner_is_healthy(&health, now));
-    health = (owner_health_t){.answered_at = now - OWNER_FRESH_MS, .worker_heartbeat_at = now};
+    health = (owner_health_t){.answered_at = now - OWNER_REACHABLE_WITHIN_MS,
+                              .worker_heartbeat_at = now};
     assert_false(redirection_owner_is_healthy(&health, now));
     health = (owner_health_t){0};
     assert_false(redirection_owner_is_healthy(&health, 100)); /* never answered */
