--- a/src/controller/api/jobs.c
+++ b/src/controller/api/jobs.c
@@ -83,7 +83,7 @@
     const GArray *machine_types = controller->placement.machine_types;
     if (machine_types->len == 0)
         verdict = SUBMISSION_UNDECIDED;
-    else if (verdict == SUBMISSION_ACCEPTABLE && !job_spec_fits_some(spec, machine_types))
+    else if (verdict == SUBMISSION_ACCEPTABLE && !job_spec_fits_any_type(spec, machine_types))
         verdict = SUBMISSION_FITS_NO_MACHINE;
     pthread_mutex_unlock(&controller->lock);
     return verdict;
--- a/src/controller/api/request_pool.c
+++ b/src/controller/api/request_pool.c
@@ -61,7 +61,7 @@
  * is queued while all workers are busy. */
 static void wait_for_expiry_locked(request_pool_t *pool)
 {
-    msec_t next_deadline = request_queue_next(&pool->queue);
+    msec_t next_deadline = request_queue_earliest_deadline(&pool->queue);
     if (next_deadline == G_MAXINT64) {
         pthread_cond_wait(&pool->workers_busy, &pool->lock);
         return;
--- a/src/controller/placement/partition_items.c
+++ b/src/controller/placement/partition_items.c
@@ -81,7 +81,7 @@
               " machine=%s cause=%d",
               result->ref.job, result->ref.task, result->ref.attempt, result->machine,
               (int)result->cause);
-    if (result->cause == CAUSE_ERROR || result->cause == CAUSE_UNKNOWN)
+    if (result->cause == CAUSE_ERROR || result->cause == CAUSE_NO_SUCH)
         log_info("event=attempt_failed task=%s/%u machine=%s cause=%d", result->ref.job,
                  result->ref.task, result->machine, (int)result->cause);
 }
--- a/src/core/leader/failure_records.c
+++ b/src/core/leader/failure_records.c
@@ -26,18 +26,18 @@
 {
     switch (cause) {
     case CAUSE_FULL:
-    case CAUSE_BUSY:
+    case CAUSE_IN_USE:
         back_off_until(job, now + TASK_BACKOFF_MS);
         break;
     case CAUSE_ERROR:
-    case CAUSE_UNKNOWN:
+    case CAUSE_NO_SUCH:
         back_off_after_error(job, now);
         break;
     case CAUSE_NONE:
     case CAUSE_DONE:
     case CAUSE_STOPPED:
-    case CAUSE_PEERS:
-    case CAUSE_ALONE:
+    case CAUSE_GANG_PEER_ENDED:
+    case CAUSE_GANG_INCOMPLETE:
         break; /* not a failure of the job */
     }
 }
--- a/src/core/request_queue.c
+++ b/src/core/request_queue.c
@@ -45,7 +45,7 @@
     return NULL;
 }
 
-msec_t request_queue_next(const request_queue_t *queue)
+msec_t request_queue_earliest_deadline(const request_queue_t *queue)
 {
     msec_t next_at = G_MAXINT64;
     for (const GList *element = queue->waiting.head; element; element = element->next) {
--- a/src/core/request_queue.h
+++ b/src/core/request_queue.h
@@ -30,6 +30,6 @@
 void *request_queue_pop_expired(request_queue_t *queue, msec_t now);
 
 /** Returns the earliest deadline of the waiting requests, or G_MAXINT64 if the queue is empty. */
-msec_t request_queue_next(const request_queue_t *queue);
+msec_t request_queue_earliest_deadline(const request_queue_t *queue);
 
 #endif
--- a/src/core/types.c
+++ b/src/core/types.c
@@ -44,7 +44,7 @@
     return !spec->types || g_strv_contains((const char *const *)spec->types, type);
 }
 
-bool job_spec_fits_some(const job_spec_t *spec, const GArray *machine_types)
+bool job_spec_fits_any_type(const job_spec_t *spec, const GArray *machine_types)
 {
     for (guint i = 0; i < machine_types->len; i++) {
         const machine_type_t *machine_type = &g_array_index(machine_types, machine_type_t, i);
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -77,10 +77,10 @@
     CAUSE_STOPPED, /**< A command stopped the task. */
     CAUSE_ERROR,   /**< The task failed. */
     CAUSE_FULL,    /**< The worker or the partition refused it: resources were not free. */
-    CAUSE_BUSY,    /**< The worker refused the start with "in_use"; treated like CAUSE_FULL. */
-    CAUSE_UNKNOWN, /**< The worker answered "no_such"; counted as a failure of the job. */
-    CAUSE_PEERS,   /**< Another task of the same gang ended. */
-    CAUSE_ALONE    /**< The gang was not complete in time. */
+    CAUSE_IN_USE,  /**< The worker refused the start with "in_use"; treated like CAUSE_FULL. */
+    CAUSE_NO_SUCH, /**< The worker answered "no_such"; counted as a failure of the job. */
+    CAUSE_GANG_PEER_ENDED, /**< Another task of the same gang ended. */
+    CAUSE_GANG_INCOMPLETE  /**< The gang was not complete in time. */
 } cause_t;
 
 /** One task attempt as a worker's heartbeat lists it. */
@@ -192,7 +192,7 @@
 
 /** Returns whether one task of the job fits on an on-demand machine of any of the types, in a zone
  * that offers the type and that the job allows. @p machine_types: array of machine_type_t. */
-bool job_spec_fits_some(const job_spec_t *spec, const GArray *machine_types);
+bool job_spec_fits_any_type(const job_spec_t *spec, const GArray *machine_types);
 
 /** Returns whether the job allows a machine of this type and zone, spot or on-demand, for one of
  * its tasks. Does not consider where its other tasks run. */
--- a/src/io/codec/worker_heartbeats.c
+++ b/src/io/codec/worker_heartbeats.c
@@ -64,10 +64,15 @@
                                           [TASK_EXITED] = "exited",
                                           [STATE_GATHERING] = "gathering"};
 
-static const char *const cause_names[] = {
-    [CAUSE_NONE] = "",           [CAUSE_DONE] = "done",   [CAUSE_STOPPED] = "halted",
-    [CAUSE_ERROR] = "error",     [CAUSE_FULL] = "full",   [CAUSE_BUSY] = "in_use",
-    [CAUSE_UNKNOWN] = "no_such", [CAUSE_PEERS] = "peers", [CAUSE_ALONE] = "alone"};
+static const char *const cause_names[] = {[CAUSE_NONE] = "",
+                                          [CAUSE_DONE] = "done",
+                                          [CAUSE_STOPPED] = "halted",
+                                          [CAUSE_ERROR] = "error",
+                                          [CAUSE_FULL] = "full",
+                                          [CAUSE_IN_USE] = "in_use",
+                                          [CAUSE_NO_SUCH] = "no_such",
+                                          [CAUSE_GANG_PEER_ENDED] = "peers",
+                                          [CAUSE_GANG_INCOMPLETE] = "alone"};
 
 typedef struct heartbeat_reader {
     worker_heartbeat_t *heartbeat; /* the result */
--- a/src/io/peer_wire.c
+++ b/src/io/peer_wire.c
@@ -97,7 +97,7 @@
 static attempt_result_t decode_result(const wire_attempt_result *from)
 {
     attempt_result_t result = {.ref = decode_ref(&from->ref),
-                               .cause = (cause_t)MIN(from->cause, CAUSE_ALONE)};
+                               .cause = (cause_t)MIN(from->cause, CAUSE_GANG_INCOMPLETE)};
     g_strlcpy(result.machine, from->machine, sizeof result.machine);
     return result;
 }
--- a/tests/core/test_request_queue.c
+++ b/tests/core/test_request_queue.c
@@ -16,7 +16,7 @@
 {
     full_queue_t *full = g_new0(full_queue_t, 1);
     request_queue_init(&full->queue, 3);
-    assert_true(request_queue_next(&full->queue) == G_MAXINT64);
+    assert_true(request_queue_earliest_deadline(&full->queue) == G_MAXINT64);
     assert_true(request_queue_push(&full->queue, &full->submission, 4500));
     assert_true(request_queue_push(&full->queue, &full->status, 1000));
     assert_true(request_queue_push(&full->queue, &full->another, 1200));
@@ -44,11 +44,11 @@
 static void test_expired_request_is_shed_at_its_deadline(void **state)
 {
     full_queue_t *full = *state;
-    assert_true(request_queue_next(&full->queue) == 1000);
+    assert_true(request_queue_earliest_deadline(&full->queue) == 1000);
     assert_null(request_queue_pop_expired(&full->queue, 999));
     assert_ptr_equal(request_queue_pop_expired(&full->queue, 1000), &full->status);
     assert_null(request_queue_pop_expired(&full->queue, 1000));
-    assert_true(request_queue_next(&full->queue) == 1200);
+    assert_true(request_queue_earliest_deadline(&full->queue) == 1200);
 }
 
 static void test_requests_are_served_in_order_of_arrival(void **state)
--- a/tests/io/codec/test_encoding_samples.c
+++ b/tests/io/codec/test_encoding_samples.c
@@ -130,7 +130,7 @@
     assert_int_equal(heartbeat.worker_epoch, 31);
     assert_int_equal(heartbeat.heartbeat_sequence, 88);
     assert_int_equal(heartbeat.fencing_token, 41);
-    assert_int_equal(heartbeat.attempts->len, G_N_ELEMENTS(states) + CAUSE_ALONE + 1);
+    assert_int_equal(heartbeat.attempts->len, G_N_ELEMENTS(states) + CAUSE_GANG_INCOMPLETE + 1);
     for (guint i = 0; i < heartbeat.attempts->len; i++) {
         const reported_attempt_t *attempt =
             &g_array_index(heartbeat.attempts, reported_attempt_t, i);
--- a/tests/io/test_message_samples.c
+++ b/tests/io/test_message_samples.c
@@ -72,7 +72,7 @@
     if (kind == CHANNEL_PLACEMENT_REQUEST)
         return sample_request(false);
     if (kind == CHANNEL_ATTEMPT_RESULT)
-        item.result = (attempt_result_t){{"j-000398", 5, 6}, CAUSE_PEERS, "m-000007"};
+        item.result = (attempt_result_t){{"j-000398", 5, 6}, CAUSE_GANG_PEER_ENDED, "m-000007"};
     else if (kind == CHANNEL_ACKNOWLEDGE || kind == CHANNEL_WITHDRAW)
         item.ref = (task_ref_t){"j-000397", 7, 8};
     else
