--- a/src/constants.h
+++ b/src/constants.h
@@ -100,10 +100,10 @@
     PLACEMENT_TICK_MS = 250, /**< Longest wait of the placement loop for an event. */
     /** Progress of a job is collected for this long before it is written, or longer if the write
      * rate requires it. */
-    PROGRESS_GAP_MS = 2000,
+    PROGRESS_BATCH_DELAY_MS = 2000,
     /** Progress older than this is written before starts, because results that are not durable are
      * lost if their machine fails. */
-    PROGRESS_LATE_MS = 8000,
+    PROGRESS_OVERDUE_MS = 8000,
     /** Acknowledged results are removed from a record after this delay, or sooner if a start
      * rewrites the record. */
     RECORD_FLUSH_DELAY_MS = 3000
--- a/src/controller/jobs/job_directory.c
+++ b/src/controller/jobs/job_directory.c
@@ -36,7 +36,7 @@
     if (controller->placement.partition)
         partition_end_job(controller->placement.partition, id);
     if (controller->placement.leader)
-        leader_end_job(controller->placement.leader, id);
+        leader_remove_job(controller->placement.leader, id);
     job_counts_replica_remove(&controller->jobs.counts, id);
     g_hash_table_remove(controller->jobs.live, id);
     command_dispatcher_notify(controller);
--- a/src/controller/membership/membership.c
+++ b/src/controller/membership/membership.c
@@ -19,7 +19,8 @@
  * from there until the counts of another leader, or the next ones made here, replace them. */
 static void copy_own_counts(controller_t *controller)
 {
-    job_counts_update_t all = leader_counts(controller->placement.leader, 0, 0, G_MAXUINT);
+    job_counts_update_t all =
+        leader_job_counts_since(controller->placement.leader, 0, 0, G_MAXUINT);
     job_counts_replica_apply(&controller->jobs.counts, &all);
     job_counts_update_clear(&all);
 }
--- a/src/controller/peer/peer_heartbeat.c
+++ b/src/controller/peer/peer_heartbeat.c
@@ -66,8 +66,9 @@
         cancellation_log_update(&controller->jobs.cancellations, heartbeat->known_log_incarnation,
                                 heartbeat->known_log_index, clock_steady());
     if (controller->membership.is_leader && controller->placement.is_loaded)
-        answer.job_counts = leader_counts(controller->placement.leader, heartbeat->job_counts.epoch,
-                                          heartbeat->job_counts.version, JOB_COUNTS_BATCH_COUNT);
+        answer.job_counts =
+            leader_job_counts_since(controller->placement.leader, heartbeat->job_counts.epoch,
+                                    heartbeat->job_counts.version, JOB_COUNTS_BATCH_COUNT);
     return answer;
 }
 
--- a/src/controller/placement/partition_items.c
+++ b/src/controller/placement/partition_items.c
@@ -64,7 +64,7 @@
 static void withdraw_gang(controller_t *controller, const char *job)
 {
     /* Array of partition_attempt_t. */
-    g_autoptr(GArray) outstanding = leader_outstanding(controller->placement.leader, job);
+    g_autoptr(GArray) outstanding = leader_outstanding_attempts(controller->placement.leader, job);
     for (guint i = 0; i < outstanding->len; i++) {
         const partition_attempt_t *attempt = &g_array_index(outstanding, partition_attempt_t, i);
         if (attempt->partition == controller->membership.own_index)
--- a/src/controller/placement/placement_loop.c
+++ b/src/controller/placement/placement_loop.c
@@ -77,7 +77,7 @@
     guint txn_ops = controller->settings->txn_ops;
     double left = rate_limiter_left(&controller->core_write_limiter, now);
     return (kv_txn_usage_t){.max_ops = left < 1 ? 0 : MIN((guint)left, txn_ops),
-                            .full_ops = MIN((guint)controller->core_write_limiter.rate, txn_ops),
+                            .burst_ops = MIN((guint)controller->core_write_limiter.rate, txn_ops),
                             .max_bytes = KV_TXN_VALUES_BYTES / 2};
 }
 
@@ -93,7 +93,7 @@
     return (partition_limits_t){
         /* If the records used every write as soon as the rate limit permits it, none would be left
          * for the end of a job, which needs several at once. */
-        .ops = usage->has_waiting_end ? 0 : max_ops - MIN(max_ops, usage->ops),
+        .ops = usage->has_blocked_completion ? 0 : max_ops - MIN(max_ops, usage->ops),
         .jobs = max_conditions - MIN(max_conditions, reserved_conditions),
         .value_max = MIN(settings_value_max, (gsize)KV_TXN_VALUES_BYTES / 3),
         .bytes = KV_TXN_VALUES_BYTES - usage->bytes};
@@ -127,12 +127,12 @@
     if (is_leader) {
         send_placement_requests_locked(controller, now);
         batch->progress = leader_progress_new();
-        take_progress_locked(controller, batch, now, PROGRESS_LATE_MS);
+        take_progress_locked(controller, batch, now, PROGRESS_OVERDUE_MS);
     }
     take_records_locked(controller, batch, now, max_ops);
     batch->usage.max_bytes = KV_TXN_VALUES_BYTES;
     if (is_leader)
-        take_progress_locked(controller, batch, now, PROGRESS_GAP_MS);
+        take_progress_locked(controller, batch, now, PROGRESS_BATCH_DELAY_MS);
 }
 
 static void prepare_round_locked(placement_loop_t *loop, placement_round_t *round)
--- a/src/controller/placement/record_commit.c
+++ b/src/controller/placement/record_commit.c
@@ -42,7 +42,7 @@
 {
     for (guint i = 0; i < progress->len; i++) {
         const progress_t *entry = &g_array_index(progress, progress_t, i);
-        if (!entry->is_job_end)
+        if (!entry->is_job_completion)
             continue;
         log_info("event=job_done job=%s tasks=%u", entry->job, entry->done);
         job_directory_remove(controller, entry->job);
--- a/src/core/autoscaler/demand_balance.c
+++ b/src/core/autoscaler/demand_balance.c
@@ -22,10 +22,10 @@
     gpointer value;
     g_hash_table_iter_init(&iter, leader->outstanding);
     while (g_hash_table_iter_next(&iter, NULL, &value))
-        resources_add(&total, ((outstanding_t *)value)->need, 1);
-    g_autoptr(GArray) demand = leader_demand(leader, now); /* demand_t */
+        resources_add(&total, ((outstanding_attempt_t *)value)->need, 1);
+    g_autoptr(GArray) demand = leader_demand(leader, now); /* job_demand_t */
     for (guint i = 0; i < demand->len; i++) {
-        const demand_t *entry = &g_array_index(demand, demand_t, i);
+        const job_demand_t *entry = &g_array_index(demand, job_demand_t, i);
         const job_spec_t *spec = &entry->job->spec;
         /* Tasks that can run one after another on the same resources within the maximum wait count
          * once. */
@@ -41,9 +41,9 @@
 static void measure_team_demand(const leader_t *leader, msec_t now, autoscaler_balance_t *balance)
 {
     double *pending_cpus = g_new0(double, leader->teams->len + 1); /* by index of the team */
-    g_autoptr(GArray) demand = leader_demand(leader, now);         /* demand_t */
+    g_autoptr(GArray) demand = leader_demand(leader, now);         /* job_demand_t */
     for (guint i = 0; i < demand->len; i++) {
-        const demand_t *entry = &g_array_index(demand, demand_t, i);
+        const job_demand_t *entry = &g_array_index(demand, job_demand_t, i);
         double cpus = entry->tasks * entry->job->spec.need.cpus;
         pending_cpus[entry->team] += cpus;
         balance->pending_cpu_s += cpus * MAX(entry->job->spec.estimate_s, 1);
--- a/src/core/autoscaler/scale_out_choice.c
+++ b/src/core/autoscaler/scale_out_choice.c
@@ -19,7 +19,7 @@
     const autoscaler_t *autoscaler;
     const leader_t *leader;
     const autoscaler_balance_t *balance;
-    const GArray *demand; /* demand_t, borrowed */
+    const GArray *demand; /* job_demand_t, borrowed */
     /* On-demand cpus beyond the guaranteed demand that the pending work justifies and that do not
      * exist yet. */
     double missing_on_demand_cpus;
@@ -70,7 +70,7 @@
 {
     const machine_type_t *machine_type = candidate->machine_type;
     for (guint i = 0; i < choice->demand->len; i++) {
-        const job_spec_t *spec = &g_array_index(choice->demand, demand_t, i).job->spec;
+        const job_spec_t *spec = &g_array_index(choice->demand, job_demand_t, i).job->spec;
         if (job_spec_allows(spec, machine_type->name, candidate->zone, candidate->spot) &&
             resources_fit(spec->need, machine_type->capacity) &&
             (candidate->spot || may_use_on_demand(choice, candidate, spec)))
@@ -167,7 +167,7 @@
     if (missing.cpus <= 0 && missing.memory <= 0)
         return false;
     double max_wait_s = tunable_value(leader->policy, TUNABLE_ON_DEMAND_PATIENCE);
-    g_autoptr(GArray) demand = leader_demand(leader, now); /* demand_t */
+    g_autoptr(GArray) demand = leader_demand(leader, now); /* job_demand_t */
     scale_out_choice_t choice = {
         .autoscaler = autoscaler,
         .leader = leader,
--- a/src/core/leader/demand.c
+++ b/src/core/leader/demand.c
@@ -20,7 +20,7 @@
 
 GArray *leader_demand(const leader_t *leader, msec_t now)
 {
-    GArray *demand = g_array_new(FALSE, FALSE, sizeof(demand_t));
+    GArray *demand = g_array_new(FALSE, FALSE, sizeof(job_demand_t));
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, leader->jobs);
@@ -30,7 +30,7 @@
         const team_state_t *state = leader_team_find(leader, job->spec.team, &team);
         if (!state || leader_is_job_blocked(job, now))
             continue;
-        demand_t entry = {.job = job, .team = team, .tasks = count_demanded_tasks(job, state)};
+        job_demand_t entry = {.job = job, .team = team, .tasks = count_demanded_tasks(job, state)};
         if (entry.tasks)
             g_array_append_val(demand, entry);
     }
--- a/src/core/leader/demand.h
+++ b/src/core/leader/demand.h
@@ -11,11 +11,11 @@
     job_t *job;     /**< Borrowed from the leader. */
     guint team;     /**< Index of its team in leader_t.teams. */
     uint32_t tasks; /**< Number of pending tasks that may be placed; above 0. */
-} demand_t;
+} job_demand_t;
 
 /** Returns the demand of the live jobs whose tasks may be placed at @p now, which leaves out jobs
- * that are backing off: an array of demand_t. The job pointers in it are valid until the leader is
- * changed. Transfer full. Called with the controller's lock held. */
+ * that are backing off: an array of job_demand_t. The job pointers in it are valid until the leader
+ * is changed. Transfer full. Called with the controller's lock held. */
 GArray *leader_demand(const leader_t *leader, msec_t now);
 
 #endif
--- a/src/core/leader/job_progress.c
+++ b/src/core/leader/job_progress.c
@@ -33,8 +33,8 @@
 {
     progress_t *progress = data;
     g_free(progress->bits);
-    if (progress->old_revisions)
-        g_array_unref(progress->old_revisions);
+    if (progress->chunk_revisions)
+        g_array_unref(progress->chunk_revisions);
 }
 
 GArray *leader_progress_new(void)
@@ -60,9 +60,9 @@
 static void append_job_completion(job_t *job, GArray *batch, kv_txn_usage_t *usage)
 {
     progress_t progress = make_progress_entry(job);
-    progress.is_job_end = true;
-    progress.old_revisions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    g_array_append_vals(progress.old_revisions, job->chunk_revisions->data,
+    progress.is_job_completion = true;
+    progress.chunk_revisions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    g_array_append_vals(progress.chunk_revisions, job->chunk_revisions->data,
                         job->chunk_revisions->len);
     usage->ops += JOB_COMPLETION_OPS;
     usage->bytes += PROGRESS_BYTES;
@@ -103,14 +103,14 @@
         if (job->done_count < job->spec.tasks || job->committing_attempts)
             continue;
         guint ops = JOB_COMPLETION_OPS + job->chunk_revisions->len;
-        if (usage->ops + ops > usage->max_ops && ops <= usage->full_ops)
+        if (usage->ops + ops > usage->max_ops && ops <= usage->burst_ops)
             is_completion_blocked = true;
         if (!has_capacity(usage, ops, PROGRESS_BYTES))
             continue;
         append_job_completion(job, batch, usage);
         mark_commit_in_flight(job);
     }
-    usage->has_waiting_end = is_completion_blocked && usage->ops == 0;
+    usage->has_blocked_completion = is_completion_blocked && usage->ops == 0;
 }
 
 static gint compare_dirty_since(gconstpointer left, gconstpointer right)
@@ -173,7 +173,7 @@
                           kv_txn_usage_t *usage)
 {
     take_job_completions(leader, batch, usage);
-    if (!usage->has_waiting_end)
+    if (!usage->has_blocked_completion)
         take_due_chunks(leader, now - min_age, batch, usage);
 }
 
@@ -196,7 +196,7 @@
         if (!job)
             continue;
         release_committing_attempts(job, acknowledged);
-        if (progress->is_job_end)
+        if (progress->is_job_completion)
             g_hash_table_remove(leader->jobs, progress->job);
         else
             g_array_index(job->chunk_revisions, uint64_t, progress->chunk) = revision;
@@ -211,7 +211,7 @@
         if (!job)
             continue;
         job->is_completion_in_flight = false;
-        job->dirty_chunks |= progress->is_job_end ? 1U : 1U << progress->chunk;
+        job->dirty_chunks |= progress->is_job_completion ? 1U : 1U << progress->chunk;
         release_committing_attempts(job, job->uncommitted_attempts);
     }
 }
--- a/src/core/leader/job_progress.h
+++ b/src/core/leader/job_progress.h
@@ -12,31 +12,31 @@
 
 /** One entry of a progress batch: the completion of a job, or one chunk of its done_bits. */
 typedef struct progress {
-    char job[ID_BYTES];    /**< The job's id. */
-    bool is_job_end;       /**< True for a job completion: all tasks are done, and the transaction
-                              deletes jobs/{id} and the chunks and writes ended/{id}. */
-    uint32_t done;         /**< Number of tasks done. */
-    uint64_t job_revision; /**< Revision of jobs/{id}; the transaction requires it unchanged. */
-    guint chunk;           /**< Index of the chunk; unused for a job completion. */
-    uint64_t revision;     /**< Revision of the chunk's key, which the transaction requires
-                              unchanged; 0: the key does not exist. */
-    uint8_t *bits;         /**< The chunk's bits, owned; NULL for a job completion. */
-    gsize bytes;           /**< Size of bits in bytes. */
-    GArray *old_revisions; /**< For a job completion: array of uint64_t, owned, the revisions of the
-                              chunks' keys, which the transaction deletes (0: the key does not
+    char job[ID_BYTES];      /**< The job's id. */
+    bool is_job_completion;  /**< True for a job completion: all tasks are done, and the transaction
+                         deletes jobs/{id} and the chunks and writes ended/{id}. */
+    uint32_t done;           /**< Number of tasks done. */
+    uint64_t job_revision;   /**< Revision of jobs/{id}; the transaction requires it unchanged. */
+    guint chunk;             /**< Index of the chunk; unused for a job completion. */
+    uint64_t revision;       /**< Revision of the chunk's key, which the transaction requires
+                                unchanged; 0: the key does not exist. */
+    uint8_t *bits;           /**< The chunk's bits, owned; NULL for a job completion. */
+    gsize bytes;             /**< Size of bits in bytes. */
+    GArray *chunk_revisions; /**< For a job completion: array of uint64_t, owned, the revisions of
+                              the chunks' keys, which the transaction deletes (0: the key does not
                               exist). Otherwise NULL. */
 } progress_t;
 
 /** The current contents of a transaction and its limits. */
 typedef struct kv_txn_usage {
-    guint ops;            /**< Number of operations so far. */
-    guint max_ops;        /**< Maximum number of operations that the rate limit permits now. */
-    guint full_ops;       /**< Value that max_ops reaches if nothing is written for a while. */
-    gsize bytes;          /**< Total size in bytes of the values so far. */
-    gsize max_bytes;      /**< Maximum total size in bytes of the values. */
-    bool has_waiting_end; /**< A job completion needs more operations than the rate limit permits
-                             now. Nothing else may be written, so that the permitted number grows
-                             until the completion fits. */
+    guint ops;       /**< Number of operations so far. */
+    guint max_ops;   /**< Maximum number of operations that the rate limit permits now. */
+    guint burst_ops; /**< Value that max_ops reaches if nothing is written for a while. */
+    gsize bytes;     /**< Total size in bytes of the values so far. */
+    gsize max_bytes; /**< Maximum total size in bytes of the values. */
+    bool has_blocked_completion; /**< A job completion needs more operations than the rate limit
+                             permits now. Nothing else may be written, so that the permitted number
+                             grows until the completion fits. */
 } kv_txn_usage_t;
 
 /** Marks the tasks of a job as done that a chunk read from the key-value store lists as done.
@@ -52,7 +52,7 @@
 /** Appends progress to @p batch within the limits of @p usage. Job completions come first. Unless a
  * completion has to wait for the rate limit, they are followed by the progress of unfinished jobs
  * that is at least @p min_age ms old at @p now, oldest first. Adds what was appended to @p usage
- * and sets its has_waiting_end. */
+ * and sets its has_blocked_completion. */
 void leader_progress_take(leader_t *leader, msec_t now, msec_t min_age, GArray *batch,
                           kv_txn_usage_t *usage);
 
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -91,7 +91,7 @@
     g_hash_table_insert(leader->jobs, job->spec.id, job);
 }
 
-void leader_end_job(leader_t *leader, const char *id)
+void leader_remove_job(leader_t *leader, const char *id)
 {
     g_hash_table_remove(leader->jobs, id);
 }
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -50,7 +50,7 @@
 
 /** Removes a job that is cancelled or done. Its outstanding attempts still count against its team's
  * quota. */
-void leader_end_job(leader_t *leader, const char *id);
+void leader_remove_job(leader_t *leader, const char *id);
 
 /** Returns the live job with this id, or NULL if there is none. Transfer none; valid until the
  * leader is changed. */
@@ -83,7 +83,7 @@
 bool leader_is_outstanding(const leader_t *leader, const task_ref_t *ref);
 
 /** Returns the job's outstanding attempts: array of partition_attempt_t, transfer full. */
-GArray *leader_outstanding(const leader_t *leader, const char *job);
+GArray *leader_outstanding_attempts(const leader_t *leader, const char *job);
 
 /** Records that an attempt is over, or that the partition refused its placement request
  * (CAUSE_FULL). If the attempt is no longer outstanding, for example because its result arrived
@@ -98,7 +98,7 @@
 /** Returns the job counts that a replica lacks: at most @p max_jobs jobs whose counts changed after
  * the replica's @p version, oldest change first. If the replica's @p epoch is not the current one,
  * all jobs count as changed. Transfer full: cleared by job_counts_update_clear. */
-job_counts_update_t leader_counts(leader_t *leader, uint64_t epoch, uint64_t version,
-                                  guint max_jobs);
+job_counts_update_t leader_job_counts_since(leader_t *leader, uint64_t epoch, uint64_t version,
+                                            guint max_jobs);
 
 #endif
--- a/src/core/leader/leader_type.h
+++ b/src/core/leader/leader_type.h
@@ -66,7 +66,7 @@
     resources_t need;       /**< Resources that it holds. */
     char zone[LABEL_BYTES]; /**< Zone in which it counts; empty: none. */
     guint partition;        /**< Index of the partition that handles it. */
-} outstanding_t;
+} outstanding_attempt_t;
 
 /** Totals over all machines in a placement round. They let the round skip the scan of the single
  * summaries for work that cannot fit on any machine. */
@@ -80,13 +80,13 @@
 
 /** The leader's state. */
 typedef struct leader {
-    uint64_t view;               /**< View number; the upper bits of attempt numbers. */
-    uint64_t attempt_count;      /**< Counter of this view; the lower bits of attempt numbers. */
-    GHashTable *jobs;            /**< Job id (char *, in the value) to job_t *, owned. */
-    GHashTable *outstanding;     /**< task_ref_t * (in the value) to outstanding_t *, owned. */
-    GArray *teams;               /**< Array of team_state_t, owned; in the settings' order. */
-    GHashTable *slos;            /**< Class name (char *) to slo_t *; transfer none. */
-    const policy_t *policy;      /**< The operators' policy; transfer none. */
+    uint64_t view;           /**< View number; the upper bits of attempt numbers. */
+    uint64_t attempt_count;  /**< Counter of this view; the lower bits of attempt numbers. */
+    GHashTable *jobs;        /**< Job id (char *, in the value) to job_t *, owned. */
+    GHashTable *outstanding; /**< task_ref_t * (in the value) to outstanding_attempt_t *, owned. */
+    GArray *teams;           /**< Array of team_state_t, owned; in the settings' order. */
+    GHashTable *slos;        /**< Class name (char *) to slo_t *; transfer none. */
+    const policy_t *policy;  /**< The operators' policy; transfer none. */
     GHashTable *failure_records; /**< Machine id (char *, owned) to failure_record_t *, owned: the
                                     machines on which an attempt failed since the last success. */
     GHashTable *machine_claims;  /**< Machine id (char *, owned) to machine_claim_t *, owned: the
--- a/src/core/leader/outstanding_attempts.c
+++ b/src/core/leader/outstanding_attempts.c
@@ -13,7 +13,7 @@
 
 /* Counts the attempt for its job if the job is live. The index of the task comes from a machine's
  * record and may exceed the number of the job's tasks. The task's bit is set only if it exists. */
-static void add_to_job(leader_t *leader, const outstanding_t *outstanding)
+static void add_to_job(leader_t *leader, const outstanding_attempt_t *outstanding)
 {
     job_t *job = g_hash_table_lookup(leader->jobs, outstanding->ref.job);
     if (!job)
@@ -29,7 +29,7 @@
 void leader_add_outstanding(leader_t *leader, task_ref_t ref, const char *team, resources_t need,
                             const char *zone, guint partition)
 {
-    outstanding_t *outstanding = g_new0(outstanding_t, 1);
+    outstanding_attempt_t *outstanding = g_new0(outstanding_attempt_t, 1);
     outstanding->ref = ref;
     g_strlcpy(outstanding->zone, zone, sizeof outstanding->zone);
     outstanding->need = need;
@@ -46,7 +46,7 @@
 
 job_t *leader_remove_outstanding(leader_t *leader, const task_ref_t *ref)
 {
-    outstanding_t *outstanding = g_hash_table_lookup(leader->outstanding, ref);
+    outstanding_attempt_t *outstanding = g_hash_table_lookup(leader->outstanding, ref);
     if (!outstanding || outstanding->ref.attempt != ref->attempt)
         return NULL;
     if (outstanding->team_index < leader->teams->len) {
@@ -76,18 +76,18 @@
 
 bool leader_is_outstanding(const leader_t *leader, const task_ref_t *ref)
 {
-    const outstanding_t *outstanding = g_hash_table_lookup(leader->outstanding, ref);
+    const outstanding_attempt_t *outstanding = g_hash_table_lookup(leader->outstanding, ref);
     return outstanding && outstanding->ref.attempt == ref->attempt;
 }
 
-GArray *leader_outstanding(const leader_t *leader, const char *job)
+GArray *leader_outstanding_attempts(const leader_t *leader, const char *job)
 {
     GArray *attempts = g_array_new(FALSE, FALSE, sizeof(partition_attempt_t));
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, leader->outstanding);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const outstanding_t *outstanding = value;
+        const outstanding_attempt_t *outstanding = value;
         partition_attempt_t entry = {.ref = outstanding->ref, .partition = outstanding->partition};
         if (strcmp(outstanding->ref.job, job) == 0)
             g_array_append_val(attempts, entry);
--- a/src/core/leader/published_counts.c
+++ b/src/core/leader/published_counts.c
@@ -36,8 +36,8 @@
     return changed;
 }
 
-job_counts_update_t leader_counts(leader_t *leader, uint64_t epoch, uint64_t version,
-                                  guint max_jobs)
+job_counts_update_t leader_job_counts_since(leader_t *leader, uint64_t epoch, uint64_t version,
+                                            guint max_jobs)
 {
     if (epoch != leader->counts_epoch)
         version = 0;
--- a/src/io/records.c
+++ b/src/io/records.c
@@ -29,7 +29,7 @@
     kv_txn_put(txn, key, codec_build_bits(progress->bits, progress->bytes, progress->done), 0);
 }
 
-static void write_job_end(kv_txn_t *txn, const progress_t *progress)
+static void write_job_completion(kv_txn_t *txn, const progress_t *progress)
 {
     char key[KV_KEY_BYTES];
     format_job_key(progress->job, key);
@@ -37,8 +37,8 @@
     kv_txn_delete(txn, key);
     format_ended_key(progress->job, key);
     kv_txn_put(txn, key, codec_build_ended(true, progress->done), 0);
-    for (guint chunk = 0; chunk < progress->old_revisions->len; chunk++) {
-        uint64_t revision = g_array_index(progress->old_revisions, uint64_t, chunk);
+    for (guint chunk = 0; chunk < progress->chunk_revisions->len; chunk++) {
+        uint64_t revision = g_array_index(progress->chunk_revisions, uint64_t, chunk);
         if (revision == 0) /* the chunk was never written */
             continue;
         format_chunk_key(progress->job, chunk, key);
@@ -89,8 +89,8 @@
     kv_txn_require_revision(&txn, "view/number", view_revision);
     for (guint i = 0; progress && i < progress->len; i++) {
         const progress_t *entry = &g_array_index(progress, progress_t, i);
-        if (entry->is_job_end)
-            write_job_end(&txn, entry);
+        if (entry->is_job_completion)
+            write_job_completion(&txn, entry);
         else
             write_chunk(&txn, entry);
         g_hash_table_add(written_jobs, (gpointer)entry->job);
--- a/tests/core/leader/test_job_progress.c
+++ b/tests/core/leader/test_job_progress.c
@@ -40,7 +40,7 @@
     g_autoptr(GArray) batch = leader_progress_new();
     take_progress(fixture, 0, 20, KV_TXN_VALUES_BYTES, batch);
     assert_int_equal(batch->len, 1);
-    assert_true(progress_at(batch, 0)->is_job_end);
+    assert_true(progress_at(batch, 0)->is_job_completion);
     g_autoptr(GArray) acknowledged = g_array_new(FALSE, FALSE, sizeof(partition_attempt_t));
     leader_progress_commit(fixture->leader, batch, 9, acknowledged);
     assert_int_equal(acknowledged->len, 1);
@@ -72,7 +72,7 @@
     g_autoptr(GArray) batch = leader_progress_new();
     take_progress(fixture, 0, 3, KV_TXN_VALUES_BYTES, batch);
     assert_int_equal(batch->len, 2); /* the completion, and one chunk within the limit */
-    assert_true(progress_at(batch, 0)->is_job_end);
+    assert_true(progress_at(batch, 0)->is_job_completion);
     assert_string_equal(progress_at(batch, 0)->job, "j-000002");
     undo_progress(fixture, batch);
     take_progress(fixture, 500, 20, KV_TXN_VALUES_BYTES, batch);
@@ -95,19 +95,19 @@
     for (guint i = 0; i < 2; i++)
         finish_task(fixture, request_at(requests, i));
     g_autoptr(GArray) batch = leader_progress_new();
-    kv_txn_usage_t usage = {.max_ops = 2, .full_ops = 3, .max_bytes = KV_TXN_VALUES_BYTES};
+    kv_txn_usage_t usage = {.max_ops = 2, .burst_ops = 3, .max_bytes = KV_TXN_VALUES_BYTES};
     leader_progress_take(fixture->leader, 1000, 0, batch, &usage);
-    assert_true(usage.has_waiting_end);
+    assert_true(usage.has_blocked_completion);
     assert_int_equal(batch->len, 0);
-    usage.full_ops = 2;
+    usage.burst_ops = 2;
     leader_progress_take(fixture->leader, 1000, 0, batch, &usage);
-    assert_false(usage.has_waiting_end);
+    assert_false(usage.has_blocked_completion);
     assert_int_equal(batch->len, 1);
     undo_progress(fixture, batch);
-    usage = (kv_txn_usage_t){.max_ops = 3, .full_ops = 3, .max_bytes = KV_TXN_VALUES_BYTES};
+    usage = (kv_txn_usage_t){.max_ops = 3, .burst_ops = 3, .max_bytes = KV_TXN_VALUES_BYTES};
     leader_progress_take(fixture->leader, 1000, 0, batch, &usage);
-    assert_false(usage.has_waiting_end);
-    assert_true(progress_at(batch, 0)->is_job_end);
+    assert_false(usage.has_blocked_completion);
+    assert_true(progress_at(batch, 0)->is_job_completion);
 }
 
 /* The two tasks of a job end under different leaders, with a third leader in between. The durable
@@ -127,7 +127,7 @@
     take_progress(fixture, 0, 20, KV_TXN_VALUES_BYTES, batch);
     assert_int_equal(batch->len, 1);
     const progress_t *first = progress_at(batch, 0);
-    assert_false(first->is_job_end);
+    assert_false(first->is_job_completion);
     for (uint64_t view = 4; view < 6; view++) {
         replace_leader(fixture, 2, view);
         set_idle_machine(fixture, 0, "zone-a", 20);
@@ -142,7 +142,7 @@
     g_autoptr(GArray) completions = leader_progress_new();
     take_progress(fixture, 0, 20, KV_TXN_VALUES_BYTES, completions);
     assert_int_equal(completions->len, 1);
-    assert_true(progress_at(completions, 0)->is_job_end);
+    assert_true(progress_at(completions, 0)->is_job_completion);
     assert_int_equal(progress_at(completions, 0)->done, 2);
 }
 
--- a/tests/core/leader/test_published_counts.c
+++ b/tests/core/leader/test_published_counts.c
@@ -5,7 +5,7 @@
 static void apply_counts(leader_fixture_t *fixture, job_counts_replica_t *replica, guint max_jobs)
 {
     job_counts_update_t update =
-        leader_counts(fixture->leader, replica->epoch, replica->version, max_jobs);
+        leader_job_counts_since(fixture->leader, replica->epoch, replica->version, max_jobs);
     assert_in_range(update.jobs->len, 0, max_jobs);
     job_counts_replica_apply(replica, &update);
     job_counts_update_clear(&update);
@@ -45,12 +45,12 @@
         if (strcmp(request_at(requests, i)->request.job, "j-000003") == 0)
             finish_task(fixture, request_at(requests, i));
     job_counts_update_t update =
-        leader_counts(fixture->leader, replica.epoch, replica.version, MAX_JOBS);
+        leader_job_counts_since(fixture->leader, replica.epoch, replica.version, MAX_JOBS);
     assert_int_equal(update.jobs->len, 1); /* only the job that changed */
     job_counts_replica_apply(&replica, &update);
     job_counts_update_clear(&update);
     assert_counts(&replica, "j-000003", 3, 0);
-    leader_end_job(fixture->leader, "j-000002");
+    leader_remove_job(fixture->leader, "j-000002");
     fixture->leader->counts_epoch = 12;
     apply_counts(fixture, &replica, MAX_JOBS);
     assert_counts(&replica, "j-000002", 0, 0);
--- a/tests/core/leader/test_quota.c
+++ b/tests/core/leader/test_quota.c
@@ -42,7 +42,7 @@
         load_attempt(fixture, &team_a_entry, "zone-b", 1);
         load_attempt(fixture, &team_b_entry, "zone-b", 1);
     }
-    leader_end_job(fixture->leader, "j-000001");
+    leader_remove_job(fixture->leader, "j-000001");
     job_spec_t waiting[] = {make_job("j-000003", "team-a", 50), make_job("j-000004", "team-b", 50)};
     set_idle_machine(fixture, 0, "zone-a", 1000);
     add_job(fixture, &waiting[0]);
--- a/tests/io/codec/test_encoding_samples.c
+++ b/tests/io/codec/test_encoding_samples.c
@@ -305,9 +305,10 @@
     GArray *progress = leader_progress_new();
     progress_t entry = {"j-000412", false, 9, 101, 1, 12, g_memdup2("\x81\xff\x02", 3), 3, NULL};
     g_array_append_val(progress, entry);
-    progress_t end = {.job = "j-000398", .is_job_end = true, .done = 20000, .job_revision = 102};
-    end.old_revisions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    g_array_append_vals(end.old_revisions, chunk_revisions, G_N_ELEMENTS(chunk_revisions));
+    progress_t end = {
+        .job = "j-000398", .is_job_completion = true, .done = 20000, .job_revision = 102};
+    end.chunk_revisions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    g_array_append_vals(end.chunk_revisions, chunk_revisions, G_N_ELEMENTS(chunk_revisions));
     g_array_append_val(progress, end);
     partition_batch_t batch = {.records = g_array_new(FALSE, FALSE, sizeof(page_record_t)),
                                .jobs = g_hash_table_new(g_str_hash, g_str_equal)};
--- a/tests/io/test_records.c
+++ b/tests/io/test_records.c
@@ -93,8 +93,9 @@
     job_spec_t spec = fixture_job("j-000001", 1);
     fake_kv_store_apply(fixture->store, records_submit(&spec));
     uint64_t revision = fake_kv_store_revision(fixture->store, "jobs/j-000001");
-    progress_t end = {.job = "j-000001", .is_job_end = true, .done = 1, .job_revision = revision};
-    end.old_revisions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    progress_t end = {
+        .job = "j-000001", .is_job_completion = true, .done = 1, .job_revision = revision};
+    end.chunk_revisions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     GArray *progress = g_array_new(FALSE, FALSE, sizeof(progress_t));
     g_array_append_val(progress, end);
     partition_batch_t *empty_batch = fixture_take_batch(fixture);
@@ -105,7 +106,7 @@
                      KV_CONFLICT);
     const kv_entry_t *ended = fake_kv_store_get(fixture->store, "ended/j-000001");
     assert_string_equal(json_string_value(json_object_get(ended->value, "Trim")), "done");
-    g_array_unref(end.old_revisions);
+    g_array_unref(end.chunk_revisions);
     g_array_unref(progress);
     partition_batch_free(empty_batch);
 }
