--- a/src/constants.h
+++ b/src/constants.h
@@ -317,21 +317,21 @@
 
 /** Placement. */
 enum {
-    JOB_ERRORS_ALARM_COUNT = 4, /**< Consecutive failures after which a job is quarantined. */
+    JOB_ERRORS_BACKOFF_COUNT = 4, /**< Consecutive failures after which a job is quarantined. */
     /** A machine is quarantined after this many failures of jobs that run elsewhere. */
-    MACHINE_ERRORS_ALARM_COUNT = 3,
+    MACHINE_ERRORS_QUARANTINE_COUNT = 3,
     JOB_BACKOFF_MS = 5000, /**< First backoff of a quarantined job; doubles with each failure. */
     JOB_BACKOFF_MAX_MS = 60000, /**< Longest backoff of a job: one start per minute. */
     TASK_BACKOFF_MS = 500,      /**< After a refused start: the resources were not free. */
     /** A job of this age without any started task is placed first (the starvation minimum): the
      * largest job must start within four minutes. */
-    STARVING_MS = 120000,
+    STARVATION_AGE_MS = 120000,
     /** From this age on, some of its remaining tasks are placed first. */
-    STARVING_LONG_MS = 240000,
+    LONG_STARVATION_AGE_MS = 240000,
     STARVING_TASKS_DIVISOR = 16, /**< One task in so many is placed first at a time. */
     /** Longest claim of a machine for large work. No work that fits the machine may wait 90 s. */
     CLAIM_MAX_MS = 60000,
-    CLAIM_REST_MS = 10000,        /**< After a claim, a machine accepts all work for this long. */
+    CLAIM_COOLDOWN_MS = 10000,    /**< After a claim, a machine accepts all work for this long. */
     CLAIMED_MACHINES_DIVISOR = 8, /**< At most one machine in so many is claimed. */
     CLAIMED_MACHINES_PER_JOB_COUNT = 16, /**< Most machines claimed for one job. */
     TEAMS_MASK_BITS = 64,     /**< Teams that a placement request may preempt, one bit each. */
@@ -343,7 +343,7 @@
 /** Fraction of the weight of a team without a guarantee that applies to its work of a class without
  * an SLO. With 0.25, only half of such a class was served by the end of a day; with 0.5, nearly all
  * of it was. */
-static const double IDLE_WORK_FRACTION = 0.5;
+static const double BEST_EFFORT_WEIGHT_FRACTION = 0.5;
 /** Cost of preempting a task, added to its lost run time: it waits and fetches its image again. */
 static const double PREEMPT_COST_S = 5.0;
 /** Additional cost on a machine that has not cached the image of the task to be placed. */
--- a/src/core/leader/admission.c
+++ b/src/core/leader/admission.c
@@ -38,7 +38,7 @@
  * attempt at a time, with a growing back-off between attempts. */
 bool leader_job_admits(const job_t *job)
 {
-    bool is_failing = job->consecutive_errors >= JOB_ERRORS_ALARM_COUNT;
+    bool is_failing = job->consecutive_errors >= JOB_ERRORS_BACKOFF_COUNT;
     return !job->is_completion_in_flight && !(is_failing && job->outstanding_count > 0);
 }
 
--- a/src/core/leader/demand.c
+++ b/src/core/leader/demand.c
@@ -13,7 +13,7 @@
         double tasks_left = cpus_left / job->spec.need.cpus;
         tasks = MIN(tasks, (uint32_t)MIN(tasks_left, (double)TASKS_MAX_COUNT));
     }
-    if (job->consecutive_errors >= JOB_ERRORS_ALARM_COUNT)
+    if (job->consecutive_errors >= JOB_ERRORS_BACKOFF_COUNT)
         tasks = MIN(tasks, 1);
     return tasks;
 }
--- a/src/core/leader/failure_records.c
+++ b/src/core/leader/failure_records.c
@@ -15,9 +15,10 @@
 static void back_off_after_error(job_t *job, msec_t now)
 {
     job->consecutive_errors++;
-    if (job->consecutive_errors < JOB_ERRORS_ALARM_COUNT)
+    if (job->consecutive_errors < JOB_ERRORS_BACKOFF_COUNT)
         return;
-    guint doublings = MIN(job->consecutive_errors - JOB_ERRORS_ALARM_COUNT, BACKOFF_DOUBLINGS_MAX);
+    guint doublings =
+        MIN(job->consecutive_errors - JOB_ERRORS_BACKOFF_COUNT, BACKOFF_DOUBLINGS_MAX);
     msec_t wait_ms = MIN((msec_t)JOB_BACKOFF_MS << doublings, JOB_BACKOFF_MAX_MS);
     back_off_until(job, now + wait_ms);
 }
@@ -77,5 +78,5 @@
 {
     const failure_record_t *record = g_hash_table_lookup(leader->failure_records, machine);
     return record && record->is_machine_at_fault &&
-           record->error_count >= MACHINE_ERRORS_ALARM_COUNT;
+           record->error_count >= MACHINE_ERRORS_QUARANTINE_COUNT;
 }
--- a/src/core/leader/leader_internal.h
+++ b/src/core/leader/leader_internal.h
@@ -108,7 +108,7 @@
  * @{ */
 
 /** The claims of one machine for large work. A series consists of claims with less than
- * CLAIM_REST_MS between them. */
+ * CLAIM_COOLDOWN_MS between them. */
 typedef struct machine_claim {
     msec_t since_at;        /**< When the current series of claims began. */
     msec_t last_claimed_at; /**< When the machine was last claimed. */
--- a/src/core/leader/machine_claims.c
+++ b/src/core/leader/machine_claims.c
@@ -5,11 +5,11 @@
 
 /* Returns whether the machine may not be claimed now. The free resources of a claimed machine are
  * kept from work that would fit there. A series of claims therefore ends after CLAIM_MAX_MS, and a
- * new one begins CLAIM_REST_MS later at the earliest. */
+ * new one begins CLAIM_COOLDOWN_MS later at the earliest. */
 static bool is_claim_exhausted(const leader_t *leader, const char *machine, msec_t now)
 {
     const machine_claim_t *claim = g_hash_table_lookup(leader->machine_claims, machine);
-    return claim && now - claim->last_claimed_at < CLAIM_REST_MS &&
+    return claim && now - claim->last_claimed_at < CLAIM_COOLDOWN_MS &&
            claim->last_claimed_at - claim->since_at > CLAIM_MAX_MS;
 }
 
@@ -18,10 +18,10 @@
     machine_claim_t *claim = g_hash_table_lookup(leader->machine_claims, machine);
     if (!claim) {
         claim = g_new0(machine_claim_t, 1);
-        claim->last_claimed_at = now - CLAIM_REST_MS;
+        claim->last_claimed_at = now - CLAIM_COOLDOWN_MS;
         g_hash_table_insert(leader->machine_claims, g_strdup(machine), claim);
     }
-    if (now - claim->last_claimed_at >= CLAIM_REST_MS)
+    if (now - claim->last_claimed_at >= CLAIM_COOLDOWN_MS)
         claim->since_at = now;
     claim->last_claimed_at = now;
 }
--- a/src/core/leader/team_queues.c
+++ b/src/core/leader/team_queues.c
@@ -23,14 +23,14 @@
 
 /* Returns the number of outstanding tasks that the job is to get because of its age. The order of
  * the queue alone would starve jobs under a lasting overload: large jobs, jobs of low priority and
- * jobs past their SLOs would wait forever. From the age of STARVING_MS on, a job gets its first
- * task started, and from STARVING_LONG_MS on a small part of its tasks at a time. */
+ * jobs past their SLOs would wait forever. From the age of STARVATION_AGE_MS on, a job gets its
+ * first task started, and from LONG_STARVATION_AGE_MS on a small part of its tasks at a time. */
 static uint32_t starvation_minimum_tasks(const job_t *job, int64_t day_ms)
 {
     int64_t age_ms = day_ms - job->spec.submitted_ms;
-    if (age_ms < STARVING_MS)
+    if (age_ms < STARVATION_AGE_MS)
         return 0;
-    if (age_ms < STARVING_LONG_MS)
+    if (age_ms < LONG_STARVATION_AGE_MS)
         return job->done_count > 0 ? 0 : 1;
     return 1 + job->spec.tasks / STARVING_TASKS_DIVISOR;
 }
@@ -164,7 +164,7 @@
     double guaranteed = state->team.guaranteed_cpus;
     double weight = MAX(MAX(guaranteed, total_guaranteed * UNGUARANTEED_TEAM_FRACTION), 1);
     bool is_best_effort_work = guaranteed <= 0 && !has_deadline_or_slo(leader, next);
-    return is_best_effort_work ? weight * IDLE_WORK_FRACTION : weight;
+    return is_best_effort_work ? weight * BEST_EFFORT_WEIGHT_FRACTION : weight;
 }
 
 /* Fair share compares cpus in use, not the number of started tasks. With equal numbers of starts,
--- a/tests/core/leader/test_team_queues.c
+++ b/tests/core/leader/test_team_queues.c
@@ -100,7 +100,7 @@
 
 /* Guards against starvation of a large job of low priority. Small jobs keep arriving and would take
  * all resources. The large job must nevertheless get its first task started after two minutes
- * (STARVING_MS) and more of its tasks after four (STARVING_LONG_MS). */
+ * (STARVATION_AGE_MS) and more of its tasks after four (LONG_STARVATION_AGE_MS). */
 static void test_large_job_starts_under_lasting_overload(void **state)
 {
     leader_fixture_t *fixture = *state;
@@ -114,7 +114,8 @@
         small.submitted_ms = large.submitted_ms + (int64_t)5000 * i;
         add_job(fixture, &small);
     }
-    int64_t ages[] = {STARVING_MS - 1000, STARVING_MS, STARVING_MS + 10000, STARVING_LONG_MS};
+    int64_t ages[] = {STARVATION_AGE_MS - 1000, STARVATION_AGE_MS, STARVATION_AGE_MS + 10000,
+                      LONG_STARVATION_AGE_MS};
     guint started[] = {0, 1, 0, 10}; /* of twenty tasks requested at that age */
     for (int i = 0; i < 4; i++) {
         set_idle_machine(fixture, 0, "zone-a", 40);
