--- a/src/controller/autoscaler/scale_in.c
+++ b/src/controller/autoscaler/scale_in.c
@@ -63,7 +63,7 @@
         log_info("event=scale_in_selected machine=%s", surplus->machine);
         /* From now on the machine gets no placement requests. It counts as draining only once its
          * partition's summaries show it as draining. */
-        surplus->is_open = false;
+        surplus->accepts_starts = false;
         cloud_context_send_item(controller, partition, CHANNEL_DRAIN, surplus->machine);
     }
 }
--- a/src/controller/autoscaler/silent_machines.c
+++ b/src/controller/autoscaler/silent_machines.c
@@ -19,7 +19,7 @@
 static bool is_gone_from_list(const cloud_context_t *context, const machine_summary_t *summary)
 {
     return summary->known_ms > cloud_context_listing_lag_ms(context->controller) &&
-           !summary->is_open && summary->silent_ms > ACKNOWLEDGEMENT_TIMEOUT_MS &&
+           !summary->accepts_starts && summary->silent_ms > ACKNOWLEDGEMENT_TIMEOUT_MS &&
            !g_hash_table_contains(context->listed_machines, summary->machine);
 }
 
--- a/src/controller/placement/partition_items.c
+++ b/src/controller/placement/partition_items.c
@@ -9,7 +9,7 @@
 {
     GArray *summaries = data;
     machine_summary_t summary = {.is_spot = status->is_spot,
-                                 .is_open = status->accepts_starts,
+                                 .accepts_starts = status->accepts_starts,
                                  .is_draining = status->is_draining,
                                  .total = status->total,
                                  .free = status->free,
--- a/src/core/autoscaler/demand_balance.c
+++ b/src/core/autoscaler/demand_balance.c
@@ -61,7 +61,7 @@
     machine_summary_iter_t iter = {.leader = leader};
     for (const machine_summary_t *summary = machine_summary_iter_next(&iter); summary;
          summary = machine_summary_iter_next(&iter)) {
-        if (!summary->is_open)
+        if (!summary->accepts_starts)
             continue;
         resources_add(&balance->running, summary->total, 1);
         balance->on_demand_cpus += summary->is_spot ? 0 : summary->total.cpus;
--- a/src/core/autoscaler/scale_in_choice.c
+++ b/src/core/autoscaler/scale_in_choice.c
@@ -43,7 +43,7 @@
  * capacity suffices or it is an on-demand machine that the pending work does not justify. */
 static bool may_scale_in(const scale_in_choice_t *choice, const machine_summary_t *summary)
 {
-    if (!summary->is_open)
+    if (!summary->accepts_starts)
         return false;
     bool is_unjustified = choice->is_extra_unjustified && !summary->is_spot &&
                           choice->extra_on_demand_cpus >= summary->total.cpus;
--- a/src/core/autoscaler/zone_reachability.c
+++ b/src/core/autoscaler/zone_reachability.c
@@ -20,7 +20,7 @@
             machines = g_new0(zone_machines_t, 1);
             g_hash_table_insert(zones, summary->zone, machines);
         }
-        machines->accepting_starts += summary->is_open;
+        machines->accepting_starts += summary->accepts_starts;
         machines->silent += summary->silent_ms > silent_ms;
     }
     return zones;
--- a/src/core/leader/machine_claims.c
+++ b/src/core/leader/machine_claims.c
@@ -29,7 +29,7 @@
 static bool is_claimable(const leader_t *leader, const machine_summary_t *summary,
                          const job_spec_t *spec, msec_t now)
 {
-    return summary->claim_priority <= PRIORITY_LOW && summary->is_open &&
+    return summary->claim_priority <= PRIORITY_LOW && summary->accepts_starts &&
            resources_fit(spec->need, summary->total) &&
            job_spec_allows(spec, summary->type, summary->zone, summary->is_spot) &&
            !is_claim_exhausted(leader, summary->machine, now);
@@ -95,7 +95,7 @@
 static void add_to_totals(leader_round_t *round, const machine_summary_t *summary)
 {
     round->machine_count++;
-    if (!summary->is_open)
+    if (!summary->accepts_starts)
         return;
     round->max_free.cpus = MAX(round->max_free.cpus, summary->free.cpus);
     round->max_free.gpus = MAX(round->max_free.gpus, summary->free.gpus);
--- a/src/core/leader/machine_summary.h
+++ b/src/core/leader/machine_summary.h
@@ -13,7 +13,7 @@
     char type[LABEL_BYTES]; /**< The machine type's name. */
     char zone[LABEL_BYTES]; /**< Its zone. */
     bool is_spot;           /**< It is a spot machine. */
-    bool is_open;           /**< It accepts starts of tasks. */
+    bool accepts_starts;    /**< It accepts starts of tasks. */
     bool is_draining;       /**< It takes no starts, so that it becomes empty. */
     int claim_priority;     /**< Set by the leader for one round. Work below this priority_t is not
                                placed here, because the machine is claimed for larger work. */
--- a/src/core/leader/partition_choice.c
+++ b/src/core/leader/partition_choice.c
@@ -8,7 +8,7 @@
  * of the job (same zone, spread) are not considered. */
 static bool is_eligible(const machine_summary_t *summary, const job_spec_t *spec)
 {
-    return summary->is_open && (int)spec->priority >= summary->claim_priority &&
+    return summary->accepts_starts && (int)spec->priority >= summary->claim_priority &&
            job_spec_allows(spec, summary->type, summary->zone, summary->is_spot) &&
            resources_fit(spec->need, summary->free);
 }
@@ -100,7 +100,7 @@
     double cpus = 0;
     for (guint i = 0; summaries && i < summaries->len; i++) {
         const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, i);
-        if (summary->is_open &&
+        if (summary->accepts_starts &&
             job_spec_allows(spec, summary->type, summary->zone, summary->is_spot))
             cpus += summary->total.cpus;
     }
--- a/src/core/replication/summary_update.c
+++ b/src/core/replication/summary_update.c
@@ -71,7 +71,8 @@
 /* Returns whether the values that do not grow with time are equal. */
 static bool are_values_equal(const machine_summary_t *expected, const machine_summary_t *current)
 {
-    return expected->is_spot == current->is_spot && expected->is_open == current->is_open &&
+    return expected->is_spot == current->is_spot &&
+           expected->accepts_starts == current->accepts_starts &&
            expected->is_draining == current->is_draining &&
            expected->attempts == current->attempts &&
            are_resources_equal(expected->total, current->total) &&
--- a/src/io/peer_wire.c
+++ b/src/io/peer_wire.c
@@ -153,7 +153,7 @@
         .type = (char *)summary->type,
         .zone = (char *)summary->zone,
         .spot = summary->is_spot,
-        .open = summary->is_open,
+        .open = summary->accepts_starts,
         .draining = summary->is_draining,
         .total = encode_resources(summary->total),
         .free = encode_resources(summary->free),
@@ -168,7 +168,7 @@
 {
     *summary = (machine_summary_t){
         .is_spot = from->spot,
-        .is_open = from->open,
+        .accepts_starts = from->open,
         .is_draining = from->draining,
         .total = decode_resources(&from->total),
         .free = decode_resources(&from->free),
--- a/tests/core/autoscaler/test_autoscaler.c
+++ b/tests/core/autoscaler/test_autoscaler.c
@@ -28,7 +28,7 @@
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
     for (guint i = 0; i < machines; i++) {
         machine_summary_t summary = {
-            .type = "t", .zone = "zone-a", .is_open = open, .silent_ms = silent_ms};
+            .type = "t", .zone = "zone-a", .accepts_starts = open, .silent_ms = silent_ms};
         g_snprintf(summary.machine, sizeof summary.machine, "m-%06u", i);
         g_array_append_val(summaries, summary);
     }
@@ -85,7 +85,8 @@
 {
     g_autoptr(GArray) machine_types = machine_types_new();
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
-    machine_summary_t summary = {.type = "t", .zone = "zone-a", .is_open = true, .is_spot = true};
+    machine_summary_t summary = {
+        .type = "t", .zone = "zone-a", .accepts_starts = true, .is_spot = true};
     summary.total = machine_type.capacity;
     for (guint i = 0; i < 10; i++)
         g_array_append_val(summaries, summary);
--- a/tests/core/leader/leader_fixture.c
+++ b/tests/core/leader/leader_fixture.c
@@ -71,7 +71,7 @@
 {
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
     machine_summary_t summary = {
-        .is_open = true, .total = {cpus, 0, 999}, .free = {free_cpus, 0, 999}};
+        .accepts_starts = true, .total = {cpus, 0, 999}, .free = {free_cpus, 0, 999}};
     g_snprintf(summary.machine, sizeof summary.machine, "m-%s", zone);
     g_strlcpy(summary.type, "t", sizeof summary.type);
     g_strlcpy(summary.zone, zone, sizeof summary.zone);
--- a/tests/core/leader/test_machine_claims.c
+++ b/tests/core/leader/test_machine_claims.c
@@ -53,7 +53,7 @@
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
     for (guint i = 0; i < count; i++) {
         machine_summary_t summary = {
-            .is_open = true, .is_spot = true, .total = {16, 0, 64}, .free = {0.5, 0, 64}};
+            .accepts_starts = true, .is_spot = true, .total = {16, 0, 64}, .free = {0.5, 0, 64}};
         g_snprintf(summary.machine, sizeof summary.machine, "m-%06u", i);
         g_strlcpy(summary.type, "t16", sizeof summary.type);
         g_strlcpy(summary.zone, "zone-a", sizeof summary.zone);
--- a/tests/core/replication/test_summary_update.c
+++ b/tests/core/replication/test_summary_update.c
@@ -16,7 +16,7 @@
 
 static machine_summary_t summary_of(guint number)
 {
-    machine_summary_t summary = {.is_open = true, .total = {16, 0, 64}, .free = {16, 0, 64}};
+    machine_summary_t summary = {.accepts_starts = true, .total = {16, 0, 64}, .free = {16, 0, 64}};
     g_snprintf(summary.machine, sizeof summary.machine, "m-%06u", number);
     g_strlcpy(summary.type, "t16", sizeof summary.type);
     g_strlcpy(summary.zone, "zone-a", sizeof summary.zone);
@@ -49,7 +49,7 @@
         machine_summary_t *summary = &g_array_index(fixture->current, machine_summary_t, i);
         summary->known_ms += ms;
         summary->idle_ms = summary->attempts ? 0 : summary->idle_ms + ms;
-        summary->silent_ms += summary->is_open ? 0 : ms;
+        summary->silent_ms += summary->accepts_starts ? 0 : ms;
     }
 }
 
@@ -96,7 +96,7 @@
         const machine_summary_t *summary = machine_at(fixture, i);
         const machine_summary_t *known = find_summary(fixture->replica.summaries, summary->machine);
         assert_non_null(known);
-        assert_int_equal(known->is_open, summary->is_open);
+        assert_int_equal(known->accepts_starts, summary->accepts_starts);
         assert_int_equal(known->is_draining, summary->is_draining);
         assert_int_equal(known->attempts, summary->attempts);
         assert_true(known->free.cpus == summary->free.cpus);
@@ -149,13 +149,13 @@
     (void)state;
     fixture_t fixture = fixture_new(5);
     exchange(&fixture, true, true);
-    machine_at(&fixture, 2)->is_open = false;
+    machine_at(&fixture, 2)->accepts_starts = false;
     for (guint i = 0; i < 30; i++) {
         advance(&fixture, 700);
         exchange(&fixture, true, true);
         assert_replica_is_current(&fixture);
     }
-    machine_at(&fixture, 2)->is_open = true;
+    machine_at(&fixture, 2)->accepts_starts = true;
     machine_at(&fixture, 2)->silent_ms = 0;
     assert_int_equal(exchange(&fixture, true, true), 1);
     assert_replica_is_current(&fixture);
@@ -173,7 +173,7 @@
         g_array_remove_index(fixture->current, position);
     } else if (position < fixture->current->len) {
         machine_summary_t *summary = machine_at(fixture, position);
-        summary->is_open = kind != 2;
+        summary->accepts_starts = kind != 2;
         summary->silent_ms = 0;
         summary->attempts = (guint)g_rand_int_range(random, 0, 3);
         summary->free.cpus = g_rand_int_range(random, 0, 16);
--- a/tests/io/test_message_samples.c
+++ b/tests/io/test_message_samples.c
@@ -265,8 +265,8 @@
     assert_string_equal(summaries[0].machine, "m-000001");
     assert_string_equal(summaries[0].type, "g8");
     assert_string_equal(summaries[0].zone, "north");
-    assert_true(summaries[0].is_spot && !summaries[0].is_open && summaries[0].is_draining);
-    assert_true(!summaries[1].is_spot && summaries[1].is_open && !summaries[1].is_draining);
+    assert_true(summaries[0].is_spot && !summaries[0].accepts_starts && summaries[0].is_draining);
+    assert_true(!summaries[1].is_spot && summaries[1].accepts_starts && !summaries[1].is_draining);
     assert_true(summaries[0].total.cpus == 8.5 && summaries[0].free.cpus == 4.5);
     assert_true(summaries[0].total.gpus == 1 && summaries[0].free.gpus == 0.5);
     assert_true(summaries[0].total.memory == 64 && summaries[0].free.memory == 32);
