--- a/src/constants.h
+++ b/src/constants.h
@@ -209,7 +209,8 @@
      * received the answer. Without an answer it waits 4 s, and 1 s more before it tries another
      * controller (protocol). */
     HEARTBEAT_ANSWERED_WITHIN_MS = 4800,
-    HEARTBEAT_LATE_MS = 1000, /**< Longest delay of a heartbeat on the network or in a queue. */
+    HEARTBEAT_DELAY_MAX_MS =
+        1000, /**< Longest delay of a heartbeat on the network or in a queue. */
     /** Timeout of a push. Workers answer within ms; after the timeout the commands are sent in
      * heartbeat answers. */
     PUSH_TIMEOUT_MS = 2000,
@@ -227,7 +228,7 @@
 
 /** Longest expected time between two heartbeats, as a multiple of the heartbeat interval. Up to a
  * quarter more than the interval is normal, and some machines are slower. */
-static const double HEARTBEAT_SPREAD_FACTOR = 1.5;
+static const double HEARTBEAT_GAP_MAX_FACTOR = 1.5;
 
 /** Redirection of workers. */
 enum {
@@ -335,7 +336,7 @@
     CLAIMED_MACHINES_DIVISOR = 8, /**< At most one machine in so many is claimed. */
     CLAIMED_MACHINES_PER_JOB_COUNT = 16, /**< Most machines claimed for one job. */
     TEAMS_MASK_BITS = 64,     /**< Teams that a placement request may preempt, one bit each. */
-    PREEMPT_PROTECT_MS = 2000 /**< A task is not preempted within this time after its start. */
+    PREEMPT_MIN_RUN_MS = 2000 /**< A task is not preempted within this time after its start. */
 };
 
 /** Fraction of the sum of all guarantees: lowest fair-share weight, even without a guarantee. */
@@ -345,9 +346,9 @@
  * of it was. */
 static const double BEST_EFFORT_WEIGHT_FRACTION = 0.5;
 /** Cost of preempting a task, added to its lost run time: it waits and fetches its image again. */
-static const double PREEMPT_COST_S = 5.0;
+static const double PREEMPT_RESTART_COST_S = 5.0;
 /** Additional cost on a machine that has not cached the image of the task to be placed. */
-static const double PREEMPT_COLD_S = 30.0;
+static const double PREEMPT_IMAGE_FETCH_COST_S = 30.0;
 
 /** Scale out and scale in. */
 enum {
@@ -387,6 +388,6 @@
 static const double ON_DEMAND_EASED_FACTOR = 2.0;
 /** Fraction of a draining machine's cpus: if at least this much is free, its work that can
  * checkpoint is moved to other machines. */
-static const double DRAIN_EMPTY_FRACTION = 0.5;
+static const double DRAIN_MIN_FREE_FRACTION = 0.5;
 
 #endif
--- a/src/controller/autoscaler/cloud_context.c
+++ b/src/controller/autoscaler/cloud_context.c
@@ -33,8 +33,8 @@
 msec_t cloud_context_lost_owner_ms(const controller_t *controller)
 {
     msec_t interval_ms =
-        (msec_t)(controller->settings->heartbeat_interval_s * HEARTBEAT_SPREAD_FACTOR * MS_PER_S);
-    return MAX(LOST_OWNER_SILENCE_MIN_MS, interval_ms + 2 * (msec_t)HEARTBEAT_LATE_MS);
+        (msec_t)(controller->settings->heartbeat_interval_s * HEARTBEAT_GAP_MAX_FACTOR * MS_PER_S);
+    return MAX(LOST_OWNER_SILENCE_MIN_MS, interval_ms + 2 * (msec_t)HEARTBEAT_DELAY_MAX_MS);
 }
 
 bool cloud_context_may_act(const controller_t *controller)
--- a/src/controller/autoscaler/cloud_context.h
+++ b/src/controller/autoscaler/cloud_context.h
@@ -53,8 +53,8 @@
 msec_t cloud_context_listing_lag_ms(const controller_t *controller);
 
 /** Returns after how many milliseconds of silence a worker is assumed to be unable to reach its
- * owner: the heartbeat interval times HEARTBEAT_SPREAD_FACTOR plus twice HEARTBEAT_LATE_MS, but at
- * least LOST_OWNER_SILENCE_MIN_MS. */
+ * owner: the heartbeat interval times HEARTBEAT_GAP_MAX_FACTOR plus twice HEARTBEAT_DELAY_MAX_MS,
+ * but at least LOST_OWNER_SILENCE_MIN_MS. */
 msec_t cloud_context_lost_owner_ms(const controller_t *controller);
 
 /** Returns whether this controller may act as the leader. A leader that was cut off from the
--- a/src/controller/placement/partition_items.c
+++ b/src/controller/placement/partition_items.c
@@ -55,7 +55,7 @@
 /* Withdraws a placement from this controller's own partition. */
 static void withdraw_locally(controller_t *controller, const task_ref_t *ref, msec_t now)
 {
-    partition_withdraw(controller->placement.partition, ref, now);
+    partition_withdraw_placement(controller->placement.partition, ref, now);
     controller_notify_placement(controller);
 }
 
@@ -134,7 +134,7 @@
         handle_placement_request(controller, &item->request, now);
         break;
     case CHANNEL_ACKNOWLEDGE:
-        partition_acknowledge(partition, &item->ref);
+        partition_acknowledge_result(partition, &item->ref);
         controller_notify_placement(controller);
         break;
     case CHANNEL_WITHDRAW:
@@ -147,7 +147,7 @@
         partition_set_draining(partition, item->machine, false);
         break;
     case CHANNEL_MACHINE_TERMINATED:
-        partition_machine_terminated(partition, item->machine);
+        partition_record_machine_terminated(partition, item->machine);
         controller_notify_placement(controller);
         break;
     case CHANNEL_ATTEMPT_RESULT:
--- a/src/controller/placement/record_loader.c
+++ b/src/controller/placement/record_loader.c
@@ -102,7 +102,7 @@
     const machine_record_t *first = &g_array_index(page->machines, machine_record_t, 0);
     guint owner = membership_owner_index(controller, first->machine, first->zone);
     if (owner == controller->membership.own_index)
-        partition_load(controller->placement.partition, page, now);
+        partition_load_record(controller->placement.partition, page, now);
     for (guint i = 0; i < page->machines->len; i++)
         load_attempts_locked(controller, &g_array_index(page->machines, machine_record_t, i), owner,
                              live_jobs);
@@ -173,7 +173,7 @@
     partition_t *partition =
         partition_new(controller->placement.machine_types, settings->teams, reservation_ttl_ms);
     if (old_partition) {
-        partition_inherit_drains(partition, old_partition);
+        partition_copy_draining_machines(partition, old_partition);
         partition_free(old_partition);
     }
     partition_set_view(partition, controller->membership.view.number);
--- a/src/core/partition/attempts.c
+++ b/src/core/partition/attempts.c
@@ -77,7 +77,7 @@
     partition_queue_push(partition, attempt->machine);
 }
 
-void partition_withdraw(partition_t *partition, const task_ref_t *ref, msec_t now)
+void partition_withdraw_placement(partition_t *partition, const task_ref_t *ref, msec_t now)
 {
     attempt_t *attempt = find_by_ref(partition, ref);
     if (!attempt)
@@ -111,7 +111,7 @@
     }
 }
 
-void partition_acknowledge(partition_t *partition, const task_ref_t *ref)
+void partition_acknowledge_result(partition_t *partition, const task_ref_t *ref)
 {
     attempt_t *attempt = find_by_ref(partition, ref);
     if (!attempt)
--- a/src/core/partition/drain.c
+++ b/src/core/partition/drain.c
@@ -1,7 +1,7 @@
 #include "core/partition/drain_internal.h"
 #include "core/partition/partition_internal.h"
 
-void partition_inherit_drains(partition_t *partition, const partition_t *earlier)
+void partition_copy_draining_machines(partition_t *partition, const partition_t *earlier)
 {
     GHashTableIter iter;
     gpointer id;
@@ -25,7 +25,7 @@
 
 static bool is_mostly_empty(const machine_t *machine)
 {
-    return machine_free_resources(machine).cpus >= machine->capacity.cpus * DRAIN_EMPTY_FRACTION;
+    return machine_free_resources(machine).cpus >= machine->capacity.cpus * DRAIN_MIN_FREE_FRACTION;
 }
 
 /* Because of least-loaded placement, a draining machine usually still has a few attempts, and a
--- a/src/core/partition/partition.c
+++ b/src/core/partition/partition.c
@@ -68,7 +68,8 @@
  * silent between two heartbeats. */
 static msec_t max_heartbeat_gap_ms(double heartbeat_interval_s)
 {
-    return (msec_t)(heartbeat_interval_s * HEARTBEAT_SPREAD_FACTOR * MS_PER_S) + HEARTBEAT_LATE_MS;
+    return (msec_t)(heartbeat_interval_s * HEARTBEAT_GAP_MAX_FACTOR * MS_PER_S) +
+           HEARTBEAT_DELAY_MAX_MS;
 }
 
 void partition_set_heartbeat_interval(partition_t *partition, double heartbeat_interval_s)
@@ -116,7 +117,7 @@
         load_attempt(partition, machine, &g_array_index(record->entries, record_entry_t, i), now);
 }
 
-void partition_load(partition_t *partition, const page_record_t *record, msec_t now)
+void partition_load_record(partition_t *partition, const page_record_t *record, msec_t now)
 {
     shard_t *shard = partition_ensure_shard(partition, record->shard);
     page_t *page = shard_ensure_page(shard, record->page);
@@ -125,7 +126,7 @@
         load_machine(partition, &g_array_index(record->machines, machine_record_t, i), page, now);
 }
 
-void partition_machine_terminated(partition_t *partition, const char *id)
+void partition_record_machine_terminated(partition_t *partition, const char *id)
 {
     machine_t *machine = g_hash_table_lookup(partition->machines, id);
     if (!machine)
--- a/src/core/partition/partition.h
+++ b/src/core/partition/partition.h
@@ -52,7 +52,7 @@
  * same; the records are then not loaded again. */
 void partition_set_view(partition_t *partition, uint64_t view);
 /** Adds the machines of a page's record (transfer none), with their attempts, to the partition. */
-void partition_load(partition_t *partition, const page_record_t *record, msec_t now);
+void partition_load_record(partition_t *partition, const page_record_t *record, msec_t now);
 
 /** Returns the number of machines. */
 guint partition_machine_count(const partition_t *partition);
@@ -69,7 +69,7 @@
 
 /** Copies the set of draining machines from @p earlier, the partition of an earlier view, because
  * the reasons for draining them do not depend on the view. Called before the records are loaded. */
-void partition_inherit_drains(partition_t *partition, const partition_t *earlier);
+void partition_copy_draining_machines(partition_t *partition, const partition_t *earlier);
 /** Sets whether machine @p id is draining. A draining machine accepts no starts, and its attempts
  * are to leave it. */
 void partition_set_draining(partition_t *partition, const char *id, bool is_draining);
@@ -92,16 +92,16 @@
 
 /** Withdraws a placement. If the attempt is not recorded yet, it is dropped, with a result;
  * otherwise it is stopped. An unknown attempt is ignored. */
-void partition_withdraw(partition_t *partition, const task_ref_t *ref, msec_t now);
+void partition_withdraw_placement(partition_t *partition, const task_ref_t *ref, msec_t now);
 /** Ends a job that was cancelled or is over. Its recorded attempts are stopped without time to
  * save, and its other attempts are dropped. */
 void partition_end_job(partition_t *partition, const char *job);
 /** Records that the leader has stored the result of the attempt durably, so that the attempt may
  * leave the record. */
-void partition_acknowledge(partition_t *partition, const task_ref_t *ref);
+void partition_acknowledge_result(partition_t *partition, const task_ref_t *ref);
 /** Records that the cloud confirmed that machine @p id is terminated, which proves that its
  * attempts are over. */
-void partition_machine_terminated(partition_t *partition, const char *id);
+void partition_record_machine_terminated(partition_t *partition, const char *id);
 /** Expires reservations, stops attempts that are to leave draining machines, and updates the wait
  * of deferred flushes. Called once per tick. */
 void partition_tick(partition_t *partition, msec_t now);
--- a/src/core/partition/preemption.c
+++ b/src/core/partition/preemption.c
@@ -19,7 +19,7 @@
                            const placement_request_t *request, msec_t now)
 {
     if (attempt->phase != ATTEMPT_RECORDED || !attempt->is_listed || attempt->is_stop_requested ||
-        now - attempt->listed_since_at < PREEMPT_PROTECT_MS)
+        now - attempt->listed_since_at < PREEMPT_MIN_RUN_MS)
         return false;
     bool is_same_team = strcmp(attempt->entry.team, request->team) == 0;
     if (!is_same_team && !is_preemptible_team(partition, request, attempt->entry.team))
@@ -36,7 +36,7 @@
     double ran_s = (double)(now - attempt->listed_since_at) / MS_PER_S;
     if (attempt->entry.checkpoint_s > 0)
         ran_s = MIN(ran_s, attempt->entry.checkpoint_s / 2);
-    return (ran_s + PREEMPT_COST_S) * attempt->entry.need.cpus;
+    return (ran_s + PREEMPT_RESTART_COST_S) * attempt->entry.need.cpus;
 }
 
 /* An attempt that may be preempted, and the work that this would lose. */
@@ -116,7 +116,9 @@
         double lost;
         g_autoptr(GArray) chosen_attempts =
             choose_attempts_to_preempt(partition, machine, request, now, &lost);
-        lost += candidates_has_image(machine, request) ? 0 : PREEMPT_COLD_S * request->need.cpus;
+        lost += candidates_has_image(machine, request)
+                    ? 0
+                    : PREEMPT_IMAGE_FETCH_COST_S * request->need.cpus;
         if (!chosen_attempts || (best.machine && lost >= best.lost_work))
             continue;
         g_clear_pointer(&best.chosen_attempts, g_array_unref);
--- a/tests/core/partition/partition_fixture.c
+++ b/tests/core/partition/partition_fixture.c
@@ -124,7 +124,7 @@
     g_array_append_val(machine.entries, entry);
     g_array_append_val(record.machines, machine);
     shard_of(machine.machine, machine.zone, record.shard, sizeof record.shard);
-    partition_load(fixture->partition, &record, fixture->now);
+    partition_load_record(fixture->partition, &record, fixture->now);
     g_array_unref(record.machines);
 }
 
--- a/tests/core/partition/test_partition_heartbeats.c
+++ b/tests/core/partition/test_partition_heartbeats.c
@@ -136,7 +136,7 @@
     placement_request_t request = placement_request_of("j-000001", 0, 100, 4);
     exchange_heartbeat(fixture);
     worker_heartbeat_t copy = fake_worker_heartbeat(fixture->worker);
-    partition_machine_terminated(fixture->partition, "m-000001");
+    partition_record_machine_terminated(fixture->partition, "m-000001");
     commit_batch(fixture);
     assert_int_equal(deliver_heartbeat(fixture, &copy, false), HEARTBEAT_DUPLICATE);
     assert_int_equal(partition_machine_count(fixture->partition), 0);
--- a/tests/core/partition/test_partition_placement.c
+++ b/tests/core/partition/test_partition_placement.c
@@ -72,7 +72,7 @@
     commit_batch(fixture);
     exchange_heartbeat(fixture);
     exchange_heartbeat(fixture);
-    fixture->now += PREEMPT_PROTECT_MS;
+    fixture->now += PREEMPT_MIN_RUN_MS;
     exchange_heartbeat(fixture);
 }
 
@@ -119,7 +119,7 @@
     commit_batch(fixture);
     exchange_heartbeat(fixture);
     exchange_heartbeat(fixture);
-    fixture->now += PREEMPT_PROTECT_MS;
+    fixture->now += PREEMPT_MIN_RUN_MS;
     exchange_heartbeat(fixture);
     placement_request_t normal = placement_request_of("j-000002", 0, 200, 4);
     normal.priority = PRIORITY_NORMAL;
@@ -174,7 +174,7 @@
     partition_set_draining(fixture->partition, "m-000001", true);
     partition_t *earlier = fixture->partition;
     fixture->partition = partition_fixture_partition(fixture, 0);
-    partition_inherit_drains(fixture->partition, earlier);
+    partition_copy_draining_machines(fixture->partition, earlier);
     partition_set_view(fixture->partition, 8);
     partition_free(earlier);
     load_page_record(fixture);
@@ -186,7 +186,7 @@
     partition_set_draining(fixture->partition, "m-000001", false);
     earlier = fixture->partition;
     fixture->partition = partition_fixture_partition(fixture, 9);
-    partition_inherit_drains(fixture->partition, earlier);
+    partition_copy_draining_machines(fixture->partition, earlier);
     partition_free(earlier);
     assert_int_equal(g_hash_table_size(fixture->partition->draining), 0);
 }
--- a/tests/core/partition/test_partition_proofs.c
+++ b/tests/core/partition/test_partition_proofs.c
@@ -147,7 +147,7 @@
     deliver_heartbeat(fixture, &heartbeat, false);
     commit_batch(fixture);
     assert_int_equal(partition_results(fixture->partition)->len, 0);
-    partition_machine_terminated(fixture->partition, "m-000001");
+    partition_record_machine_terminated(fixture->partition, "m-000001");
     commit_batch(fixture);
     assert_true(has_result(fixture, 0, CAUSE_NONE));
 }
@@ -185,7 +185,7 @@
     exchange_heartbeat(fixture);
     place_task(fixture, "j-000001", 0, 100);
     commit_batch(fixture);
-    partition_machine_terminated(fixture->partition, "m-000001");
+    partition_record_machine_terminated(fixture->partition, "m-000001");
     commit_batch(fixture);
     assert_true(has_result(fixture, 0, CAUSE_NONE));
     assert_int_equal(partition_machine_count(fixture->partition), 0);
--- a/tests/core/partition/test_partition_records.c
+++ b/tests/core/partition/test_partition_records.c
@@ -40,7 +40,7 @@
     commit_batch(fixture);
     exchange_heartbeat(fixture);
     assert_int_equal(count_commands(fixture, COMMAND_FORGET), 0);
-    partition_acknowledge(fixture->partition, &ref);
+    partition_acknowledge_result(fixture->partition, &ref);
     commit_deferred(fixture);
     exchange_heartbeat(fixture);
     assert_int_equal(count_commands(fixture, COMMAND_FORGET), 1);
@@ -55,7 +55,7 @@
     task_ref_t ref = task_ref("j-000001", 0, 100);
     run_to_completion(fixture);
     partition_tick(fixture->partition, fixture->now);
-    partition_acknowledge(fixture->partition, &ref);
+    partition_acknowledge_result(fixture->partition, &ref);
     partition_batch_t *batch = take_batch(fixture);
     assert_int_equal(batch->records->len, 0);
     partition_batch_free(batch);
@@ -139,7 +139,7 @@
         exchange_heartbeat(fixture);
         g_array_index(fixture->worker->attempts, reported_attempt_t, i).state = states[i];
         task_ref_t ref = task_ref("j-000001", i, 100 + i);
-        partition_withdraw(fixture->partition, &ref, fixture->now);
+        partition_withdraw_placement(fixture->partition, &ref, fixture->now);
     }
     partition_end_job(fixture->partition, "j-000001");
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
--- a/tests/io/test_machine_pages.c
+++ b/tests/io/test_machine_pages.c
@@ -132,13 +132,13 @@
         page_record_t record;
         if (!fixture_read_page(key, value, &record))
             continue;
-        partition_load(fixture->partition, &record, 1000);
+        partition_load_record(fixture->partition, &record, 1000);
         g_array_unref(record.machines);
     }
     assert_int_equal(partition_attempt_count(fixture->partition),
                      MACHINES_COUNT * TASKS_PER_MACHINE_COUNT);
     /* The page of the terminated machine is written under the revision that was loaded. */
-    partition_machine_terminated(fixture->partition, g_ptr_array_index(ids, 0));
+    partition_record_machine_terminated(fixture->partition, g_ptr_array_index(ids, 0));
     assert_int_equal(commit_within_limits(fixture, false), 1);
     assert_int_equal(partition_attempt_count(fixture->partition),
                      (MACHINES_COUNT - 1) * TASKS_PER_MACHINE_COUNT);
--- a/tests/io/test_records.c
+++ b/tests/io/test_records.c
@@ -180,7 +180,7 @@
     page_record_t record = {0};
     assert_true(fixture_read_page(
         fixture_record_key(), fake_kv_store_get(fixture->store, fixture_record_key()), &record));
-    partition_load(fixture->partition, &record, 1000);
+    partition_load_record(fixture->partition, &record, 1000);
     g_array_unref(record.machines);
     assert_int_equal(fake_kv_store_apply(fixture->store, late), KV_CONFLICT); /* executed again */
     assert_int_equal(partition_attempt_count(fixture->partition), 1);
@@ -191,7 +191,7 @@
     fixture_heartbeat(fixture, "m-000001", "t16", 2); /* with the fencing token of view 1 */
     assert_int_equal(partition_results(fixture->partition)->len, 0);
     assert_int_equal(partition_attempt_count(fixture->partition), 1);
-    partition_machine_terminated(fixture->partition, "m-000001");
+    partition_record_machine_terminated(fixture->partition, "m-000001");
     assert_int_equal(fixture_commit(fixture, fake_kv_store_revision(fixture->store, "view/number")),
                      KV_OK);
     assert_null(fake_kv_store_get(fixture->store, fixture_record_key()));
