--- a/src/constants.h
+++ b/src/constants.h
@@ -128,7 +128,7 @@
     LEADER_GRACE_MS = 4000,
     /** A new leader does not scale in before this time has passed. Capacity given up while the load
      * is low after an outage would be missing in the next peak. */
-    SCALE_IN_AFTER_MS = 40000,
+    NEW_LEADER_SCALE_IN_DELAY_MS = 40000,
     /** Interval between fencing token increases that only serve to permit a forget command. */
     FENCING_TOKEN_GAP_MS = 15000,
     /** How long a member that its workers do not reach is excluded and owns no machines. */
@@ -251,7 +251,7 @@
     LOST_OWNER_SILENCE_MIN_MS =
         5000, /**< A worker silent for longer may be cut off from its owner. */
     /** Fewer unresponsive machines are no evidence that their owner or zone is unreachable. */
-    LOST_MACHINES_MIN_COUNT = 3
+    SILENT_MACHINES_MIN_COUNT = 3
 };
 
 /** Connectivity, stalls and known cancellations. */
@@ -361,13 +361,13 @@
     CLOUD_IDLE_GAP_MS = 1000,
     /** Shortest interval between rounds: with the lists, fewer than 5 calls per second. */
     CLOUD_GAP_MS = 300,
-    MACHINE_TYPES_MS = 60000, /**< Between reads of the machine types; prices change slowly. */
+    MACHINE_TYPES_GAP_MS = 60000, /**< Between reads of the machine types; prices change slowly. */
     /** A type, zone and kind that the cloud refused is not requested again within this time. */
     CAPACITY_RETRY_MS = 12000,
     /** No scale-out in a zone for this long after all its machines were last found unresponsive. */
     UNREACHABLE_ZONE_MS = 60000,
     /** The machines of such a zone are not released for this long, three boot times. */
-    UNREACHABLE_WAIT_MS = 60000,
+    UNREACHABLE_ZONE_WAIT_MS = 60000,
     /** A booting instance is given up after this time plus three times its type's boot time. */
     BOOT_TIMEOUT_MS = 30000,
     DRAINS_PER_ROUND_COUNT = 8 /**< Drains hundreds of machines in seconds, not minutes. */
@@ -375,9 +375,9 @@
 
 /** Shortest scale-out patience of work that is near its deadline. Only tasks that can run one after
  * the other within the patience share a machine. */
-static const double SCALE_OUT_PATIENCE_MIN_S = 15.0;
+static const double SCALE_OUT_MAX_WAIT_MIN_S = 15.0;
 /** Fraction of the total demand. A larger machine is not added unless the demand fills it. */
-static const double SCALE_OUT_LARGEST_FRACTION = 0.6;
+static const double SCALE_OUT_OVERSIZE_FRACTION = 0.6;
 /** Fraction of a machine: no machine is added for a smaller remainder of the demand. */
 static const double SCALE_OUT_ROUNDING_FRACTION = 0.25;
 /** Fraction of the price that is added for each existing machine of the same type, zone and kind,
--- a/src/controller/autoscaler/autoscaler_loop.c
+++ b/src/controller/autoscaler/autoscaler_loop.c
@@ -33,7 +33,7 @@
     controller_t *controller = context->controller;
     msec_t now = clock_steady();
     if (context->machine_types_read_at == 0 ||
-        now - context->machine_types_read_at > MACHINE_TYPES_MS)
+        now - context->machine_types_read_at > MACHINE_TYPES_GAP_MS)
         machine_listing_refresh_types(context);
     bool is_leader = may_act_as_leader(controller);
     if (is_leader && now - context->listed_at > CLOUD_LIST_GAP_MS) {
--- a/src/controller/autoscaler/machine_listing.c
+++ b/src/controller/autoscaler/machine_listing.c
@@ -42,11 +42,11 @@
     char path[URL_BYTES];
     json_auto_t *answer = NULL;
     guint count = machines->len;
-    const char *last = count ? g_array_index(machines, host_t, count - 1).machine : NULL;
+    const char *last = count ? g_array_index(machines, cloud_machine_t, count - 1).machine : NULL;
     g_snprintf(path, sizeof path, "/hosts?%s%s%sLimit=%d", last ? "Since=" : "", last ? last : "",
                last ? "&" : "", LIST_PAGE_COUNT);
     if (cloud_context_call(context, "GET", path, NULL, &answer) != HTTP_OK ||
-        !codec_parse_hosts(answer, machines, has_more))
+        !codec_parse_cloud_machines(answer, machines, has_more))
         return false;
     *has_more = *has_more && machines->len > count;
     return true;
@@ -76,8 +76,8 @@
 
 /* Records a listed machine as a booting instance, unless a partition has a summary of it or it was
  * terminated recently: lists may still show a terminated machine for a while. */
-static void add_if_booting(cloud_context_t *context, const host_t *machine, GHashTable *known,
-                           msec_t now)
+static void add_if_booting(cloud_context_t *context, const cloud_machine_t *machine,
+                           GHashTable *known, msec_t now)
 {
     controller_t *controller = context->controller;
     if (g_hash_table_contains(known, machine->machine) ||
@@ -97,9 +97,9 @@
     g_hash_table_remove_all(context->listed_machines);
     g_ptr_array_set_size(context->failed_machines, 0);
     for (guint i = 0; i < machines->len; i++) {
-        const host_t *machine = &g_array_index(machines, host_t, i);
+        const cloud_machine_t *machine = &g_array_index(machines, cloud_machine_t, i);
         g_hash_table_add(context->listed_machines, g_strdup(machine->machine));
-        if (machine->state == HOST_FAILED)
+        if (machine->state == CLOUD_MACHINE_FAILED)
             g_ptr_array_add(context->failed_machines, g_strdup(machine->machine));
         else
             add_if_booting(context, machine, known, now);
@@ -111,7 +111,7 @@
 void machine_listing_refresh(cloud_context_t *context)
 {
     controller_t *controller = context->controller;
-    g_autoptr(GArray) machines = g_array_new(FALSE, FALSE, sizeof(host_t));
+    g_autoptr(GArray) machines = g_array_new(FALSE, FALSE, sizeof(cloud_machine_t));
     if (!read_machines(context, machines))
         return;
     pthread_mutex_lock(&controller->lock);
--- a/src/controller/autoscaler/member_exclusion.c
+++ b/src/controller/autoscaler/member_exclusion.c
@@ -5,7 +5,7 @@
 #include "io/log.h"
 
 /* Returns the ids (owned) of the partition's machines whose workers seem unable to reach their
- * owner, because they are silent. Returns none if these are fewer than LOST_MACHINES_MIN_COUNT or
+ * owner, because they are silent. Returns none if these are fewer than SILENT_MACHINES_MIN_COUNT or
  * at most half of the partition's machines. Called with the lock held. */
 static GPtrArray *find_lost_machines(const controller_t *controller, guint partition)
 {
@@ -17,7 +17,7 @@
         if (summary->silent_ms > cloud_context_lost_owner_ms(controller))
             g_ptr_array_add(lost, g_strdup(summary->machine));
     }
-    if (lost->len < LOST_MACHINES_MIN_COUNT || 2 * lost->len <= summaries->len)
+    if (lost->len < SILENT_MACHINES_MIN_COUNT || 2 * lost->len <= summaries->len)
         g_ptr_array_set_size(lost, 0);
     return lost;
 }
--- a/src/controller/autoscaler/scale_in.c
+++ b/src/controller/autoscaler/scale_in.c
@@ -42,10 +42,10 @@
         autoscaler_reset_scale_in_delay(controller->autoscaler);
         return false;
     }
-    /* SCALE_IN_AFTER_MS counts from the start of the leadership, not of the view: when it counted
-     * from the view and a leader installed a new view every half minute, nothing was scaled in for
-     * minutes. */
-    return now - controller->membership.leader_since_at > SCALE_IN_AFTER_MS &&
+    /* NEW_LEADER_SCALE_IN_DELAY_MS counts from the start of the leadership, not of the view: when
+     * it counted from the view and a leader installed a new view every half minute, nothing was
+     * scaled in for minutes. */
+    return now - controller->membership.leader_since_at > NEW_LEADER_SCALE_IN_DELAY_MS &&
            now - controller->placement.loaded_at > LEADER_GRACE_MS;
 }
 
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -71,7 +71,7 @@
                                msec_t until);
 
 /** Determines from the machine summaries which zones are unreachable. A zone is probably cut off
- * from the network if none of its machines accepts starts and at least LOST_MACHINES_MIN_COUNT of
+ * from the network if none of its machines accepts starts and at least SILENT_MACHINES_MIN_COUNT of
  * them have been silent for more than @p silent_ms. It then counts as unreachable until one of its
  * machines accepts starts again, or until UNREACHABLE_ZONE_MS after the last call that found it cut
  * off. No machines are scaled out in an unreachable zone, because their heartbeats would not arrive
@@ -85,9 +85,9 @@
 
 /** Returns whether a machine of the zone that has been silent for @p silent_ms is kept despite its
  * silence. This is so if the zone is unreachable and the silence has not exceeded
- * UNREACHABLE_WAIT_MS, or if the zone became reachable again at most @p grace_ms ago, so that its
- * machines may still be reconnecting. A silence longer than UNREACHABLE_WAIT_MS plus @p grace_ms is
- * never tolerated. */
+ * UNREACHABLE_ZONE_WAIT_MS, or if the zone became reachable again at most @p grace_ms ago, so that
+ * its machines may still be reconnecting. A silence longer than UNREACHABLE_ZONE_WAIT_MS plus @p
+ * grace_ms is never tolerated. */
 bool autoscaler_keeps_silent_machine(const autoscaler_t *autoscaler, const char *zone,
                                      msec_t silent_ms, msec_t grace_ms, msec_t now);
 
--- a/src/core/autoscaler/demand_balance.c
+++ b/src/core/autoscaler/demand_balance.c
@@ -6,12 +6,12 @@
  * job close to its deadline, which therefore justifies more machines at once. */
 static double job_max_wait_s(const leader_t *leader, const job_t *job, int64_t day_ms)
 {
-    double max_wait_s = tunable_for_job(leader->policy, TUNABLE_SCALE_OUT_PATIENCE, &job->spec);
+    double max_wait_s = tunable_for_job(leader->policy, TUNABLE_SCALE_OUT_MAX_WAIT, &job->spec);
     if (job->spec.deadline_s <= 0)
         return max_wait_s;
     double latest_start_in_s = (double)(job->spec.submitted_ms - day_ms) / MS_PER_S +
                                job->spec.deadline_s - job->spec.estimate_s;
-    return CLAMP(latest_start_in_s, MIN(max_wait_s, SCALE_OUT_PATIENCE_MIN_S), max_wait_s);
+    return CLAMP(latest_start_in_s, MIN(max_wait_s, SCALE_OUT_MAX_WAIT_MIN_S), max_wait_s);
 }
 
 /* Returns the resources for the outstanding tasks and for the pending tasks. */
--- a/src/core/autoscaler/scale_out_choice.c
+++ b/src/core/autoscaler/scale_out_choice.c
@@ -87,7 +87,7 @@
 {
     double machines = MAX(missing.cpus / MAX(machine_type->capacity.cpus, EPSILON),
                           missing.memory / MAX(machine_type->capacity.memory, EPSILON));
-    if (machine_type->capacity.cpus > demand_cpus * SCALE_OUT_LARGEST_FRACTION && machines < 1)
+    if (machine_type->capacity.cpus > demand_cpus * SCALE_OUT_OVERSIZE_FRACTION && machines < 1)
         return 0;
     return (guint)CLAMP(ceil(machines - SCALE_OUT_ROUNDING_FRACTION), 1,
                         (double)SCALE_OUT_MAX_COUNT);
@@ -166,7 +166,7 @@
     resources_t missing = missing_resources(leader, &balance);
     if (missing.cpus <= 0 && missing.memory <= 0)
         return false;
-    double max_wait_s = tunable_value(leader->policy, TUNABLE_ON_DEMAND_PATIENCE);
+    double max_wait_s = tunable_value(leader->policy, TUNABLE_ON_DEMAND_MAX_WAIT);
     g_autoptr(GArray) demand = leader_demand(leader, now); /* job_demand_t */
     scale_out_choice_t choice = {
         .autoscaler = autoscaler,
--- a/src/core/autoscaler/zone_reachability.c
+++ b/src/core/autoscaler/zone_reachability.c
@@ -45,7 +45,7 @@
         if (machines->accepting_starts > 0) {
             if (g_hash_table_remove(autoscaler->unreachable_zones, zone))
                 set_zone_time(autoscaler->recovered_zones, zone, now);
-        } else if (machines->silent >= LOST_MACHINES_MIN_COUNT) {
+        } else if (machines->silent >= SILENT_MACHINES_MIN_COUNT) {
             if (!autoscaler_is_zone_unreachable(autoscaler, zone, now))
                 g_ptr_array_add(newly_unreachable, g_strdup(zone));
             set_zone_time(autoscaler->unreachable_zones, zone, now + UNREACHABLE_ZONE_MS);
@@ -63,9 +63,10 @@
 bool autoscaler_keeps_silent_machine(const autoscaler_t *autoscaler, const char *zone,
                                      msec_t silent_ms, msec_t grace_ms, msec_t now)
 {
-    if (silent_ms > UNREACHABLE_WAIT_MS + grace_ms)
+    if (silent_ms > UNREACHABLE_ZONE_WAIT_MS + grace_ms)
         return false;
-    if (silent_ms <= UNREACHABLE_WAIT_MS && autoscaler_is_zone_unreachable(autoscaler, zone, now))
+    if (silent_ms <= UNREACHABLE_ZONE_WAIT_MS &&
+        autoscaler_is_zone_unreachable(autoscaler, zone, now))
         return true;
     const msec_t *recovered_at = g_hash_table_lookup(autoscaler->recovered_zones, zone);
     return recovered_at && now - *recovered_at <= grace_ms;
--- a/src/io/codec/cloud.c
+++ b/src/io/codec/cloud.c
@@ -54,22 +54,22 @@
 
 /* Only the machine's id is required. The other fields keep their defaults if they are missing or
  * malformed. */
-static bool parse_host(const json_t *value, host_t *host)
+static bool parse_host(const json_t *value, cloud_machine_t *host)
 {
     static const char *const states[] = {"booting", "running", "failed"};
-    int state = HOST_RUNNING;
+    int state = CLOUD_MACHINE_RUNNING;
     if (!codec_get_string(value, "Uid", host->machine, sizeof host->machine, NULL))
         return false;
     codec_get_string(value, "Hull", host->type, sizeof host->type, NULL);
     codec_get_string(value, "Dock", host->zone, sizeof host->zone, NULL);
     codec_get_boolean(value, "Driftwood", &host->is_spot, NULL);
     codec_get_enum(value, "Trim", states, G_N_ELEMENTS(states), &state, NULL);
-    host->state = (host_state_t)state;
+    host->state = (cloud_machine_state_t)state;
     host->age_s = json_number_value(json_object_get(value, "HeldS"));
     return true;
 }
 
-bool codec_parse_hosts(const json_t *body, GArray *hosts, bool *has_more)
+bool codec_parse_cloud_machines(const json_t *body, GArray *hosts, bool *has_more)
 {
     const json_t *list = json_object_get(body, "Winches");
     if (!json_is_array(list))
@@ -78,7 +78,7 @@
     json_t *value;
     json_array_foreach(list, i, value)
     {
-        host_t host = {0};
+        cloud_machine_t host = {0};
         if (!parse_host(value, &host))
             return false;
         g_array_append_val(hosts, host);
--- a/src/io/codec/codec.h
+++ b/src/io/codec/codec.h
@@ -99,25 +99,25 @@
 
 /** State of a machine in the cloud's list. */
 typedef enum {
-    HOST_BOOTING, /**< Requested, not up yet. */
-    HOST_RUNNING, /**< Up. Also stands for a state that is missing or unknown. */
-    HOST_FAILED   /**< Failed to boot, or failed later. */
-} host_state_t;
+    CLOUD_MACHINE_BOOTING, /**< Requested, not up yet. */
+    CLOUD_MACHINE_RUNNING, /**< Up. Also stands for a state that is missing or unknown. */
+    CLOUD_MACHINE_FAILED   /**< Failed to boot, or failed later. */
+} cloud_machine_state_t;
 
 /** A machine in the cloud's list. */
 typedef struct host {
-    char machine[ID_BYTES]; /**< The machine's id. */
-    char type[LABEL_BYTES]; /**< Name of its machine type. */
-    char zone[LABEL_BYTES]; /**< Its zone. */
-    bool is_spot;           /**< Whether it is a spot machine. */
-    host_state_t state;     /**< Its state. */
-    double age_s;           /**< Seconds since it was requested. */
-} host_t;
+    char machine[ID_BYTES];      /**< The machine's id. */
+    char type[LABEL_BYTES];      /**< Name of its machine type. */
+    char zone[LABEL_BYTES];      /**< Its zone. */
+    bool is_spot;                /**< Whether it is a spot machine. */
+    cloud_machine_state_t state; /**< Its state. */
+    double age_s;                /**< Seconds since it was requested. */
+} cloud_machine_t;
 
 /** Parses one page of the cloud's list of machines and appends the machines to @p hosts, a GArray
- * of host_t. Sets *has_more to whether another page follows. Returns false if the page is
+ * of cloud_machine_t. Sets *has_more to whether another page follows. Returns false if the page is
  * malformed; in that case some of its machines may have been appended. */
-bool codec_parse_hosts(const json_t *body, GArray *hosts, bool *has_more);
+bool codec_parse_cloud_machines(const json_t *body, GArray *hosts, bool *has_more);
 
 /** Builds a scale-out request for @p count machines of one type and zone. The cloud executes
  * requests with the same @p idempotency_key only once. */
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -56,13 +56,13 @@
                                       demand. */
     TUNABLE_SCALE_IN_HEADROOM,     /**< Machines are kept for this capacity, as a factor of the
                                       demand. */
-    TUNABLE_SCALE_OUT_PATIENCE,    /**< Time within which pending tasks should start. Tasks that can
+    TUNABLE_SCALE_OUT_MAX_WAIT,    /**< Time within which pending tasks should start. Tasks that can
                                       share a machine within it do not cause a scale-out. */
     TUNABLE_SCALE_IN_DELAY,        /**< How long a surplus must last before a machine is drained. */
     TUNABLE_USE_SPOT,              /**< Whether jobs that permit spot machines run on them. */
     TUNABLE_USE_ON_DEMAND,      /**< Whether on-demand machines are added for work beyond the teams'
                                    guarantees. */
-    TUNABLE_ON_DEMAND_PATIENCE, /**< Such machines are added if the pending work would take the
+    TUNABLE_ON_DEMAND_MAX_WAIT, /**< Such machines are added if the pending work would take the
                                    others longer than this. */
     TUNABLE_ON_DEMAND_SHARE, /**< Such machines are added up to this share of the others' cpus, or
                                 of the cpus that the pending work needs if these are more. */
--- a/tests/core/autoscaler/test_autoscaler.c
+++ b/tests/core/autoscaler/test_autoscaler.c
@@ -57,7 +57,7 @@
     set_summaries(fixture, silent_machines, 9000, false);
     g_autoptr(GPtrArray) unreachable =
         autoscaler_update_zones(autoscaler, fixture->leader, 6000, 1000);
-    assert_int_equal(unreachable->len, silent_machines >= LOST_MACHINES_MIN_COUNT);
+    assert_int_equal(unreachable->len, silent_machines >= SILENT_MACHINES_MIN_COUNT);
     set_summaries(fixture, 0, 0, false);
     record_spot_refusal(autoscaler);
     bool is_scaling_out = autoscaler_next_scale_out(autoscaler, fixture->leader, machine_types,
@@ -148,7 +148,7 @@
     g_ptr_array_unref(autoscaler_update_zones(autoscaler, fixture->leader, 6000, 1000));
     assert_true(autoscaler_is_zone_unreachable(autoscaler, "zone-a", 1000));
     assert_true(autoscaler_keeps_silent_machine(autoscaler, "zone-a", 40000, 20000, 1000));
-    assert_false(autoscaler_keeps_silent_machine(autoscaler, "zone-a", UNREACHABLE_WAIT_MS + 1,
+    assert_false(autoscaler_keeps_silent_machine(autoscaler, "zone-a", UNREACHABLE_ZONE_WAIT_MS + 1,
                                                  20000, 1000));
     set_summaries(fixture, 5, 0, true);
     g_ptr_array_unref(autoscaler_update_zones(autoscaler, fixture->leader, 6000, 2000));
--- a/tests/io/codec/test_encoding_samples.c
+++ b/tests/io/codec/test_encoding_samples.c
@@ -193,17 +193,18 @@
 static void test_list_of_machines_of_the_cloud_is_read(void **state)
 {
     (void)state;
-    static const host_t expected[] = {{"m-000001", "g8", "north", true, HOST_BOOTING, 3.5},
-                                      {"m-000002", "c16", "south", false, HOST_RUNNING, 40.5},
-                                      {"m-000003", "c32", "east", false, HOST_FAILED, 7}};
+    static const cloud_machine_t expected[] = {
+        {"m-000001", "g8", "north", true, CLOUD_MACHINE_BOOTING, 3.5},
+        {"m-000002", "c16", "south", false, CLOUD_MACHINE_RUNNING, 40.5},
+        {"m-000003", "c32", "east", false, CLOUD_MACHINE_FAILED, 7}};
     bool has_more = false;
-    GArray *hosts = g_array_new(FALSE, FALSE, sizeof(host_t));
+    GArray *hosts = g_array_new(FALSE, FALSE, sizeof(cloud_machine_t));
     json_t *body = read_json_sample("cloud_machines.json");
-    assert_true(codec_parse_hosts(body, hosts, &has_more));
+    assert_true(codec_parse_cloud_machines(body, hosts, &has_more));
     assert_true(has_more);
     assert_int_equal(hosts->len, G_N_ELEMENTS(expected));
     for (guint i = 0; i < hosts->len; i++) {
-        const host_t *host = &g_array_index(hosts, host_t, i);
+        const cloud_machine_t *host = &g_array_index(hosts, cloud_machine_t, i);
         assert_string_equal(host->machine, expected[i].machine);
         assert_string_equal(host->type, expected[i].type);
         assert_string_equal(host->zone, expected[i].zone);
--- a/tests/policy/test_policy.c
+++ b/tests/policy/test_policy.c
@@ -68,9 +68,9 @@
     policy_t *policy = policy_compile("f", "rent_patience = job.estimate / job.tasks;", errors);
     assert_non_null(policy);
     policy_env_t env = {.number = {[ATTR_JOB_ESTIMATE] = 1e9, [ATTR_JOB_TASKS] = 1}};
-    assert_true(policy_value(policy, TUNABLE_SCALE_OUT_PATIENCE, &env) == 3600);
+    assert_true(policy_value(policy, TUNABLE_SCALE_OUT_MAX_WAIT, &env) == 3600);
     env.number[ATTR_JOB_TASKS] = 0;
-    assert_true(policy_value(policy, TUNABLE_SCALE_OUT_PATIENCE, &env) == 1);
+    assert_true(policy_value(policy, TUNABLE_SCALE_OUT_MAX_WAIT, &env) == 1);
     policy_free(policy);
 }
 
