--- a/src/constants.h
+++ b/src/constants.h
@@ -187,21 +187,21 @@
 /** Writes of the leader's loops: its partition's records and the progress of all jobs. */
 static const double LEADER_WRITE_FRACTION = 0.45;
 /** Writes for any other partition, at most. */
-static const double PARTITION_WRITE_FRACTION = 0.35;
+static const double PARTITION_WRITE_MAX_FRACTION = 0.35;
 /** Writes for all partitions together. */
-static const double PARTITIONS_WRITE_FRACTION = 1.05;
+static const double PARTITION_WRITE_TOTAL_FRACTION = 1.05;
 /** Requests by the loops of one controller, at most. */
-static const double CORE_RPS_FRACTION = 0.15;
+static const double LOOPS_RPS_MAX_FRACTION = 0.15;
 /** Requests by the loops of all controllers together. */
-static const double CORES_RPS_FRACTION = 0.50;
+static const double LOOPS_RPS_TOTAL_FRACTION = 0.50;
 /** Requests on behalf of users by one controller, at most. */
-static const double API_RPS_FRACTION = 0.18;
+static const double API_RPS_MAX_FRACTION = 0.18;
 /** Requests on behalf of users by all controllers together. */
-static const double APIS_RPS_FRACTION = 0.60;
+static const double API_RPS_TOTAL_FRACTION = 0.60;
 /** Writes for submissions and cancellations by one controller, at most. They come in bursts. */
-static const double API_WRITE_FRACTION = 0.25;
+static const double API_WRITE_MAX_FRACTION = 0.25;
 /** Writes for submissions and cancellations by all controllers together. */
-static const double APIS_WRITE_FRACTION = 0.75;
+static const double API_WRITE_TOTAL_FRACTION = 0.75;
 
 /** Worker heartbeats and pushed commands. */
 enum {
@@ -312,9 +312,9 @@
  * cancellations, proof that attempts have ended, and deadlines after a stall. */
 
 /** Share of a core at or above which no pause is lengthened. */
-static const double USUAL_CORE_SHARE = 0.09;
+static const double FULL_SPEED_CORE_FRACTION = 0.09;
 /** Highest factor of the pauses. With it, starts are still sent within a quarter of a second. */
-static const double PACE_MAX = 2;
+static const double PAUSE_FACTOR_MAX = 2;
 
 /** Placement. */
 enum {
--- a/src/controller/autoscaler/autoscaler_loop.c
+++ b/src/controller/autoscaler/autoscaler_loop.c
@@ -47,7 +47,7 @@
     bool has_scaled_in = scale_in_run(context);
     if (has_scaled_out || has_scaled_in)
         return min_gap_ms;
-    return controller_paced(controller, min_gap_ms);
+    return controller_scale_pause(controller, min_gap_ms);
 }
 
 void *autoscaler_loop_run(void *data)
--- a/src/controller/autoscaler/retained_workers.c
+++ b/src/controller/autoscaler/retained_workers.c
@@ -19,7 +19,7 @@
     controller_t *controller = context->controller;
     g_autoptr(GHashTable) retained = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     g_autoptr(GArray) entries = kv_entries_new(); /* kv_entry_t */
-    rate_limiter_charge(&controller->core_request_limiter, 1, clock_steady());
+    rate_limiter_charge(&controller->loop_request_limiter, 1, clock_steady());
     if (kv_list(&controller->kv_store, context->http_client, "kept/", entries, NULL) != KV_OK)
         return NULL;
     int64_t day_ms = clock_day();
@@ -58,7 +58,7 @@
     kv_txn_t txn = kv_txn_new();
     g_snprintf(key, sizeof key, "kept/%s", controller->settings->name);
     kv_txn_put(&txn, key, codec_build_retained(clock_day(), machines), 0);
-    rate_limiter_charge(&controller->core_request_limiter, 1, now);
+    rate_limiter_charge(&controller->loop_request_limiter, 1, now);
     kv_commit(&controller->kv_store, context->http_client, &txn, KV_TIMEOUT_MS, NULL, NULL);
     kv_txn_free(&txn);
     context->retained_written_at = now;
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -2,33 +2,38 @@
 
 #include "io/clock.h"
 
-void controller_share_rate_limits(controller_t *controller, guint members)
+void controller_update_rate_limits(controller_t *controller, guint members)
 {
     const settings_t *settings = controller->settings;
-    double partition_share = MIN(PARTITION_WRITE_FRACTION, PARTITIONS_WRITE_FRACTION / members);
-    rate_limiter_set_rate(&controller->core_request_limiter,
-                          settings->kv_rps * MIN(CORE_RPS_FRACTION, CORES_RPS_FRACTION / members));
-    rate_limiter_set_rate(&controller->core_write_limiter,
+    double partition_share =
+        MIN(PARTITION_WRITE_MAX_FRACTION, PARTITION_WRITE_TOTAL_FRACTION / members);
+    rate_limiter_set_rate(&controller->loop_request_limiter,
+                          settings->kv_rps *
+                              MIN(LOOPS_RPS_MAX_FRACTION, LOOPS_RPS_TOTAL_FRACTION / members));
+    rate_limiter_set_rate(&controller->loop_write_limiter,
                           settings->kv_write_rps * (controller->membership.is_leader
                                                         ? LEADER_WRITE_FRACTION
                                                         : partition_share));
     rate_limiter_set_rate(&controller->api_request_limiter,
-                          settings->kv_rps * MIN(API_RPS_FRACTION, APIS_RPS_FRACTION / members));
+                          settings->kv_rps *
+                              MIN(API_RPS_MAX_FRACTION, API_RPS_TOTAL_FRACTION / members));
     rate_limiter_set_rate(&controller->api_write_limiter,
                           settings->kv_write_rps *
-                              MIN(API_WRITE_FRACTION, APIS_WRITE_FRACTION / members));
+                              MIN(API_WRITE_MAX_FRACTION, API_WRITE_TOTAL_FRACTION / members));
 }
 
 static void init_limiters(controller_t *controller, msec_t now)
 {
     const settings_t *settings = controller->settings;
-    rate_limiter_init(&controller->core_request_limiter, settings->kv_rps * CORE_RPS_FRACTION, now);
-    rate_limiter_init(&controller->core_write_limiter,
-                      settings->kv_write_rps * PARTITION_WRITE_FRACTION, now);
-    rate_limiter_init(&controller->api_request_limiter, settings->kv_rps * API_RPS_FRACTION, now);
-    rate_limiter_init(&controller->api_write_limiter, settings->kv_write_rps * API_WRITE_FRACTION,
+    rate_limiter_init(&controller->loop_request_limiter, settings->kv_rps * LOOPS_RPS_MAX_FRACTION,
                       now);
-    controller_share_rate_limits(controller, settings->siblings->len + 1);
+    rate_limiter_init(&controller->loop_write_limiter,
+                      settings->kv_write_rps * PARTITION_WRITE_MAX_FRACTION, now);
+    rate_limiter_init(&controller->api_request_limiter, settings->kv_rps * API_RPS_MAX_FRACTION,
+                      now);
+    rate_limiter_init(&controller->api_write_limiter,
+                      settings->kv_write_rps * API_WRITE_MAX_FRACTION, now);
+    controller_update_rate_limits(controller, settings->siblings->len + 1);
 }
 
 /* The condition variables use the steady clock (CLOCK_MONOTONIC), because the deadlines of timed
@@ -137,9 +142,9 @@
     pthread_cond_timedwait(condition, &controller->lock, &deadline);
 }
 
-msec_t controller_paced(const controller_t *controller, msec_t ms)
+msec_t controller_scale_pause(const controller_t *controller, msec_t ms)
 {
-    return (msec_t)((double)ms * controller->settings->pace);
+    return (msec_t)((double)ms * controller->settings->pause_factor);
 }
 
 void controller_sleep(msec_t ms)
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -36,8 +36,8 @@
     uint64_t incarnation;       /**< Random number, generated at each start of the process. */
     kv_store_t kv_store;        /**< The key-value store; each thread uses its own HTTP client. */
     /* Rate limits at the key-value store. */
-    rate_limiter_t core_request_limiter; /**< Requests by this controller's loops. */
-    rate_limiter_t core_write_limiter;   /**< Keys written by this controller's loops. */
+    rate_limiter_t loop_request_limiter; /**< Requests by this controller's loops. */
+    rate_limiter_t loop_write_limiter;   /**< Keys written by this controller's loops. */
     rate_limiter_t api_request_limiter;  /**< Requests on behalf of users. */
     rate_limiter_t api_write_limiter;    /**< Keys written on behalf of users. */
     request_pool_t requests; /**< Queued user requests. Has a lock of its own; no thread holds that
@@ -64,7 +64,7 @@
 /** Sets this controller's rate limits at the key-value store. The store's limits apply to all
  * @p members together, so each controller takes a share; the leader's share of the writes is
  * larger. Called with the lock held, or before the threads start. */
-void controller_share_rate_limits(controller_t *controller, guint members);
+void controller_update_rate_limits(controller_t *controller, guint members);
 
 /** Wakes the placement loop. Called with the lock held. */
 void controller_notify_placement(controller_t *controller);
@@ -73,9 +73,9 @@
  * Called with the lock held; the lock is released during the wait. */
 void controller_wait(controller_t *controller, pthread_cond_t *condition, msec_t ms);
 
-/** Returns @p ms multiplied by settings_t.pace, which lengthens pauses if the process has only a
- * small share of a processor. */
-msec_t controller_paced(const controller_t *controller, msec_t ms);
+/** Returns @p ms multiplied by settings_t.pause_factor, which lengthens pauses if the process has
+ * only a small share of a processor. */
+msec_t controller_scale_pause(const controller_t *controller, msec_t ms);
 
 /** Sleeps for @p ms. The lock must not be held. */
 void controller_sleep(msec_t ms);
--- a/src/controller/kv_watch_loop.c
+++ b/src/controller/kv_watch_loop.c
@@ -14,7 +14,7 @@
     controller_t *controller = loop->controller;
     g_autoptr(GArray) entries = kv_entries_new();
     msec_t sent_at = clock_steady();
-    rate_limiter_charge(&controller->core_request_limiter, 1, sent_at);
+    rate_limiter_charge(&controller->loop_request_limiter, 1, sent_at);
     kv_result_t result =
         kv_list(&controller->kv_store, loop->client, loop->watch->prefix, entries, &loop->revision);
     if (result != KV_OK)
@@ -31,7 +31,7 @@
     controller_t *controller = loop->controller;
     g_autoptr(GArray) changes = kv_entries_new();
     msec_t sent_at = clock_steady();
-    rate_limiter_charge(&controller->core_request_limiter, 1, sent_at);
+    rate_limiter_charge(&controller->loop_request_limiter, 1, sent_at);
     kv_result_t result = kv_watch(&controller->kv_store, loop->client, loop->watch->prefix,
                                   KV_WATCH_BLOCK_MS, &loop->revision, changes);
     if (result == KV_OK) {
--- a/src/controller/membership/member_loop.c
+++ b/src/controller/membership/member_loop.c
@@ -41,7 +41,7 @@
     char key[KV_KEY_BYTES];
     kv_entry_t entry = {0};
     g_snprintf(key, sizeof key, "view/members/%s", controller->settings->name);
-    rate_limiter_charge(&controller->core_request_limiter, 1, now);
+    rate_limiter_charge(&controller->loop_request_limiter, 1, now);
     kv_result_t result = kv_get(&controller->kv_store, loop->client, key, KV_TIMEOUT_MS, &entry);
     g_free(entry.key);
     json_decref(entry.value);
@@ -60,7 +60,7 @@
     if (!read_key_revision(loop, now, &revision))
         return;
     kv_txn_t txn = records_member(&controller->membership.election.self, revision, lease);
-    rate_limiter_charge(&controller->core_write_limiter, 1, now);
+    rate_limiter_charge(&controller->loop_write_limiter, 1, now);
     kv_result_t result =
         kv_commit(&controller->kv_store, loop->client, &txn, KV_TIMEOUT_MS, NULL, NULL);
     if (result == KV_OK) {
@@ -76,7 +76,7 @@
 {
     if (loop->lease && now - loop->extended_at < LEASE_EXTEND_GAP_MS)
         return;
-    rate_limiter_charge(&loop->controller->core_request_limiter, 1, now);
+    rate_limiter_charge(&loop->controller->loop_request_limiter, 1, now);
     if (loop->lease)
         extend_lease(loop, now);
     else
--- a/src/controller/membership/membership.c
+++ b/src/controller/membership/membership.c
@@ -100,7 +100,7 @@
     update_member_indices(controller);
     drop_channels(&controller->peers);
     open_channels(controller);
-    controller_share_rate_limits(controller, MAX(view->count, 1));
+    controller_update_rate_limits(controller, MAX(view->count, 1));
     metrics_count(controller->metrics, COUNT_VIEWS, 1);
     log_installed_view(&controller->membership);
     controller_notify_placement(controller);
--- a/src/controller/membership/view_store.c
+++ b/src/controller/membership/view_store.c
@@ -7,7 +7,7 @@
 {
     kv_entry_t entry = {0};
     view_t view;
-    rate_limiter_charge(&controller->core_request_limiter, 1, clock_steady());
+    rate_limiter_charge(&controller->loop_request_limiter, 1, clock_steady());
     kv_result_t result =
         kv_get(&controller->kv_store, client, "view/number", KV_TIMEOUT_MS, &entry);
     if (result == KV_OK && codec_parse_view(entry.value, entry.revision, &view)) {
@@ -51,8 +51,8 @@
                         uint64_t revision, uint64_t lease, uint64_t lease_revision)
 {
     kv_txn_t txn = build_view_txn(next, revision, lease, lease_revision);
-    rate_limiter_charge(&controller->core_request_limiter, 1, clock_steady());
-    rate_limiter_charge(&controller->core_write_limiter, lease ? 2 : 1, clock_steady());
+    rate_limiter_charge(&controller->loop_request_limiter, 1, clock_steady());
+    rate_limiter_charge(&controller->loop_write_limiter, lease ? 2 : 1, clock_steady());
     kv_result_t result =
         kv_commit(&controller->kv_store, client, &txn, KV_TIMEOUT_MS, &next->revision, NULL);
     kv_txn_free(&txn);
--- a/src/controller/peer/peer_relay.c
+++ b/src/controller/peer/peer_relay.c
@@ -20,8 +20,8 @@
     kv_txn_t txn = kv_txn_new();
     guint pages = relay_write(&txn, inbox, name, frame,
                               (gsize)(controller->settings->value_kb * BYTES_PER_KIB));
-    rate_limiter_charge(&controller->core_request_limiter, 1, clock_steady());
-    rate_limiter_charge(&controller->core_write_limiter, pages, clock_steady());
+    rate_limiter_charge(&controller->loop_request_limiter, 1, clock_steady());
+    rate_limiter_charge(&controller->loop_write_limiter, pages, clock_steady());
     kv_result_t result = kv_commit(&controller->kv_store, http, &txn, KV_TIMEOUT_MS, NULL, NULL);
     kv_txn_free(&txn);
     if (result == KV_INVALID)
@@ -37,7 +37,7 @@
     char prefix[KV_KEY_BYTES];
     g_autoptr(GArray) entries = kv_entries_new();
     g_snprintf(prefix, sizeof prefix, "mail/%s/%s", inbox, name_prefix);
-    rate_limiter_charge(&controller->core_request_limiter, 1, clock_steady());
+    rate_limiter_charge(&controller->loop_request_limiter, 1, clock_steady());
     if (kv_list(&controller->kv_store, http, prefix, entries, NULL) != KV_OK)
         g_array_set_size(entries, 0);
     return relay_read(entries, inbox);
--- a/src/controller/peer/peer_server.c
+++ b/src/controller/peer/peer_server.c
@@ -23,7 +23,7 @@
 static channel_t *wait_for_items_locked(controller_t *controller, channel_t *channel)
 {
     uint64_t generation = controller->placement.generation;
-    msec_t delay_ms = controller_paced(controller, PEER_ANSWER_DELAY_MS);
+    msec_t delay_ms = controller_scale_pause(controller, PEER_ANSWER_DELAY_MS);
     msec_t answer_due_at = clock_steady() + delay_ms;
     while (!channel_is_busy(channel) && clock_steady() < answer_due_at) {
         controller_wait(controller, &controller->peers.item_available, delay_ms);
--- a/src/controller/placement/placement_loop.c
+++ b/src/controller/placement/placement_loop.c
@@ -75,9 +75,9 @@
 static kv_txn_usage_t progress_limits(controller_t *controller, msec_t now)
 {
     guint txn_ops = controller->settings->txn_ops;
-    double left = rate_limiter_left(&controller->core_write_limiter, now);
+    double left = rate_limiter_available(&controller->loop_write_limiter, now);
     return (kv_txn_usage_t){.max_ops = left < 1 ? 0 : MIN((guint)left, txn_ops),
-                            .burst_ops = MIN((guint)controller->core_write_limiter.rate, txn_ops),
+                            .burst_ops = MIN((guint)controller->loop_write_limiter.rate, txn_ops),
                             .max_bytes = KV_TXN_VALUES_BYTES / 2};
 }
 
@@ -196,7 +196,7 @@
     record_batch_clear(&round->batch);
     if (round->needs_new_fencing_token && view_advance_fencing_token(controller, loop->client))
         loop->fencing_token_advanced_at = clock_steady();
-    controller_sleep(controller_paced(controller, COMMIT_GAP_MS));
+    controller_sleep(controller_scale_pause(controller, COMMIT_GAP_MS));
 }
 
 /* Waits until there may be something to do, then runs a round. If the records are not loaded, loads
@@ -207,7 +207,7 @@
     placement_round_t round = {0};
     pthread_mutex_lock(&controller->lock);
     controller_wait(controller, &controller->placement.ready,
-                    controller_paced(controller, PLACEMENT_TICK_MS));
+                    controller_scale_pause(controller, PLACEMENT_TICK_MS));
     bool is_loaded = controller->placement.is_loaded;
     bool is_member = controller->membership.own_index != G_MAXUINT;
     if (is_loaded)
--- a/src/controller/placement/record_commit.c
+++ b/src/controller/placement/record_commit.c
@@ -127,8 +127,8 @@
 {
     kv_txn_t txn = records_commit(batch->progress, batch->machines, view_revision);
     msec_t started_at = clock_steady();
-    rate_limiter_charge(&controller->core_request_limiter, 1, started_at);
-    rate_limiter_charge(&controller->core_write_limiter, batch->usage.ops, started_at);
+    rate_limiter_charge(&controller->loop_request_limiter, 1, started_at);
+    rate_limiter_charge(&controller->loop_write_limiter, batch->usage.ops, started_at);
     kv_result_t result =
         kv_commit(&controller->kv_store, client, &txn, KV_TIMEOUT_MS, revision, failed_keys);
     kv_txn_free(&txn);
--- a/src/controller/placement/record_loader.c
+++ b/src/controller/placement/record_loader.c
@@ -41,7 +41,7 @@
 static bool read_listing(controller_t *controller, http_client_t *client, bool is_leader,
                          listing_t *listing)
 {
-    rate_limiter_charge(&controller->core_request_limiter, is_leader ? 3 : 2, clock_steady());
+    rate_limiter_charge(&controller->loop_request_limiter, is_leader ? 3 : 2, clock_steady());
     return read_prefix(controller, client, "machines/", listing->machines) &&
            (!is_leader || read_prefix(controller, client, "done/", listing->done)) &&
            read_prefix(controller, client, "jobs/", listing->jobs);
@@ -178,7 +178,7 @@
     }
     partition_set_view(partition, controller->membership.view.number);
     partition_set_heartbeat_interval(partition, settings->heartbeat_interval_s);
-    if (settings->pace > 1)
+    if (settings->pause_factor > 1)
         partition_delay_probes(partition, settings->heartbeat_interval_s);
     controller->placement.partition = partition;
 }
--- a/src/controller/startup.h
+++ b/src/controller/startup.h
@@ -3,8 +3,8 @@
  *
  * The table lists the threads of a controller. "role" is the thread's name in the metrics
  * (threads.h). "waits for" names a condition variable by its field of controller_t, or a blocking
- * call; a duration is the longest wait, and "paced" means that controller_paced may lengthen it.
- * The loops run as long as the process.
+ * call; a duration is the longest wait, and "paced" means that controller_scale_pause may lengthen
+ * it. The loops run as long as the process.
  *
  * @verbatim
  *   role             loop                   waits for                   woken by
--- a/src/io/rate_limiter.c
+++ b/src/io/rate_limiter.c
@@ -42,7 +42,7 @@
     return is_taken;
 }
 
-double rate_limiter_left(rate_limiter_t *limiter, msec_t now)
+double rate_limiter_available(rate_limiter_t *limiter, msec_t now)
 {
     pthread_mutex_lock(&limiter->lock);
     refill_locked(limiter, now);
--- a/src/io/settings.c
+++ b/src/io/settings.c
@@ -98,12 +98,13 @@
 }
 
 /* Returns the factor by which the pauses between rounds that only serve quality are lengthened. */
-static double read_pace(settings_reader_t *reader, const json_t *limits)
+static double read_pause_factor(settings_reader_t *reader, const json_t *limits)
 {
     if (!json_object_get(limits, "core_share"))
         return 1;
     double share = settings_read_number(reader, limits, "core_share", 0);
-    return share > 0 ? CLAMP(USUAL_CORE_SHARE / share, 1, PACE_MAX) : PACE_MAX;
+    return share > 0 ? CLAMP(FULL_SPEED_CORE_FRACTION / share, 1, PAUSE_FACTOR_MAX)
+                     : PAUSE_FACTOR_MAX;
 }
 
 /* Sets the limits on connections, which follow from the number of sockets and, if it is given, the
@@ -171,7 +172,7 @@
     read_kv_store(reader, state, settings);
     read_cloud(reader, cloud, settings);
     read_connections(reader, limits, settings);
-    settings->pace = read_pace(reader, limits);
+    settings->pause_factor = read_pause_factor(reader, limits);
 }
 
 static void read_endpoints(settings_reader_t *reader, const json_t *root, settings_t *settings)
--- a/src/io/settings.h
+++ b/src/io/settings.h
@@ -55,10 +55,10 @@
     double list_lag_s;            /**< How far the cloud's list of machines may lag behind. */
     guint dispatcher_connections; /**< Connections to workers that each command dispatcher keeps
                                      open. */
-    double pace;       /**< Factor by which the pauses between rounds that only serve quality, not
-                          safety, are lengthened: 1, or more on a small share of a core. */
-    guint connections; /**< Most simultaneous connections of users and workers, as limited by
-                          sockets, threads and memory. */
+    double pause_factor; /**< Factor by which the pauses between rounds that only serve quality, not
+                    safety, are lengthened: 1, or more on a small share of a core. */
+    guint connections;   /**< Most simultaneous connections of users and workers, as limited by
+                            sockets, threads and memory. */
 } settings_t;
 
 /** Loads the file. Returns the settings (transfer full). If the file has errors, returns NULL and
--- a/tests/controller/controller_fixture.c
+++ b/tests/controller/controller_fixture.c
@@ -38,7 +38,7 @@
                              .txn_ops = 24,
                              .cloud_rps = 100,
                              .list_lag_s = 1,
-                             .pace = 1,
+                             .pause_factor = 1,
                              .dispatcher_connections = 2,
                              .connections = 100};
     g_snprintf(settings->name, sizeof settings->name, "controller-%u", index);
--- a/tests/io/test_settings.c
+++ b/tests/io/test_settings.c
@@ -110,7 +110,7 @@
     assert_in_range(connections(2537, 56), 300, 56 * 1024 * 1024 / CONNECTION_COST_BYTES);
 }
 
-static double pace(double core_share)
+static double pause_factor(double core_share)
 {
     g_autoptr(GError) error = NULL;
     json_t *body = settings_body();
@@ -118,20 +118,20 @@
     json_object_set_new(limits, "core_share", json_real(core_share));
     settings_t *settings = load_settings(body, &error);
     assert_non_null(settings);
-    double factor = settings->pace;
+    double factor = settings->pause_factor;
     settings_free(settings);
     return factor;
 }
 
-/* With a share of a core of USUAL_CORE_SHARE or more, no pause is lengthened. */
+/* With a share of a core of FULL_SPEED_CORE_FRACTION or more, no pause is lengthened. */
 static void test_only_a_small_core_share_lengthens_pauses(void **state)
 {
     (void)state;
-    assert_true(pace(1) == 1);
-    assert_true(pace(0.096) == 1);
-    assert_true(pace(0.06) > 1.4 && pace(0.06) < 1.6);
-    assert_true(pace(0.029) == PACE_MAX);
-    assert_true(pace(0) == PACE_MAX);
+    assert_true(pause_factor(1) == 1);
+    assert_true(pause_factor(0.096) == 1);
+    assert_true(pause_factor(0.06) > 1.4 && pause_factor(0.06) < 1.6);
+    assert_true(pause_factor(0.029) == PAUSE_FACTOR_MAX);
+    assert_true(pause_factor(0) == PAUSE_FACTOR_MAX);
 }
 
 static void test_missing_file_is_reported(void **state)
