--- a/src/constants.h
+++ b/src/constants.h
@@ -140,16 +140,17 @@
     API_TIMEOUT_MS = 1500, /**< Timeout of a call to the key-value store. */
     /** Longest time that a request waits for a worker thread and for a connection to the key-value
      * store: half of what users wait for a status. */
-    API_WAIT_MS = 1000,
-    API_STATUS_MS = 1600, /**< Deadline of a status request after its arrival; users wait 2 s. */
-    API_SUBMIT_MS = 4500, /**< Deadline of a submission or cancellation; users wait 5 s. */
-    STATUS_BATCH_DELAY_MS = 200, /**< Status reads within this time are combined into one batch. */
-    API_KV_CLIENTS_COUNT = 10,   /**< Connections to the key-value store. A call takes 10 ms. */
+    API_QUEUE_TIMEOUT_MS = 1000,
+    API_STATUS_DEADLINE_MS =
+        1600, /**< Deadline of a status request after its arrival; users wait 2 s. */
+    API_WRITE_DEADLINE_MS = 4500, /**< Deadline of a submission or cancellation; users wait 5 s. */
+    STATUS_BATCH_DELAY_MS = 200,  /**< Status reads within this time are combined into one batch. */
+    API_KV_CLIENTS_COUNT = 10,    /**< Connections to the key-value store. A call takes 10 ms. */
     /** Requests that are handled concurrently. A slow request takes half a second, and a hundred
      * requests per second arrive at one controller. */
     REQUEST_WORKERS_COUNT = 48,
-    REQUESTS_WAITING_COUNT = 256, /**< Capacity of the request queue; more are refused. */
-    REQUEST_PATH_BYTES = 128,     /**< Path of a queued request. A job's id is shorter than 40. */
+    REQUEST_QUEUE_MAX_COUNT = 256, /**< Capacity of the request queue; more are refused. */
+    REQUEST_PATH_BYTES = 128,      /**< Path of a queued request. A job's id is shorter than 40. */
     TERMINAL_STATE_CACHE_COUNT = 4096, /**< Cached terminal states, about 60 bytes each. */
     /** Ids of terminal jobs that are kept, so that an older list of jobs does not restore these
      * jobs. Lists are seconds old, and a hundred jobs may end in that time. */
@@ -265,8 +266,8 @@
     CANCEL_MARGIN_MS = 3000, /**< Subtracted from cancel_s - lease_s for a heartbeat in transit. */
     /** No start is sent if the last time until which all cancellations are known is longer ago than
      * this. A watch answers every 2 s; slow answers take longer. */
-    START_WATERMARK_MS = 6000,
-    STALL_MS = 1000, /**< A gap between clock readings that is longer than this is a stall. */
+    START_WATERMARK_MAX_AGE_MS = 6000,
+    STALL_MIN_MS = 1000, /**< A gap between clock readings that is longer than this is a stall. */
     /** Interval between clock readings if no other thread reads the clock. */
     STALL_CHECK_MS = 500,
     /** Entries kept for siblings to fetch: those of a minute or more at the rate limits. */
--- a/src/controller/api/health.c
+++ b/src/controller/api/health.c
@@ -32,6 +32,6 @@
                     !is_isolated_locked(controller);
     pthread_mutex_unlock(&controller->lock);
     if (!is_ready)
-        return api_refuse(HTTP_UNAVAILABLE, "starting", 1);
+        return api_reply_refusal(HTTP_UNAVAILABLE, "starting", 1);
     return api_reply_json(HTTP_OK, codec_build_ready());
 }
--- a/src/controller/api/http_server.c
+++ b/src/controller/api/http_server.c
@@ -77,7 +77,7 @@
 {
     (void)version;
     if (!*context) {
-        threads_adopt("http");
+        threads_register_current("http");
         *context = request_new(data, connection);
         return MHD_YES;
     }
--- a/src/controller/api/jobs.c
+++ b/src/controller/api/jobs.c
@@ -29,13 +29,13 @@
 {
     controller_t *controller = request->controller;
     if (api_must_shed_load(controller))
-        return api_retry_later();
+        return api_reply_retry_later();
     /* The rate of reads for unacceptable submissions is limited, because a client can send any
      * number of them. */
     if (!rate_limiter_take(&controller->api_request_limiter, 1, clock_steady()))
-        return api_refuse(HTTP_TOO_MANY_REQUESTS, "too many requests", 2);
+        return api_reply_refusal(HTTP_TOO_MANY_REQUESTS, "too many requests", 2);
     if (!api_acquire_kv_client(request))
-        return api_retry_later();
+        return api_reply_retry_later();
     return api_status_reply(controller, id, api_read_job_state(request, id, true));
 }
 
@@ -100,10 +100,10 @@
                  spec->tasks);
         return api_reply_json(HTTP_CREATED, codec_build_status(spec->id, "queued", 0, 0));
     case KV_NOT_EXECUTED:
-        return api_retry_later();
+        return api_reply_retry_later();
     case KV_INVALID:
-        return refuse_unless_repeated(request, spec->id,
-                                      api_refuse(HTTP_BAD_REQUEST, "too large to be recorded", 0));
+        return refuse_unless_repeated(
+            request, spec->id, api_reply_refusal(HTTP_BAD_REQUEST, "too large to be recorded", 0));
     case KV_CONFLICT:
     case KV_NOT_FOUND:
     case KV_INDETERMINATE:
@@ -112,7 +112,8 @@
     }
     job_state_t state = api_read_job_state(request, spec->id, true);
     if (state == JOB_NOT_FOUND)
-        return api_retry_later(); /* the commit was not answered and has not taken effect so far */
+        return api_reply_retry_later(); /* the commit was not answered and has not taken effect so
+                                           far */
     return api_status_reply(request->controller, spec->id, state);
 }
 
@@ -120,18 +121,18 @@
 {
     controller_t *controller = request->controller;
     if (api_must_shed_load(controller))
-        return api_retry_later();
+        return api_reply_retry_later();
     if (!rate_limiter_take(&controller->api_write_limiter, 1, clock_steady()))
-        return api_refuse(HTTP_TOO_MANY_REQUESTS, "too many submissions", 2);
+        return api_reply_refusal(HTTP_TOO_MANY_REQUESTS, "too many submissions", 2);
     if (!api_acquire_kv_client(request))
-        return api_retry_later();
+        return api_reply_retry_later();
     spec->submitted_ms = clock_day();
     return commit_job(request, spec);
 }
 
 static reply_t refuse_unprocessable(request_t *request, const char *id, const char *message)
 {
-    return refuse_unless_repeated(request, id, api_refuse(HTTP_UNPROCESSABLE, message, 0));
+    return refuse_unless_repeated(request, id, api_reply_refusal(HTTP_UNPROCESSABLE, message, 0));
 }
 
 static reply_t submit_parsed_job(request_t *request, job_spec_t *spec)
@@ -140,7 +141,7 @@
     case SUBMISSION_UNDECIDED:
         return refuse_unless_repeated(
             request, spec->id,
-            api_refuse(HTTP_UNAVAILABLE, "the machine types are not known yet", 1));
+            api_reply_refusal(HTTP_UNAVAILABLE, "the machine types are not known yet", 1));
     case SUBMISSION_UNKNOWN_TEAM:
         return refuse_unprocessable(request, spec->id, "unknown team");
     case SUBMISSION_OVER_QUOTA:
@@ -171,7 +172,7 @@
         return reply;
     }
     const char *message = request->is_body_too_long ? "the body is over 64 KiB" : error->message;
-    return refuse_unless_repeated(request, id, api_refuse(HTTP_BAD_REQUEST, message, 0));
+    return refuse_unless_repeated(request, id, api_reply_refusal(HTTP_BAD_REQUEST, message, 0));
 }
 
 reply_t api_submit(request_t *request)
@@ -236,13 +237,13 @@
         state = api_record_terminal_state(controller, id, false);
         return api_status_reply(controller, id, state);
     case CANCEL_NOT_EXECUTED:
-        return api_retry_later();
+        return api_reply_retry_later();
     case CANCEL_UNDECIDED:
         break;
     }
     /* A successful reply to an abort always names a terminal state. */
     state = api_read_job_state(request, id, true);
-    return state == JOB_LIVE ? api_retry_later() : api_status_reply(controller, id, state);
+    return state == JOB_LIVE ? api_reply_retry_later() : api_status_reply(controller, id, state);
 }
 
 reply_t api_abort(request_t *request, const char *id)
@@ -251,5 +252,5 @@
     reply_t reply;
     if (api_reply_without_lookup(request, id, &known, &reply))
         return reply;
-    return api_acquire_kv_client(request) ? abort_job(request, id) : api_retry_later();
+    return api_acquire_kv_client(request) ? abort_job(request, id) : api_reply_retry_later();
 }
--- a/src/controller/api/reply.c
+++ b/src/controller/api/reply.c
@@ -21,16 +21,16 @@
     return (reply_t){.kind = REPLY_NO_COMMANDS, .status = HTTP_OK, .fencing_token = fencing_token};
 }
 
-reply_t api_refuse(unsigned status, const char *message, unsigned retry_after_s)
+reply_t api_reply_refusal(unsigned status, const char *message, unsigned retry_after_s)
 {
     reply_t reply = api_reply_json(status, codec_build_error(message));
     reply.retry_after_s = retry_after_s;
     return reply;
 }
 
-reply_t api_retry_later(void)
+reply_t api_reply_retry_later(void)
 {
-    return api_refuse(HTTP_UNAVAILABLE, "the state service can't be asked now", 1);
+    return api_reply_refusal(HTTP_UNAVAILABLE, "the state service can't be asked now", 1);
 }
 
 void api_reply_clear(reply_t *reply)
--- a/src/controller/api/reply.h
+++ b/src/controller/api/reply.h
@@ -44,11 +44,11 @@
 
 /** Returns a reply that refuses the request. @p message: the reason, which is copied.
  * @p retry_after_s: seconds after which the client may retry; 0: no Retry-After header. */
-reply_t api_refuse(unsigned status, const char *message, unsigned retry_after_s);
+reply_t api_reply_refusal(unsigned status, const char *message, unsigned retry_after_s);
 
 /** Returns a refusal with status 503, for a request that needs the key-value store while the
  * key-value store cannot be called or does not answer. */
-reply_t api_retry_later(void);
+reply_t api_reply_retry_later(void);
 
 /** Frees the body of a reply that will not be sent. */
 void api_reply_clear(reply_t *reply);
--- a/src/controller/api/request_pool.c
+++ b/src/controller/api/request_pool.c
@@ -13,7 +13,7 @@
 
 static reply_t refuse_overload(void)
 {
-    return api_refuse(HTTP_UNAVAILABLE, "too many requests wait here", 1);
+    return api_reply_refusal(HTTP_UNAVAILABLE, "too many requests wait here", 1);
 }
 
 /* Sets the reply and resumes the connection. The caller must not use the request afterwards,
@@ -63,12 +63,12 @@
 {
     msec_t next_deadline = request_queue_earliest_deadline(&pool->queue);
     if (next_deadline == G_MAXINT64) {
-        pthread_cond_wait(&pool->workers_busy, &pool->lock);
+        pthread_cond_wait(&pool->all_workers_busy, &pool->lock);
         return;
     }
     struct timespec deadline = {.tv_sec = next_deadline / MS_PER_S,
                                 .tv_nsec = next_deadline % MS_PER_S * NS_PER_MS};
-    pthread_cond_timedwait(&pool->workers_busy, &pool->lock, &deadline);
+    pthread_cond_timedwait(&pool->all_workers_busy, &pool->lock, &deadline);
 }
 
 /* The loop of the thread that refuses requests whose wait deadline passes while all workers are
@@ -119,7 +119,7 @@
         start_worker_if_needed_locked(controller);
         pthread_cond_signal(&pool->available);
         if (has_more_waiting_than_idle_locked(pool))
-            pthread_cond_signal(&pool->workers_busy);
+            pthread_cond_signal(&pool->all_workers_busy);
     }
     pthread_mutex_unlock(&pool->lock);
     return has_space;
@@ -129,12 +129,13 @@
 {
     if (g_strlcpy(request->method, method, sizeof request->method) >= sizeof request->method ||
         g_strlcpy(request->path, path, sizeof request->path) >= sizeof request->path) {
-        request->reply = api_refuse(HTTP_NOT_FOUND, "no such path", 0);
+        request->reply = api_reply_refusal(HTTP_NOT_FOUND, "no such path", 0);
         return false;
     }
     msec_t now = clock_steady();
-    request->wait_deadline = now + API_WAIT_MS;
-    request->deadline = now + (strcmp(method, "GET") == 0 ? API_STATUS_MS : API_SUBMIT_MS);
+    request->wait_deadline = now + API_QUEUE_TIMEOUT_MS;
+    request->deadline =
+        now + (strcmp(method, "GET") == 0 ? API_STATUS_DEADLINE_MS : API_WRITE_DEADLINE_MS);
     bool is_queued = push_request(request);
     if (!is_queued)
         request->reply = refuse_overload();
--- a/src/controller/api/request_pool.h
+++ b/src/controller/api/request_pool.h
@@ -19,9 +19,10 @@
 
 /** The pool. It has its own lock, which is never held together with the controller's lock. */
 typedef struct request_pool {
-    pthread_mutex_t lock;         /**< Guards the fields from here to idle_worker_count. */
-    pthread_cond_t available;     /**< Signalled for each request that is queued. */
-    pthread_cond_t workers_busy;  /**< Signalled when more requests wait than threads are idle. */
+    pthread_mutex_t lock;     /**< Guards the fields from here to idle_worker_count. */
+    pthread_cond_t available; /**< Signalled for each request that is queued. */
+    pthread_cond_t
+        all_workers_busy;         /**< Signalled when more requests wait than threads are idle. */
     request_queue_t queue;        /**< Of request_t, transfer none. */
     guint worker_count;           /**< Threads started so far; they are started on demand. */
     guint idle_worker_count;      /**< Threads that wait for a request. */
--- a/src/controller/api/routes.c
+++ b/src/controller/api/routes.c
@@ -32,18 +32,18 @@
     const char *slash = strchr(rest, '/');
     gsize length = slash ? (gsize)(slash - rest) : strlen(rest);
     if (length == 0 || length >= sizeof id)
-        return api_refuse(HTTP_NOT_FOUND, "no such job", 0);
+        return api_reply_refusal(HTTP_NOT_FOUND, "no such job", 0);
     memcpy(id, rest, length);
     id[length] = '\0';
     if (!slash && is_get(method))
         return api_get_status(request, id);
     if (!slash)
-        return api_refuse(HTTP_METHOD_NOT_ALLOWED, "only GET is known here", 0);
+        return api_reply_refusal(HTTP_METHOD_NOT_ALLOWED, "only GET is known here", 0);
     if (strcmp(slash, "/abort") != 0)
-        return api_refuse(HTTP_NOT_FOUND, "no such path", 0);
+        return api_reply_refusal(HTTP_NOT_FOUND, "no such path", 0);
     if (is_post(method))
         return api_abort(request, id);
-    return api_refuse(HTTP_METHOD_NOT_ALLOWED, "only POST is known here", 0);
+    return api_reply_refusal(HTTP_METHOD_NOT_ALLOWED, "only POST is known here", 0);
 }
 
 reply_t api_route(request_t *request, const char *method, const char *path)
@@ -60,5 +60,5 @@
         return api_reply_text(metrics_text(controller->metrics));
     if (g_str_has_prefix(path, runs))
         return route_run(request, method, path + strlen(runs));
-    return api_refuse(HTTP_NOT_FOUND, "no such path", 0);
+    return api_reply_refusal(HTTP_NOT_FOUND, "no such path", 0);
 }
--- a/src/controller/api/status.c
+++ b/src/controller/api/status.c
@@ -35,9 +35,9 @@
     case JOB_CANCELLED:
         return api_reply_json(HTTP_OK, codec_build_status(id, "cancelled", 0, 0));
     case JOB_NOT_FOUND:
-        return api_refuse(HTTP_NOT_FOUND, "no such job", 0);
+        return api_reply_refusal(HTTP_NOT_FOUND, "no such job", 0);
     case JOB_UNKNOWN:
-        return api_retry_later();
+        return api_reply_retry_later();
     case JOB_LIVE:
         break;
     }
@@ -54,7 +54,7 @@
     }
     if (!api_must_shed_load(controller))
         return false;
-    *reply = api_retry_later();
+    *reply = api_reply_retry_later();
     return true;
 }
 
@@ -62,9 +62,9 @@
 {
     controller_t *controller = request->controller;
     if (!rate_limiter_take(&controller->api_request_limiter, 1, clock_steady()))
-        return api_refuse(HTTP_TOO_MANY_REQUESTS, "too many requests", 2);
+        return api_reply_refusal(HTTP_TOO_MANY_REQUESTS, "too many requests", 2);
     if (!api_acquire_kv_client(request))
-        return api_retry_later();
+        return api_reply_retry_later();
     msec_t started_at = clock_steady();
     job_state_t state = api_read_job_state(request, id, is_likely_live);
     metrics_time(controller->metrics, TIME_STATUS, clock_steady() - started_at);
@@ -84,7 +84,7 @@
     case LIVE_CHECK_LIVE:
         return api_status_reply(controller, id, JOB_LIVE);
     case LIVE_CHECK_UNANSWERED:
-        return api_retry_later();
+        return api_reply_retry_later();
     case LIVE_CHECK_CHANGED:
         break;
     }
--- a/src/controller/api/worker_heartbeats.c
+++ b/src/controller/api/worker_heartbeats.c
@@ -56,7 +56,7 @@
 {
     switch (judge_redirection_locked(controller, heartbeat, owner, now)) {
     case REDIRECTION_DUPLICATE:
-        return api_refuse(HTTP_UNAVAILABLE, "an old report", 0);
+        return api_reply_refusal(HTTP_UNAVAILABLE, "an old report", 0);
     case REDIRECTION_TO_OWNER:
         return api_reply_json(HTTP_MISDIRECTED, codec_build_redirect(owner->name));
     case REDIRECTION_RETAINED:
@@ -96,7 +96,7 @@
                                        heartbeat_verdict_t verdict, GArray *commands)
 {
     if (verdict == HEARTBEAT_DUPLICATE)
-        return api_refuse(HTTP_UNAVAILABLE, "an old report", 0);
+        return api_reply_refusal(HTTP_UNAVAILABLE, "an old report", 0);
     if (verdict != HEARTBEAT_ACCEPTED)
         redirection_append_stops(heartbeat, controller->jobs.live, commands);
     return commands_reply_locked(controller, commands);
@@ -134,13 +134,13 @@
     msec_t now = clock_steady();
     metrics_count(controller->metrics, COUNT_WORKER_HEARTBEATS, 1);
     if (view->count == 0 || is_view_outdated_locked(controller, heartbeat))
-        return api_refuse(HTTP_UNAVAILABLE, "not entitled now", 0);
+        return api_reply_refusal(HTTP_UNAVAILABLE, "not entitled now", 0);
     if (!worker_lease_may_renew(controller, now)) {
         /* Records that the machine is alive although its lease may not be renewed: after an
          * outage, machines whose heartbeats were refused must not be considered unresponsive. */
         if (controller->placement.is_loaded)
             partition_record_unanswered_heartbeat(controller->placement.partition, heartbeat, now);
-        return api_refuse(HTTP_UNAVAILABLE, "not entitled now", 0);
+        return api_reply_refusal(HTTP_UNAVAILABLE, "not entitled now", 0);
     }
     guint owner = membership_owner_index(controller, heartbeat->machine, heartbeat->zone);
     bool is_own = owner == controller->membership.own_index;
@@ -156,7 +156,7 @@
     g_autoptr(GError) error = NULL;
     if (request->is_body_too_long ||
         !codec_parse_worker_heartbeat(request->body->str, request->body->len, &heartbeat, &error))
-        return api_refuse(HTTP_BAD_REQUEST, error ? error->message : "too long", 0);
+        return api_reply_refusal(HTTP_BAD_REQUEST, error ? error->message : "too long", 0);
     pthread_mutex_lock(&controller->lock);
     reply_t reply = handle_heartbeat_locked(controller, &heartbeat);
     pthread_mutex_unlock(&controller->lock);
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -53,7 +53,7 @@
     pthread_cond_init(&controller->peers.relay_ready, &attributes);
     pthread_cond_init(&controller->autoscaler_ready, &attributes);
     pthread_cond_init(&controller->jobs.cancellation_appended, &attributes);
-    pthread_cond_init(&controller->requests.workers_busy, &attributes);
+    pthread_cond_init(&controller->requests.all_workers_busy, &attributes);
     pthread_condattr_destroy(&attributes);
 }
 
@@ -96,7 +96,7 @@
 {
     pthread_mutex_init(&requests->lock, NULL);
     pthread_cond_init(&requests->available, NULL);
-    request_queue_init(&requests->queue, REQUESTS_WAITING_COUNT);
+    request_queue_init(&requests->queue, REQUEST_QUEUE_MAX_COUNT);
 }
 
 static uint64_t generate_incarnation(void)
--- a/src/controller/stall_detector.c
+++ b/src/controller/stall_detector.c
@@ -8,7 +8,7 @@
 {
     stall_detector_t *stalls = &controller->stalls;
     msec_t gap = now - stalls->last_observed_at;
-    if (gap > STALL_MS) {
+    if (gap > STALL_MIN_MS) {
         log_info("event=process_stalled stall_ms=%" G_GINT64_FORMAT, gap);
         stalls->last_stall_at = now;
     }
--- a/src/controller/stall_detector.h
+++ b/src/controller/stall_detector.h
@@ -16,8 +16,8 @@
     msec_t last_stall_at;    /**< When a stall was last detected, at its end; 0 if never. */
 } stall_detector_t;
 
-/** Records the clock reading @p now. A gap of more than STALL_MS since the last reading is a stall,
- * which is logged. Called with the lock held. */
+/** Records the clock reading @p now. A gap of more than STALL_MIN_MS since the last reading is a
+ * stall, which is logged. Called with the lock held. */
 void stall_detector_observe(controller_t *controller, msec_t now);
 
 /** The thread's loop: reads the clock every STALL_CHECK_MS. @p data is the controller_t. Never
--- a/src/controller/startup.h
+++ b/src/controller/startup.h
@@ -53,9 +53,8 @@
  *                    REQUEST_WORKERS_COUNT  kv_clients.available and    status batch that is done
  *                    at most)               status_batches.finished,
  *                                           until its deadline
- *   expire           http_server.c          requests.workers_busy,      more queued requests than
- *                                           until the next request      idle request workers
- *                                           expires
+ *   expire           http_server.c          requests.all_workers_busy,      more queued requests
+ * than until the next request      idle request workers expires
  * @endverbatim
  */
 #ifndef PEPPERPULLEY_STARTUP_H
--- a/src/controller/threads.c
+++ b/src/controller/threads.c
@@ -97,7 +97,7 @@
     return id;
 }
 
-void threads_adopt(const char *role)
+void threads_register_current(const char *role)
 {
     if (is_adopted)
         return;
--- a/src/controller/threads.h
+++ b/src/controller/threads.h
@@ -19,7 +19,7 @@
 
 /** Registers the calling thread under the role. For threads that a library starts and that live as
  * long as the process. Further calls by the same thread do nothing and are cheap. */
-void threads_adopt(const char *role);
+void threads_register_current(const char *role);
 
 /** Appends two lines for each role: the number of its running threads, and the processor time that
  * all its threads have used since the start of the process, in microseconds. */
--- a/src/controller/worker_lease.c
+++ b/src/controller/worker_lease.c
@@ -47,13 +47,13 @@
     stall_detector_observe(controller, now);
     msec_t complete_until = cancellations_complete_until(controller);
     return controller->jobs.is_synced && complete_until >= controller->stalls.last_stall_at &&
-           now - complete_until < START_WATERMARK_MS;
+           now - complete_until < START_WATERMARK_MAX_AGE_MS;
 }
 
 bool worker_lease_may_push(controller_t *controller, const char *machine, uint64_t generation,
                            const GArray *commands, msec_t taken_at, msec_t now)
 {
-    if (now - taken_at <= STALL_MS)
+    if (now - taken_at <= STALL_MIN_MS)
         return true;
     if (controller->placement.generation == generation && controller->placement.is_loaded)
         partition_finish_push(controller->placement.partition, machine, commands, 0,
--- a/src/controller/worker_lease.h
+++ b/src/controller/worker_lease.h
@@ -26,15 +26,15 @@
 bool worker_lease_may_renew(const controller_t *controller, msec_t now);
 
 /** Returns whether starts may be sent at @p now. This requires that all of jobs/ has been read, and
- * that the cancellations are complete until a time less than START_WATERMARK_MS ago, and at least
- * until the end of the last stall: cancellations made during the stall are not known here. Also
- * reports @p now to the stall detector. */
+ * that the cancellations are complete until a time less than START_WATERMARK_MAX_AGE_MS ago, and at
+ * least until the end of the last stall: cancellations made during the stall are not known here.
+ * Also reports @p now to the stall detector. */
 bool worker_lease_may_start(controller_t *controller, msec_t now);
 
 /** Returns whether commands that a dispatcher took at @p taken_at may still be sent at @p now. If
- * more than STALL_MS have passed, the process stalled and the commands may be out of date; one may
- * start a job that was cancelled meanwhile. The commands are then returned to the partition, which
- * decides again, and the result is false.
+ * more than STALL_MIN_MS have passed, the process stalled and the commands may be out of date; one
+ * may start a job that was cancelled meanwhile. The commands are then returned to the partition,
+ * which decides again, and the result is false.
  *
  * @p machine: the machine's id. @p generation: the generation of the data that the commands were
  * taken from; the commands are returned only if that generation is still loaded. @p commands: array
--- a/tests/controller/test_controller_timing.c
+++ b/tests/controller/test_controller_timing.c
@@ -91,7 +91,7 @@
 static void test_a_start_taken_before_a_stall_is_not_pushed_after_it(void **state)
 {
     msec_t begun_at = clock_steady();
-    msec_t after_stall = begun_at + 3 * (msec_t)STALL_MS;
+    msec_t after_stall = begun_at + 3 * (msec_t)STALL_MIN_MS;
     fake_worker_t *worker = fake_worker_new("m-000001");
     controller_t *controller = new_owner_of_one_machine(*state, worker, begun_at);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
--- a/tests/controller/test_threads.c
+++ b/tests/controller/test_threads.c
@@ -52,8 +52,8 @@
 static void test_an_adopted_thread_is_counted_once(void **state)
 {
     (void)state;
-    threads_adopt("http");
-    threads_adopt("http");
+    threads_register_current("http");
+    threads_register_current("http");
     char *text = read_report();
     assert_int_equal(read_value(text, "threads{role=\"http\"} "), 1);
     assert_true(read_value(text, "thread_time_us{role=\"http\"} ") > 0);
--- a/tests/io/codec/test_encoding_samples.c
+++ b/tests/io/codec/test_encoding_samples.c
@@ -111,8 +111,9 @@
 {
     (void)state;
     assert_json_is_sample("answer_status.json", codec_build_status("j-000412", "running", 7, 5));
-    assert_json_is_sample("answer_refusal.json", api_refuse(HTTP_BAD_REQUEST, "Cpus", 0).body);
-    assert_json_is_sample("answer_come_back.json", api_retry_later().body);
+    assert_json_is_sample("answer_refusal.json",
+                          api_reply_refusal(HTTP_BAD_REQUEST, "Cpus", 0).body);
+    assert_json_is_sample("answer_come_back.json", api_reply_retry_later().body);
 }
 
 static void test_worker_heartbeat_is_read(void **state)
