--- a/src/controller/api/job_state.c
+++ b/src/controller/api/job_state.c
@@ -46,7 +46,7 @@
         return JOB_NOT_FOUND;
     if (result != KV_OK)
         return JOB_UNKNOWN;
-    bool is_done = codec_is_ended_done(entry.value);
+    bool is_done = codec_is_terminal_state_done(entry.value);
     api_entry_clear(&entry);
     return api_record_terminal_state(request->controller, id, is_done);
 }
--- a/src/controller/api/jobs.c
+++ b/src/controller/api/jobs.c
@@ -91,7 +91,7 @@
 
 static reply_t commit_job(request_t *request, const job_spec_t *spec)
 {
-    kv_txn_t txn = records_submit(spec);
+    kv_txn_t txn = records_build_submission(spec);
     kv_result_t result = api_commit(request, &txn, NULL);
     kv_txn_free(&txn);
     switch (result) {
@@ -186,7 +186,7 @@
 static kv_result_t commit_abort(request_t *request, const char *id, uint64_t revision,
                                 uint32_t tasks)
 {
-    kv_txn_t txn = records_abort(id, revision, tasks);
+    kv_txn_t txn = records_build_cancellation(id, revision, tasks);
     rate_limiter_charge(&request->controller->api_write_limiter,
                         (double)json_array_size(txn.changes), clock_steady());
     kv_result_t result = api_commit(request, &txn, NULL);
--- a/src/controller/autoscaler/retained_workers.c
+++ b/src/controller/autoscaler/retained_workers.c
@@ -9,7 +9,7 @@
 static void add_machines(GHashTable *retained, const json_t *value)
 {
     /* of const char *, borrowed from the value */
-    g_autoptr(GPtrArray) machines = codec_parse_retained(value);
+    g_autoptr(GPtrArray) machines = codec_parse_retained_workers(value);
     for (guint i = 0; i < machines->len; i++)
         g_hash_table_add(retained, g_strdup(g_ptr_array_index(machines, i)));
 }
@@ -25,7 +25,7 @@
     int64_t day_ms = clock_day();
     for (guint i = 0; i < entries->len; i++) {
         const json_t *value = g_array_index(entries, kv_entry_t, i).value;
-        if (day_ms - codec_get_retained_at(value) <= RETAINED_FRESH_MS)
+        if (day_ms - codec_get_retained_time(value) <= RETAINED_FRESH_MS)
             add_machines(retained, value);
     }
     /* This controller's own entry in the store may be seconds old, so its current list is added. */
@@ -57,7 +57,7 @@
     char key[URL_BYTES];
     kv_txn_t txn = kv_txn_new();
     g_snprintf(key, sizeof key, "kept/%s", controller->settings->name);
-    kv_txn_put(&txn, key, codec_build_retained(clock_day(), machines), 0);
+    kv_txn_put(&txn, key, codec_build_retained_workers(clock_day(), machines), 0);
     rate_limiter_charge(&controller->loop_request_limiter, 1, now);
     kv_commit(&controller->kv_store, context->http_client, &txn, KV_TIMEOUT_MS, NULL, NULL);
     kv_txn_free(&txn);
--- a/src/controller/membership/member_loop.c
+++ b/src/controller/membership/member_loop.c
@@ -59,7 +59,7 @@
         return;
     if (!read_key_revision(loop, now, &revision))
         return;
-    kv_txn_t txn = records_member(&controller->membership.election.self, revision, lease);
+    kv_txn_t txn = records_build_member(&controller->membership.election.self, revision, lease);
     rate_limiter_charge(&controller->loop_write_limiter, 1, now);
     kv_result_t result =
         kv_commit(&controller->kv_store, loop->client, &txn, KV_TIMEOUT_MS, NULL, NULL);
--- a/src/controller/placement/record_commit.c
+++ b/src/controller/placement/record_commit.c
@@ -125,7 +125,7 @@
                                     const record_batch_t *batch, uint64_t view_revision,
                                     uint64_t *revision, GPtrArray *failed_keys)
 {
-    kv_txn_t txn = records_commit(batch->progress, batch->machines, view_revision);
+    kv_txn_t txn = records_build_commit(batch->progress, batch->machines, view_revision);
     msec_t started_at = clock_steady();
     rate_limiter_charge(&controller->loop_request_limiter, 1, started_at);
     rate_limiter_charge(&controller->loop_write_limiter, batch->usage.ops, started_at);
--- a/src/controller/placement/record_loader.c
+++ b/src/controller/placement/record_loader.c
@@ -66,7 +66,7 @@
 {
     g_auto(GStrv) key_fields = g_strsplit(entry->key, "/", 3);
     gsize length = 0;
-    g_autofree uint8_t *bits = codec_parse_bits(entry->value, &length);
+    g_autofree uint8_t *bits = codec_parse_progress_chunk(entry->value, &length);
     if (g_strv_length(key_fields) == 3 && bits)
         leader_load_chunk(controller->placement.leader, key_fields[1],
                           (guint)g_ascii_strtoull(key_fields[2], NULL, DECIMAL), bits, length,
@@ -149,7 +149,7 @@
         const kv_entry_t *entry = &g_array_index(listing->machines, kv_entry_t, i);
         const char *page_name = entry->key + strlen("machines/");
         page_record_t page;
-        if (!codec_parse_record(page_name, entry->value, entry->revision, &page, NULL)) {
+        if (!codec_parse_page_record(page_name, entry->value, entry->revision, &page, NULL)) {
             log_error("event=bad_record key=%s", entry->key);
             is_valid = false;
             continue;
--- a/src/io/codec/codec.h
+++ b/src/io/codec/codec.h
@@ -139,44 +139,44 @@
 
 /** Builds the value of machines/PAGE, a page of machine records. Returns NULL if a part of it can't
  * be built, for example because a text is not UTF-8; the page must then not be written. */
-json_t *codec_build_record(const page_record_t *record);
+json_t *codec_build_page_record(const page_record_t *record);
 
 /** Parses the value of machines/PAGE. @p page: the page's name, the last part of the key.
  * @p revision: the revision of the key. Returns false and sets @p error (CODEC_ERROR; may be NULL)
  * if the value is corrupt. On success, the caller owns record->machines (transfer full).
  *
  * A page with a machine of another shard is corrupt: that machine would have two owners. */
-bool codec_parse_record(const char *page, const json_t *value, uint64_t revision,
-                        page_record_t *record, GError **error);
+bool codec_parse_page_record(const char *page, const json_t *value, uint64_t revision,
+                             page_record_t *record, GError **error);
 
 /** Builds the value of done/JOB/CHUNK: one bit for each task of the chunk, set if the task is done.
  * @p bits is @p bytes long. @p done_count: the number of tasks that are done. */
-json_t *codec_build_bits(const uint8_t *bits, gsize bytes, uint32_t done_count);
+json_t *codec_build_progress_chunk(const uint8_t *bits, gsize bytes, uint32_t done_count);
 
 /** Parses the value of done/JOB/CHUNK. Returns the bits (transfer full, g_free) and sets *bytes to
  * their size, or returns NULL if the value has none. */
-uint8_t *codec_parse_bits(const json_t *value, gsize *bytes);
+uint8_t *codec_parse_progress_chunk(const json_t *value, gsize *bytes);
 
 /** Builds the value of ended/JOB: the job's terminal state. @p is_done: whether the job is done
  * rather than cancelled. @p done_count: the number of its tasks that are done. */
-json_t *codec_build_ended(bool is_done, uint32_t done_count);
+json_t *codec_build_terminal_state(bool is_done, uint32_t done_count);
 
 /** Returns true if the value of ended/JOB says that the job is done, false if the job was
  * cancelled. */
-bool codec_is_ended_done(const json_t *value);
+bool codec_is_terminal_state_done(const json_t *value);
 
 /** Builds the value of kept/NAME: the workers that a controller retains. @p written_at_ms: the
  * current wall-clock time in milliseconds since 1970. @p machines: GPtrArray of char *, the
  * machines' ids. */
-json_t *codec_build_retained(int64_t written_at_ms, const GPtrArray *machines);
+json_t *codec_build_retained_workers(int64_t written_at_ms, const GPtrArray *machines);
 
 /** Returns the wall-clock time, in milliseconds since 1970, at which the value of kept/NAME was
  * written, or 0 if the value has no time. */
-int64_t codec_get_retained_at(const json_t *value);
+int64_t codec_get_retained_time(const json_t *value);
 
 /** Parses the value of kept/NAME. Returns the ids of the machines whose workers are retained:
  * GPtrArray of const char *, borrowed from @p value (transfer container). */
-GPtrArray *codec_parse_retained(const json_t *value);
+GPtrArray *codec_parse_retained_workers(const json_t *value);
 
 /** A page of a relayed message, the value of mail/INBOX/NAME.PAGE. The parser does not check the
  * numbers; the reader must. */
--- a/src/io/codec/stored_values.c
+++ b/src/io/codec/stored_values.c
@@ -41,7 +41,7 @@
                      record->type, "Zone", record->zone, "Spot", record->is_spot, "Tasks", tasks);
 }
 
-json_t *codec_build_record(const page_record_t *record)
+json_t *codec_build_page_record(const page_record_t *record)
 {
     json_t *jobs = json_array();
     json_t *machines = json_array();
@@ -179,8 +179,8 @@
     return true;
 }
 
-bool codec_parse_record(const char *page, const json_t *value, uint64_t revision,
-                        page_record_t *record, GError **error)
+bool codec_parse_page_record(const char *page, const json_t *value, uint64_t revision,
+                             page_record_t *record, GError **error)
 {
     *record = (page_record_t){.revision = revision, .machines = machine_records_new()};
     bool is_valid = parse_page(page, value, record, error);
@@ -189,30 +189,30 @@
     return is_valid;
 }
 
-json_t *codec_build_bits(const uint8_t *bits, gsize bytes, uint32_t done_count)
+json_t *codec_build_progress_chunk(const uint8_t *bits, gsize bytes, uint32_t done_count)
 {
     g_autofree char *text = g_base64_encode(bits, bytes);
     return json_pack("{s:s,s:I}", "Bits", text, "Done", (json_int_t)done_count);
 }
 
-uint8_t *codec_parse_bits(const json_t *value, gsize *bytes)
+uint8_t *codec_parse_progress_chunk(const json_t *value, gsize *bytes)
 {
     const char *text = json_string_value(json_object_get(value, "Bits"));
     return text ? g_base64_decode(text, bytes) : NULL;
 }
 
-json_t *codec_build_ended(bool is_done, uint32_t done_count)
+json_t *codec_build_terminal_state(bool is_done, uint32_t done_count)
 {
     return json_pack("{s:s,s:I}", "Trim", is_done ? "done" : "cancelled", "Done",
                      (json_int_t)done_count);
 }
 
-bool codec_is_ended_done(const json_t *value)
+bool codec_is_terminal_state_done(const json_t *value)
 {
     return g_strcmp0(json_string_value(json_object_get(value, "Trim")), "done") == 0;
 }
 
-json_t *codec_build_retained(int64_t written_at_ms, const GPtrArray *machines)
+json_t *codec_build_retained_workers(int64_t written_at_ms, const GPtrArray *machines)
 {
     json_t *ids = json_array();
     for (guint i = 0; i < machines->len; i++)
@@ -220,12 +220,12 @@
     return json_pack("{s:I,s:o}", "At", (json_int_t)written_at_ms, "Machines", ids);
 }
 
-int64_t codec_get_retained_at(const json_t *value)
+int64_t codec_get_retained_time(const json_t *value)
 {
     return json_integer_value(json_object_get(value, "At"));
 }
 
-GPtrArray *codec_parse_retained(const json_t *value)
+GPtrArray *codec_parse_retained_workers(const json_t *value)
 {
     return codec_collect_strings(json_object_get(value, "Machines"));
 }
--- a/src/io/records.c
+++ b/src/io/records.c
@@ -26,7 +26,8 @@
     format_chunk_key(progress->job, progress->chunk, key);
     kv_txn_require_revision(txn, job, progress->job_revision);
     kv_txn_require_revision(txn, key, progress->revision);
-    kv_txn_put(txn, key, codec_build_bits(progress->bits, progress->bytes, progress->done), 0);
+    kv_txn_put(txn, key,
+               codec_build_progress_chunk(progress->bits, progress->bytes, progress->done), 0);
 }
 
 static void write_job_completion(kv_txn_t *txn, const progress_t *progress)
@@ -36,7 +37,7 @@
     kv_txn_require_revision(txn, key, progress->job_revision);
     kv_txn_delete(txn, key);
     format_ended_key(progress->job, key);
-    kv_txn_put(txn, key, codec_build_ended(true, progress->done), 0);
+    kv_txn_put(txn, key, codec_build_terminal_state(true, progress->done), 0);
     for (guint chunk = 0; chunk < progress->chunk_revisions->len; chunk++) {
         uint64_t revision = g_array_index(progress->chunk_revisions, uint64_t, chunk);
         if (revision == 0) /* the chunk was never written */
@@ -58,7 +59,7 @@
         g_snprintf(key, sizeof key, "machines/%s", page);
         kv_txn_require_revision(txn, key, record->revision);
         if (record->machines->len > 0)
-            kv_txn_put(txn, key, codec_build_record(record), 0);
+            kv_txn_put(txn, key, codec_build_page_record(record), 0);
         else
             kv_txn_delete(txn, key);
     }
@@ -81,8 +82,8 @@
     }
 }
 
-kv_txn_t records_commit(const GArray *progress, const partition_batch_t *machines,
-                        uint64_t view_revision)
+kv_txn_t records_build_commit(const GArray *progress, const partition_batch_t *machines,
+                              uint64_t view_revision)
 {
     kv_txn_t txn = kv_txn_new();
     g_autoptr(GHashTable) written_jobs = g_hash_table_new(g_str_hash, g_str_equal); /* job ids */
@@ -100,7 +101,7 @@
     return txn;
 }
 
-kv_txn_t records_submit(const job_spec_t *spec)
+kv_txn_t records_build_submission(const job_spec_t *spec)
 {
     char job[KV_KEY_BYTES];
     char ended[KV_KEY_BYTES];
@@ -113,7 +114,7 @@
     return txn;
 }
 
-kv_txn_t records_abort(const char *id, uint64_t revision, uint32_t tasks)
+kv_txn_t records_build_cancellation(const char *id, uint64_t revision, uint32_t tasks)
 {
     char key[KV_KEY_BYTES];
     kv_txn_t txn = kv_txn_new();
@@ -121,7 +122,7 @@
     kv_txn_require_revision(&txn, key, revision);
     kv_txn_delete(&txn, key);
     format_ended_key(id, key);
-    kv_txn_put(&txn, key, codec_build_ended(false, 0), 0);
+    kv_txn_put(&txn, key, codec_build_terminal_state(false, 0), 0);
     /* A job with a single task has no progress before it ends, so there are no chunks to delete,
      * and each change counts towards the write rate limit. */
     for (uint32_t chunk = 0; tasks > 1 && chunk * CHUNK_BITS < tasks; chunk++) {
@@ -131,7 +132,7 @@
     return txn;
 }
 
-kv_txn_t records_member(const member_t *self, uint64_t revision, uint64_t lease)
+kv_txn_t records_build_member(const member_t *self, uint64_t revision, uint64_t lease)
 {
     char key[KV_KEY_BYTES];
     kv_txn_t txn = kv_txn_new();
--- a/src/io/records.h
+++ b/src/io/records.h
@@ -18,21 +18,21 @@
  * replaces or deletes are unchanged, so a commit of an older view fails however late it is
  * executed. It also requires that the jobs whose starts it records are unchanged, so that no start
  * is recorded after a cancellation. */
-kv_txn_t records_commit(const GArray *progress, const partition_batch_t *machines,
-                        uint64_t view_revision);
+kv_txn_t records_build_commit(const GArray *progress, const partition_batch_t *machines,
+                              uint64_t view_revision);
 
 /** Returns the transaction that submits a job (transfer full). It requires that the job neither
  * exists nor has ended, so that a late execution does not restore a job that has ended since. */
-kv_txn_t records_submit(const job_spec_t *spec);
+kv_txn_t records_build_submission(const job_spec_t *spec);
 
 /** Returns the transaction that cancels a job and deletes its progress (transfer full). It requires
  * that the key of the job has @p revision. @p tasks: number of tasks of the job. */
-kv_txn_t records_abort(const char *id, uint64_t revision, uint32_t tasks);
+kv_txn_t records_build_cancellation(const char *id, uint64_t revision, uint32_t tasks);
 
 /** Returns the transaction that writes this controller's entry under view/members/ and binds it to
  * @p lease (transfer full). It requires that the entry has @p revision (0: that there is no entry):
  * otherwise a late execution, after a newer write, would bind the entry to a lease that is no
  * longer extended. */
-kv_txn_t records_member(const member_t *self, uint64_t revision, uint64_t lease);
+kv_txn_t records_build_member(const member_t *self, uint64_t revision, uint64_t lease);
 
 #endif
--- a/tests/controller/test_controller_cancellation.c
+++ b/tests/controller/test_controller_cancellation.c
@@ -11,8 +11,9 @@
     char key[URL_BYTES];
     g_snprintf(key, sizeof key, "jobs/%s", id);
     uint64_t revision = fake_kv_server_revision(fixture->kv_server, key);
-    assert_int_equal(fake_kv_server_apply(fixture->kv_server, records_abort(id, revision, 2)),
-                     KV_OK);
+    assert_int_equal(
+        fake_kv_server_apply(fixture->kv_server, records_build_cancellation(id, revision, 2)),
+        KV_OK);
 }
 
 /* Returns whether the controller treats the job as ended. It then stops the job's tasks, whatever
--- a/tests/controller/test_controller_submissions.c
+++ b/tests/controller/test_controller_submissions.c
@@ -29,7 +29,7 @@
     job_spec_t spec;
     json_t *body = fixture_job(id);
     assert_true(codec_parse_job(body, false, &spec, NULL));
-    kv_txn_t txn = records_submit(&spec);
+    kv_txn_t txn = records_build_submission(&spec);
     job_spec_clear(&spec);
     json_decref(body);
     return txn;
--- a/tests/io/codec/test_codec.c
+++ b/tests/io/codec/test_codec.c
@@ -166,10 +166,10 @@
 static void test_terminal_state_is_parsed_back(void **state)
 {
     (void)state;
-    json_t *done = codec_build_ended(true, 3);
-    json_t *cancelled = codec_build_ended(false, 0);
-    assert_true(codec_is_ended_done(done));
-    assert_false(codec_is_ended_done(cancelled));
+    json_t *done = codec_build_terminal_state(true, 3);
+    json_t *cancelled = codec_build_terminal_state(false, 0);
+    assert_true(codec_is_terminal_state_done(done));
+    assert_false(codec_is_terminal_state_done(cancelled));
     json_decref(done);
     json_decref(cancelled);
 }
@@ -180,7 +180,7 @@
 {
     g_autoptr(GError) error = NULL;
     page_record_t record;
-    assert_false(codec_parse_record(page, value, 1, &record, &error));
+    assert_false(codec_parse_page_record(page, value, 1, &record, &error));
     assert_true(g_error_matches(error, CODEC_ERROR, (gint)code));
     assert_string_equal(error->message, message);
     json_decref(value);
@@ -222,10 +222,10 @@
     gsize bytes = 0;
     for (guint i = 0; i < sizeof bits; i++)
         bits[i] = (uint8_t)(i * 37);
-    json_t *value = codec_build_bits(bits, sizeof bits, 7);
+    json_t *value = codec_build_progress_chunk(bits, sizeof bits, 7);
     char *text = json_dumps(value, JSON_COMPACT);
     assert_true(strlen(text) < (size_t)4 * 1024); /* the smallest value_kb that settings accept */
-    uint8_t *parsed = codec_parse_bits(value, &bytes);
+    uint8_t *parsed = codec_parse_progress_chunk(value, &bytes);
     assert_int_equal(bytes, sizeof bits);
     assert_memory_equal(parsed, bits, sizeof bits);
     g_free(parsed);
--- a/tests/io/codec/test_encoding_samples.c
+++ b/tests/io/codec/test_encoding_samples.c
@@ -242,7 +242,7 @@
 {
     (void)state;
     page_record_t record = sample_page(0);
-    assert_json_is_sample("machines.json", codec_build_record(&record));
+    assert_json_is_sample("machines.json", codec_build_page_record(&record));
     g_array_unref(record.machines);
 }
 
@@ -254,7 +254,7 @@
     json_t *value = read_json_sample("machines.json");
     char name[PAGE_NAME_BYTES];
     page_name(expected.shard, expected.page, name, sizeof name);
-    assert_true(codec_parse_record(name, value, 9, &record, NULL));
+    assert_true(codec_parse_page_record(name, value, 9, &record, NULL));
     const machine_record_t *machines = &g_array_index(record.machines, machine_record_t, 0);
     assert_int_equal(record.machines->len, 2);
     assert_string_equal(machines[1].machine, "m-000063");
@@ -320,7 +320,7 @@
     g_array_append_val(batch.records, empty);
     g_hash_table_insert(batch.jobs, "j-000412", GSIZE_TO_POINTER(101));
     g_hash_table_insert(batch.jobs, "j-000555", GSIZE_TO_POINTER(105));
-    assert_txn_is_sample("txn_commit.json", records_commit(progress, &batch, 100));
+    assert_txn_is_sample("txn_commit.json", records_build_commit(progress, &batch, 100));
     g_array_unref(page.machines);
     g_array_unref(empty.machines);
     g_array_unref(batch.records);
@@ -334,7 +334,7 @@
     gsize bytes = 0;
     json_t *commit = read_json_sample("txn_commit.json");
     json_t *change = json_array_get(json_array_get(commit, 1), 0);
-    uint8_t *bits = codec_parse_bits(json_object_get(change, "Value"), &bytes);
+    uint8_t *bits = codec_parse_progress_chunk(json_object_get(change, "Value"), &bytes);
     assert_int_equal(bytes, 3);
     assert_memory_equal(bits, "\x81\xff\x02", 3);
     g_free(bits);
@@ -346,10 +346,11 @@
     (void)state;
     const member_t self = {"node-2", "south", 1700000000456, true};
     job_spec_t spec = submitted_job();
-    assert_txn_is_sample("txn_submit.json", records_submit(&spec));
-    assert_txn_is_sample("txn_abort.json", records_abort("j-000412", 21, CHUNK_BITS + 1));
-    assert_txn_is_sample("txn_abort_single.json", records_abort("j-000412", 22, 1));
-    assert_txn_is_sample("txn_member.json", records_member(&self, 23, 24));
+    assert_txn_is_sample("txn_submit.json", records_build_submission(&spec));
+    assert_txn_is_sample("txn_abort.json",
+                         records_build_cancellation("j-000412", 21, CHUNK_BITS + 1));
+    assert_txn_is_sample("txn_abort_single.json", records_build_cancellation("j-000412", 22, 1));
+    assert_txn_is_sample("txn_member.json", records_build_member(&self, 23, 24));
     job_spec_clear(&spec);
 }
 
--- a/tests/io/records_fixture.h
+++ b/tests/io/records_fixture.h
@@ -130,7 +130,7 @@
 {
     partition_batch_t *batch = fixture_take_batch(fixture);
     kv_result_t result =
-        fake_kv_store_apply(fixture->store, records_commit(NULL, batch, view_revision));
+        fake_kv_store_apply(fixture->store, records_build_commit(NULL, batch, view_revision));
     partition_batch_free(batch);
     return result;
 }
@@ -151,8 +151,8 @@
 {
     if (!g_str_has_prefix(key, "machines/"))
         return false;
-    assert_true(
-        codec_parse_record(key + strlen("machines/"), entry->value, entry->revision, record, NULL));
+    assert_true(codec_parse_page_record(key + strlen("machines/"), entry->value, entry->revision,
+                                        record, NULL));
     return true;
 }
 
--- a/tests/io/test_machine_pages.c
+++ b/tests/io/test_machine_pages.c
@@ -35,7 +35,7 @@
     partition_batch_t *batch = partition_batch_take(
         fixture->partition, &(partition_limits_t){24, 96, VALUE_MAX_BYTES, KV_TXN_VALUES_BYTES},
         1000);
-    kv_txn_t txn = records_commit(NULL, batch, view);
+    kv_txn_t txn = records_build_commit(NULL, batch, view);
     size_t i;
     json_t *change;
     json_array_foreach(txn.changes, i, change)
--- a/tests/io/test_records.c
+++ b/tests/io/test_records.c
@@ -9,12 +9,12 @@
 {
     records_fixture_t *fixture = *state;
     member_t self = {.name = "controller-1", .zone = "zone-a", .incarnation = 5};
-    kv_txn_t late = records_member(&self, 0, 1);
-    assert_int_equal(fake_kv_store_apply(fixture->store, records_member(&self, 0, 2)), KV_OK);
+    kv_txn_t late = records_build_member(&self, 0, 1);
+    assert_int_equal(fake_kv_store_apply(fixture->store, records_build_member(&self, 0, 2)), KV_OK);
     uint64_t revision = fake_kv_store_revision(fixture->store, "view/members/controller-1");
     assert_int_equal(fake_kv_store_apply(fixture->store, late), KV_CONFLICT);
     assert_int_equal(fake_kv_store_revision(fixture->store, "view/members/controller-1"), revision);
-    assert_int_equal(fake_kv_store_apply(fixture->store, records_member(&self, revision, 3)),
+    assert_int_equal(fake_kv_store_apply(fixture->store, records_build_member(&self, revision, 3)),
                      KV_OK);
 }
 
@@ -23,7 +23,7 @@
     records_fixture_t *fixture = *state;
     job_spec_t spec = fixture_job("j-000001", 1);
     uint64_t view = fake_kv_store_revision(fixture->store, "view/number");
-    fake_kv_store_apply(fixture->store, records_submit(&spec));
+    fake_kv_store_apply(fixture->store, records_build_submission(&spec));
     fixture_place_task(fixture, "j-000001",
                        fake_kv_store_revision(fixture->store, "jobs/j-000001"));
     fixture_start_view_2(fixture);
@@ -35,11 +35,12 @@
 {
     records_fixture_t *fixture = *state;
     job_spec_t spec = fixture_job("j-000001", 1);
-    fake_kv_store_apply(fixture->store, records_submit(&spec));
+    fake_kv_store_apply(fixture->store, records_build_submission(&spec));
     uint64_t revision = fake_kv_store_revision(fixture->store, "jobs/j-000001");
     fixture_place_task(fixture, "j-000001", revision);
-    assert_int_equal(fake_kv_store_apply(fixture->store, records_abort("j-000001", revision, 1)),
-                     KV_OK);
+    assert_int_equal(
+        fake_kv_store_apply(fixture->store, records_build_cancellation("j-000001", revision, 1)),
+        KV_OK);
     assert_int_equal(fixture_commit(fixture, fake_kv_store_revision(fixture->store, "view/number")),
                      KV_CONFLICT);
 }
@@ -50,15 +51,15 @@
     page_record_t record;
     g_autoptr(GError) error = NULL;
     job_spec_t spec = fixture_job("j-000001", 1);
-    fake_kv_store_apply(fixture->store, records_submit(&spec));
+    fake_kv_store_apply(fixture->store, records_build_submission(&spec));
     fixture_place_task(fixture, "j-000001",
                        fake_kv_store_revision(fixture->store, "jobs/j-000001"));
     assert_int_equal(fixture_commit(fixture, fake_kv_store_revision(fixture->store, "view/number")),
                      KV_OK);
     const kv_entry_t *entry = fake_kv_store_get(fixture->store, fixture_record_key());
     assert_non_null(entry);
-    assert_true(codec_parse_record(entry->key + strlen("machines/"), entry->value, entry->revision,
-                                   &record, NULL));
+    assert_true(codec_parse_page_record(entry->key + strlen("machines/"), entry->value,
+                                        entry->revision, &record, NULL));
     assert_int_equal(record.machines->len, 1);
     const machine_record_t *machine = &g_array_index(record.machines, machine_record_t, 0);
     assert_string_equal(machine->machine, "m-000001");
@@ -69,7 +70,8 @@
     assert_true(attempt->need.cpus > 3.9 && attempt->need.memory > 3.9);
     g_array_unref(record.machines);
     /* Under the key of another shard the record is invalid: its machine would have two owners. */
-    assert_false(codec_parse_record("zone-a.99", entry->value, entry->revision, &record, &error));
+    assert_false(
+        codec_parse_page_record("zone-a.99", entry->value, entry->revision, &record, &error));
     assert_true(g_error_matches(error, CODEC_ERROR, CODEC_ERROR_VALUE));
 }
 
@@ -77,11 +79,12 @@
 {
     records_fixture_t *fixture = *state;
     job_spec_t spec = fixture_job("j-000001", 1);
-    kv_txn_t late = records_submit(&spec);
-    fake_kv_store_apply(fixture->store, records_submit(&spec));
+    kv_txn_t late = records_build_submission(&spec);
+    fake_kv_store_apply(fixture->store, records_build_submission(&spec));
     fake_kv_store_apply(
         fixture->store,
-        records_abort("j-000001", fake_kv_store_revision(fixture->store, "jobs/j-000001"), 1));
+        records_build_cancellation("j-000001",
+                                   fake_kv_store_revision(fixture->store, "jobs/j-000001"), 1));
     assert_int_equal(fake_kv_store_apply(fixture->store, late), KV_CONFLICT);
     assert_null(fake_kv_store_get(fixture->store, "jobs/j-000001"));
     assert_non_null(fake_kv_store_get(fixture->store, "ended/j-000001"));
@@ -91,7 +94,7 @@
 {
     records_fixture_t *fixture = *state;
     job_spec_t spec = fixture_job("j-000001", 1);
-    fake_kv_store_apply(fixture->store, records_submit(&spec));
+    fake_kv_store_apply(fixture->store, records_build_submission(&spec));
     uint64_t revision = fake_kv_store_revision(fixture->store, "jobs/j-000001");
     progress_t end = {
         .job = "j-000001", .is_job_completion = true, .done = 1, .job_revision = revision};
@@ -101,9 +104,11 @@
     partition_batch_t *empty_batch = fixture_take_batch(fixture);
     uint64_t view = fake_kv_store_revision(fixture->store, "view/number");
     assert_int_equal(
-        fake_kv_store_apply(fixture->store, records_commit(progress, empty_batch, view)), KV_OK);
-    assert_int_equal(fake_kv_store_apply(fixture->store, records_abort("j-000001", revision, 1)),
-                     KV_CONFLICT);
+        fake_kv_store_apply(fixture->store, records_build_commit(progress, empty_batch, view)),
+        KV_OK);
+    assert_int_equal(
+        fake_kv_store_apply(fixture->store, records_build_cancellation("j-000001", revision, 1)),
+        KV_CONFLICT);
     const kv_entry_t *ended = fake_kv_store_get(fixture->store, "ended/j-000001");
     assert_string_equal(json_string_value(json_object_get(ended->value, "Trim")), "done");
     g_array_unref(end.chunk_revisions);
@@ -115,14 +120,15 @@
 {
     records_fixture_t *fixture = *state;
     job_spec_t spec = fixture_job("j-000001", 20000);
-    fake_kv_store_apply(fixture->store, records_submit(&spec));
+    fake_kv_store_apply(fixture->store, records_build_submission(&spec));
     kv_txn_t txn = kv_txn_new();
     kv_txn_put(&txn, "done/j-000001/0", json_integer(1), 0);
     kv_txn_put(&txn, "done/j-000001/1", json_integer(1), 0);
     fake_kv_store_apply(fixture->store, txn);
     fake_kv_store_apply(
         fixture->store,
-        records_abort("j-000001", fake_kv_store_revision(fixture->store, "jobs/j-000001"), 20000));
+        records_build_cancellation("j-000001",
+                                   fake_kv_store_revision(fixture->store, "jobs/j-000001"), 20000));
     assert_null(fake_kv_store_get(fixture->store, "done/j-000001/0"));
     assert_null(fake_kv_store_get(fixture->store, "done/j-000001/1"));
 }
@@ -149,13 +155,14 @@
 {
     records_fixture_t *fixture = *state;
     job_spec_t spec = fixture_job("j-000001", 1);
-    assert_int_equal(count_changes(records_submit(&spec)), 1);
-    assert_int_equal(count_changes(records_abort("j-000001", 5, 1)), 2);
-    assert_int_equal(count_changes(records_abort("j-000001", 5, 2)), 3); /* it may have progress */
+    assert_int_equal(count_changes(records_build_submission(&spec)), 1);
+    assert_int_equal(count_changes(records_build_cancellation("j-000001", 5, 1)), 2);
+    assert_int_equal(count_changes(records_build_cancellation("j-000001", 5, 2)),
+                     3); /* it may have progress */
     fixture_heartbeat(fixture, "m-000001", "t16", 1);
     fixture_place_tasks(fixture, 8, 2); /* all their starts are in one record */
     partition_batch_t *batch = fixture_take_batch(fixture);
-    assert_int_equal(count_changes(records_commit(NULL, batch, 1)), 1);
+    assert_int_equal(count_changes(records_build_commit(NULL, batch, 1)), 1);
     partition_batch_free(batch);
 }
 
@@ -167,13 +174,14 @@
 {
     records_fixture_t *fixture = *state;
     job_spec_t spec = fixture_job("j-000001", 1);
-    fake_kv_store_apply(fixture->store, records_submit(&spec));
+    fake_kv_store_apply(fixture->store, records_build_submission(&spec));
     uint64_t view = fake_kv_store_revision(fixture->store, "view/number");
     fixture_place_task(fixture, "j-000001",
                        fake_kv_store_revision(fixture->store, "jobs/j-000001"));
     partition_batch_t *batch = fixture_take_batch(fixture);
-    kv_txn_t late = records_commit(NULL, batch, view);
-    assert_int_equal(fake_kv_store_apply(fixture->store, records_commit(NULL, batch, view)), KV_OK);
+    kv_txn_t late = records_build_commit(NULL, batch, view);
+    assert_int_equal(fake_kv_store_apply(fixture->store, records_build_commit(NULL, batch, view)),
+                     KV_OK);
     partition_batch_free(batch);
     fixture_start_view_2(fixture);
     fixture_replace_partition(fixture, 2);
