--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -97,7 +97,7 @@
         return EXIT_USAGE;
     }
     (void)signal(SIGPIPE, SIG_IGN);
-    http_start();
+    http_client_init_library();
     controller_t *controller = controller_new(settings, policy);
     log_info("event=process_started version=%s host=%s incarnation=%" G_GUINT64_FORMAT,
              PEPPERPULLEY_VERSION, settings->name, controller->incarnation);
--- a/src/constants.h
+++ b/src/constants.h
@@ -28,7 +28,7 @@
 #define HASH_FACTOR 2654435761U
 
 /** Amounts of cpus or GB that differ by less are equal. Smaller than any amount in use. */
-static const double EPSILON = 1e-6;
+static const double RESOURCE_EPSILON = 1e-6;
 
 /** Sizes of strings, including the terminating zero. The codec refuses longer names. */
 enum {
@@ -74,7 +74,7 @@
 /** Highest accepted number in the settings. A larger one is treated as a mistake. */
 static const double SETTING_MAX = 1e9;
 /** Replaces a number in a message that is too large for a double. */
-static const double LARGEST_NUMBER = 1e308;
+static const double JSON_NUMBER_MAX = 1e308;
 
 /** Records in the key-value store. */
 enum {
@@ -164,7 +164,7 @@
     THREAD_STACK_BYTES = 128 * 1024,     /**< Deepest path: a JSON parse in an HTTP handler. */
     CONNECTION_BUFFER_BYTES = 16 * 1024, /**< Size of a connection's HTTP buffers. */
     CONNECTION_COST_BYTES = 32 * 1024,   /**< Upper bound of a connection: buffers and a request. */
-    ANSWER_BUFFER_BYTES = 1 << 18,       /**< Largest response buffer kept for the next call. */
+    RESPONSE_BUFFER_MAX_BYTES = 1 << 18, /**< Largest response buffer kept for the next call. */
     HTTP_READ_BYTES = 16384,             /**< Bytes read from an HTTP connection at once. */
     REAL_DIGITS_COUNT = 9,               /**< Significant digits of a real number in a request. */
     LISTEN_BACKLOG_COUNT = 16,           /**< Connections of siblings that wait to be accepted. */
--- a/src/controller/api/jobs.c
+++ b/src/controller/api/jobs.c
@@ -61,8 +61,8 @@
 static bool exceeds_quota(const job_spec_t *spec, const team_t *team)
 {
     double tasks = spec->kind == KIND_ARRAY ? 1 : spec->tasks;
-    return (team->max_cpus > 0 && tasks * spec->need.cpus > team->max_cpus + EPSILON) ||
-           (team->max_gpus > 0 && tasks * spec->need.gpus > team->max_gpus + EPSILON);
+    return (team->max_cpus > 0 && tasks * spec->need.cpus > team->max_cpus + RESOURCE_EPSILON) ||
+           (team->max_gpus > 0 && tasks * spec->need.gpus > team->max_gpus + RESOURCE_EPSILON);
 }
 
 static submission_verdict_t check_team_quota(const controller_t *controller, const job_spec_t *spec)
@@ -126,7 +126,7 @@
         return api_reply_refusal(HTTP_TOO_MANY_REQUESTS, "too many submissions", 2);
     if (!api_acquire_kv_client(request))
         return api_reply_retry_later();
-    spec->submitted_ms = clock_day();
+    spec->submitted_ms = clock_realtime();
     return commit_job(request, spec);
 }
 
--- a/src/controller/autoscaler/retained_workers.c
+++ b/src/controller/autoscaler/retained_workers.c
@@ -22,7 +22,7 @@
     rate_limiter_charge(&controller->loop_request_limiter, 1, clock_steady());
     if (kv_list(&controller->kv_store, context->http_client, "kept/", entries, NULL) != KV_OK)
         return NULL;
-    int64_t day_ms = clock_day();
+    int64_t day_ms = clock_realtime();
     for (guint i = 0; i < entries->len; i++) {
         const json_t *value = g_array_index(entries, kv_entry_t, i).value;
         if (day_ms - codec_get_retained_time(value) <= RETAINED_FRESH_MS)
@@ -57,7 +57,7 @@
     char key[URL_BYTES];
     kv_txn_t txn = kv_txn_new();
     g_snprintf(key, sizeof key, "kept/%s", controller->settings->name);
-    kv_txn_put(&txn, key, codec_build_retained_workers(clock_day(), machines), 0);
+    kv_txn_put(&txn, key, codec_build_retained_workers(clock_realtime(), machines), 0);
     rate_limiter_charge(&controller->loop_request_limiter, 1, now);
     kv_commit(&controller->kv_store, context->http_client, &txn, KV_TIMEOUT_MS, NULL, NULL);
     kv_txn_free(&txn);
--- a/src/controller/autoscaler/scale_in.c
+++ b/src/controller/autoscaler/scale_in.c
@@ -57,7 +57,7 @@
         guint partition = 0;
         machine_summary_t *surplus =
             autoscaler_next_scale_in(controller->autoscaler, controller->placement.leader,
-                                     controller->placement.machine_types, now, clock_day());
+                                     controller->placement.machine_types, now, clock_realtime());
         if (!surplus || !cloud_context_find_summary(controller, surplus->machine, &partition))
             break;
         log_info("event=scale_in_selected machine=%s", surplus->machine);
--- a/src/controller/autoscaler/scale_out.c
+++ b/src/controller/autoscaler/scale_out.c
@@ -45,7 +45,7 @@
     if (pending->is_pending || !cloud_context_may_act(controller) || !is_fleet_known(context, now))
         return false;
     if (!autoscaler_next_scale_out(controller->autoscaler, controller->placement.leader,
-                                   controller->placement.machine_types, now, clock_day(),
+                                   controller->placement.machine_types, now, clock_realtime(),
                                    &pending->request))
         return false;
     return !cancel_drain(controller);
--- a/src/controller/placement/command_dispatcher.c
+++ b/src/controller/placement/command_dispatcher.c
@@ -76,7 +76,7 @@
 {
     worker_heartbeat_t heartbeat = {0};
     gsize length;
-    const char *answer = http_answer(client, &length);
+    const char *answer = http_answer_body(client, &length);
     bool has_heartbeat =
         status > HTTP_NO_ANSWER && codec_parse_worker_heartbeat(answer, length, &heartbeat, NULL);
     log_debug("event=commands_pushed machine=%s commands=%u status=%d", push->machine,
--- a/src/controller/placement/placement_loop.c
+++ b/src/controller/placement/placement_loop.c
@@ -65,7 +65,7 @@
     leader_set_cpus_being_preempted(leader, own_index,
                                     partition_items_cpus_being_preempted(controller));
     /* Array of leader_request_t. */
-    g_autoptr(GArray) requests = leader_schedule(leader, now, clock_day(), max_requests);
+    g_autoptr(GArray) requests = leader_schedule(leader, now, clock_realtime(), max_requests);
     for (guint i = 0; i < requests->len; i++)
         send_placement_request_locked(controller, &g_array_index(requests, leader_request_t, i));
 }
--- a/src/core/autoscaler/autoscaler.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -126,5 +126,5 @@
 double autoscaler_price_per_cpu(const machine_type_t *machine_type, bool spot)
 {
     return (spot ? machine_type->spot_price : machine_type->price) /
-           MAX(machine_type->capacity.cpus, EPSILON);
+           MAX(machine_type->capacity.cpus, RESOURCE_EPSILON);
 }
--- a/src/core/autoscaler/scale_in_choice.c
+++ b/src/core/autoscaler/scale_in_choice.c
@@ -57,7 +57,8 @@
     const machine_type_t *machine_type =
         autoscaler_find_machine_type(choice->machine_types, summary->type);
     double price = machine_type ? autoscaler_price_per_cpu(machine_type, summary->is_spot) : 0;
-    double load = (summary->total.cpus - summary->free.cpus) / MAX(summary->total.cpus, EPSILON);
+    double load =
+        (summary->total.cpus - summary->free.cpus) / MAX(summary->total.cpus, RESOURCE_EPSILON);
     return price * (2 - load);
 }
 
--- a/src/core/autoscaler/scale_out_choice.c
+++ b/src/core/autoscaler/scale_out_choice.c
@@ -85,8 +85,8 @@
 static guint machines_to_cover(const machine_type_t *machine_type, resources_t missing,
                                double demand_cpus)
 {
-    double machines = MAX(missing.cpus / MAX(machine_type->capacity.cpus, EPSILON),
-                          missing.memory / MAX(machine_type->capacity.memory, EPSILON));
+    double machines = MAX(missing.cpus / MAX(machine_type->capacity.cpus, RESOURCE_EPSILON),
+                          missing.memory / MAX(machine_type->capacity.memory, RESOURCE_EPSILON));
     if (machine_type->capacity.cpus > demand_cpus * SCALE_OUT_OVERSIZE_FRACTION && machines < 1)
         return 0;
     return (guint)CLAMP(ceil(machines - SCALE_OUT_ROUNDING_FRACTION), 1,
--- a/src/core/leader/admission.c
+++ b/src/core/leader/admission.c
@@ -18,7 +18,7 @@
 
 static bool is_within_limit(double outstanding, double need, double limit)
 {
-    return limit <= 0 || outstanding + need <= limit + EPSILON;
+    return limit <= 0 || outstanding + need <= limit + RESOURCE_EPSILON;
 }
 
 bool leader_team_admits(const team_state_t *state, resources_t need)
--- a/src/core/leader/partition_choice.c
+++ b/src/core/leader/partition_choice.c
@@ -43,8 +43,8 @@
 {
     double cpus = summary->free.cpus - job->spec.need.cpus;
     double memory = summary->free.memory - job->spec.need.memory;
-    return MAX(1 - cpus / MAX(summary->total.cpus, EPSILON),
-               1 - memory / MAX(summary->total.memory, EPSILON));
+    return MAX(1 - cpus / MAX(summary->total.cpus, RESOURCE_EPSILON),
+               1 - memory / MAX(summary->total.memory, RESOURCE_EPSILON));
 }
 
 /* Returns the partition's machine that admits a task of the job and has the lowest projected load
--- a/src/core/leader/placement_requests.c
+++ b/src/core/leader/placement_requests.c
@@ -25,7 +25,7 @@
     for (guint i = 0; i < leader->teams->len && i < TEAMS_MASK_BITS; i++) {
         const team_state_t *other = &g_array_index(leader->teams, team_state_t, i);
         double remaining_cpus = other->outstanding_cpus - other->cpus_being_preempted;
-        if (other != state && remaining_cpus > other->team.guaranteed_cpus + EPSILON)
+        if (other != state && remaining_cpus > other->team.guaranteed_cpus + RESOURCE_EPSILON)
             mask |= 1ULL << i;
     }
     return mask;
@@ -41,8 +41,8 @@
         job->spec.needs_same_zone || job->spec.needs_spread || job->spec.kind == KIND_GANG)
         return false;
     request->preemptible_teams = preemptible_teams(leader, state);
-    request->claims_guarantee =
-        state->outstanding_cpus + job->spec.need.cpus <= state->team.guaranteed_cpus + EPSILON;
+    request->claims_guarantee = state->outstanding_cpus + job->spec.need.cpus <=
+                                state->team.guaranteed_cpus + RESOURCE_EPSILON;
     /* The policy selects the jobs that may preempt. Measurements showed that preempting
      * low-priority work for every task of normal priority loses more work than it gains. */
     bool is_preemption_enabled = tunable_for_job(leader->policy, TUNABLE_PREEMPT, &job->spec) != 0;
--- a/src/core/leader/schedule.c
+++ b/src/core/leader/schedule.c
@@ -41,7 +41,7 @@
     while (*position < queue->len && schedule->requests->len < schedule->max_requests) {
         const queued_job_t *queued = &g_array_index(queue, queued_job_t, *position);
         double cost = leader_task_cost(queued);
-        if (spent + cost > allowance + EPSILON)
+        if (spent + cost > allowance + RESOURCE_EPSILON)
             break;
         if (serve_entry(schedule, state, queued))
             spent += cost;
--- a/src/core/leader/team_queues.c
+++ b/src/core/leader/team_queues.c
@@ -138,7 +138,7 @@
 
 double leader_task_cost(const queued_job_t *queued)
 {
-    return MAX(queued->job->spec.need.cpus, EPSILON);
+    return MAX(queued->job->spec.need.cpus, RESOURCE_EPSILON);
 }
 
 static bool has_deadline_or_slo(const leader_t *leader, const job_t *job)
--- a/src/core/partition/placement.c
+++ b/src/core/partition/placement.c
@@ -9,10 +9,10 @@
 static double score(const machine_t *machine, resources_t need)
 {
     resources_t left = machine_free_resources(machine);
-    double cpus =
-        (machine->capacity.cpus - left.cpus + need.cpus) / MAX(machine->capacity.cpus, EPSILON);
+    double cpus = (machine->capacity.cpus - left.cpus + need.cpus) /
+                  MAX(machine->capacity.cpus, RESOURCE_EPSILON);
     double memory = (machine->capacity.memory - left.memory + need.memory) /
-                    MAX(machine->capacity.memory, EPSILON);
+                    MAX(machine->capacity.memory, RESOURCE_EPSILON);
     return MAX(cpus, memory);
 }
 
@@ -47,7 +47,7 @@
     if (request->priority >= PRIORITY_HIGH && first_has_image != second_has_image)
         return first_has_image ? -1 : 1;
     double difference = score(first, request->need) - score(second, request->need);
-    if (difference < -EPSILON || difference > EPSILON)
+    if (difference < -RESOURCE_EPSILON || difference > RESOURCE_EPSILON)
         return difference < 0 ? -1 : 1;
     if (first_has_image != second_has_image)
         return first_has_image ? -1 : 1;
--- a/src/core/partition/reservation.c
+++ b/src/core/partition/reservation.c
@@ -55,7 +55,7 @@
     confirm_dimension(&reservation->cpus, &growth->cpus);
     confirm_dimension(&reservation->gpus, &growth->gpus);
     confirm_dimension(&reservation->memory, &growth->memory);
-    return reservation->cpus + reservation->gpus + reservation->memory < EPSILON;
+    return reservation->cpus + reservation->gpus + reservation->memory < RESOURCE_EPSILON;
 }
 
 void reservation_confirm(GArray *list, resources_t growth, uint64_t accepted_count)
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -168,12 +168,13 @@
 /** Returns the reference of an attempt; @p job is copied. */
 task_ref_t task_ref(const char *job, uint32_t task, uint64_t attempt);
 
-/** Returns whether @p need fits into @p have. Amounts that differ by EPSILON or less are equal.
+/** Returns whether @p need fits into @p have. Amounts that differ by RESOURCE_EPSILON or less are
+ * equal.
  */
 static inline bool resources_fit(resources_t need, resources_t have)
 {
-    return need.cpus <= have.cpus + EPSILON && need.gpus <= have.gpus + EPSILON &&
-           need.memory <= have.memory + EPSILON;
+    return need.cpus <= have.cpus + RESOURCE_EPSILON && need.gpus <= have.gpus + RESOURCE_EPSILON &&
+           need.memory <= have.memory + RESOURCE_EPSILON;
 }
 
 /** Adds @p amount multiplied by @p factor to @p total. A factor of -1 subtracts the amount. */
--- a/src/io/clock.h
+++ b/src/io/clock.h
@@ -26,7 +26,7 @@
 
 /** Returns the wall-clock time in milliseconds since the Unix epoch, for times that are stored or
  * sent to other processes. */
-static inline int64_t clock_day(void)
+static inline int64_t clock_realtime(void)
 {
     return clock_read(CLOCK_REALTIME);
 }
--- a/src/io/codec/json_input.c
+++ b/src/io/codec/json_input.c
@@ -80,12 +80,12 @@
     return add_value(context, json_stringn_nocheck((const char *)text, length));
 }
 
-/* A number that does not fit into a double becomes LARGEST_NUMBER, because JSON has no infinity. It
- * is out of range in every field. */
+/* A number that does not fit into a double becomes JSON_NUMBER_MAX, because JSON has no infinity.
+ * It is out of range in every field. */
 static json_t *build_real(const char *text)
 {
     double value = g_ascii_strtod(text, NULL);
-    return json_real(isfinite(value) ? value : copysign(LARGEST_NUMBER, value));
+    return json_real(isfinite(value) ? value : copysign(JSON_NUMBER_MAX, value));
 }
 
 static int read_number(void *context, const char *text, size_t length)
--- a/src/io/codec/json_input.h
+++ b/src/io/codec/json_input.h
@@ -13,8 +13,8 @@
  * more than JSON_DEPTH_MAX_COUNT levels deep.
  *
  * An integer that does not fit into 64 bits becomes a real number. A real number that does not fit
- * into a double becomes LARGEST_NUMBER with its sign. It is thus out of range in each field that is
- * read, and has no effect in a field that is ignored. Strings may contain NUL characters.
+ * into a double becomes JSON_NUMBER_MAX with its sign. It is thus out of range in each field that
+ * is read, and has no effect in a field that is ignored. Strings may contain NUL characters.
  *
  * Sets *partial (transfer full) to what was parsed before the error, or to the whole value if there
  * was none. It is NULL if nothing was parsed. */
--- a/src/io/http_client.c
+++ b/src/io/http_client.c
@@ -9,7 +9,7 @@
     struct curl_slist *headers; /* sent with every request; owned, borrowed by curl */
 };
 
-void http_start(void)
+void http_client_init_library(void)
 {
     curl_global_init(CURL_GLOBAL_NOTHING);
 }
@@ -56,11 +56,11 @@
 }
 
 /* Empties the answer buffer. The answer to a watch can be large, so a buffer of more than
- * ANSWER_BUFFER_BYTES is freed and replaced by a new one. */
+ * RESPONSE_BUFFER_MAX_BYTES is freed and replaced by a new one. */
 static void clear_answer(http_client_t *client)
 {
     g_string_truncate(client->answer, 0);
-    if (client->answer->allocated_len <= ANSWER_BUFFER_BYTES)
+    if (client->answer->allocated_len <= RESPONSE_BUFFER_MAX_BYTES)
         return;
     g_string_free(client->answer, TRUE);
     client->answer = g_string_new(NULL);
@@ -100,12 +100,12 @@
     curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
     if (answer)
         *answer = json_loadb(client->answer->str, client->answer->len, 0, NULL);
-    if (client->answer->allocated_len > ANSWER_BUFFER_BYTES)
+    if (client->answer->allocated_len > RESPONSE_BUFFER_MAX_BYTES)
         clear_answer(client);
     return (int)status;
 }
 
-const char *http_answer(const http_client_t *client, gsize *length)
+const char *http_answer_body(const http_client_t *client, gsize *length)
 {
     *length = client->answer->len;
     return client->answer->str;
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -31,7 +31,7 @@
 };
 
 /** Initializes the HTTP library. Call it once per process, before any other thread starts. */
-void http_start(void);
+void http_client_init_library(void);
 
 /** Returns a client that keeps up to @p connections idle connections open (transfer full). */
 http_client_t *http_client_new(long connections);
@@ -48,7 +48,7 @@
 
 /** Returns the body of the answer to the last call as it was received (transfer none) and sets
  * *length to its size in bytes. The body is valid until the next call. It is empty if its buffer
- * exceeded ANSWER_BUFFER_BYTES. */
-const char *http_answer(const http_client_t *client, gsize *length);
+ * exceeded RESPONSE_BUFFER_MAX_BYTES. */
+const char *http_answer_body(const http_client_t *client, gsize *length);
 
 #endif
--- a/tests/controller/controller_fixture.c
+++ b/tests/controller/controller_fixture.c
@@ -111,7 +111,7 @@
 {
     if (signal(SIGPIPE, SIG_IGN) == SIG_ERR)
         abort();
-    http_start();
+    http_client_init_library();
     log_start(NULL);
     int failed = _cmocka_run_group_tests(name, tests, count, NULL, NULL);
     if (fflush(NULL) != 0)
--- a/tools/load.c
+++ b/tools/load.c
@@ -244,7 +244,7 @@
     if (send_request(client, controller, "GET", "/metrics", NULL, NULL) != HTTP_OK)
         return values;
     gsize length;
-    char **lines = g_strsplit(http_answer(client, &length), "\n", -1);
+    char **lines = g_strsplit(http_answer_body(client, &length), "\n", -1);
     for (char **line = lines; *line; line++) {
         char *space = strrchr(*line, ' ');
         if (!space)
@@ -382,7 +382,7 @@
     parse_options(argc, argv);
     (void)signal(SIGPIPE, SIG_IGN);
     allow_many_sockets();
-    http_start();
+    http_client_init_library();
     fake_kv_server_t *kv_server = fake_kv_server_new();
     fake_cloud_t *cloud = fake_cloud_new();
     fake_cloud_publish_machine_types(cloud);
