--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -60,7 +60,7 @@
         fprintf(stderr, "pepperpulley: %s\n", error->message);
         return NULL;
     }
-    g_autoptr(GPtrArray) errors = policy_faults_new();
+    g_autoptr(GPtrArray) errors = policy_errors_new();
     policy_t *policy = policy_compile(path, text, errors);
     for (guint i = 0; i < errors->len; i++)
         fprintf(stderr, "%s\n", ((const GError *)g_ptr_array_index(errors, i))->message);
--- a/src/policy/policy.c
+++ b/src/policy/policy.c
@@ -44,7 +44,7 @@
     g_error_free(error);
 }
 
-GPtrArray *policy_faults_new(void)
+GPtrArray *policy_errors_new(void)
 {
     return g_ptr_array_new_with_free_func(free_error);
 }
@@ -74,7 +74,7 @@
 
 policy_t *policy_default(void)
 {
-    g_autoptr(GPtrArray) errors = policy_faults_new();
+    g_autoptr(GPtrArray) errors = policy_errors_new();
     return policy_compile("defaults", "", errors);
 }
 
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -99,11 +99,11 @@
 
 /** Returns an empty array of GError * for the errors of policy_compile (transfer full). The array
  * owns its elements. */
-GPtrArray *policy_faults_new(void);
+GPtrArray *policy_errors_new(void);
 
 /** Compiles @p text. Tunables that it does not assign have their defaults. Returns the policy
  * (transfer full), or NULL if the text has errors. Each error is appended to @p errors, an array
- * from policy_faults_new, as a GError of POLICY_ERROR. Messages begin with @p file. */
+ * from policy_errors_new, as a GError of POLICY_ERROR. Messages begin with @p file. */
 policy_t *policy_compile(const char *file, const char *text, GPtrArray *errors);
 
 /** Returns the policy in which each tunable has its default (transfer full). */
--- a/tests/controller/controller_fixture.c
+++ b/tests/controller/controller_fixture.c
@@ -266,9 +266,9 @@
     do {
         send_heartbeat(fixture, worker);
         for (guint i = 0; i < POLLS_BETWEEN_HEARTBEATS; i++) {
-            if (fake_machine_active(worker->machine) == active)
+            if (fake_machine_active_count(worker->machine) == active)
                 break;
             controller_sleep(POLL_MS);
         }
-    } while (fake_machine_active(worker->machine) != active);
+    } while (fake_machine_active_count(worker->machine) != active);
 }
--- a/tests/controller/test_controller_cancellation.c
+++ b/tests/controller/test_controller_cancellation.c
@@ -191,7 +191,7 @@
         controller_sleep(POLL_MS);
     fixture_cancel(fixture, owner, "j-000002", "cancelled");
     fixture_wait_for_active_attempts(fixture, &worker, 0);
-    assert_int_equal(fake_machine_runs(worker.machine), 4);
+    assert_int_equal(fake_machine_started_count(worker.machine), 4);
     fixture_expect_state_everywhere(fixture, "j-000001", "cancelled");
     fixture_expect_state_everywhere(fixture, "j-000002", "cancelled");
 }
--- a/tests/controller/test_controller_load_shedding.c
+++ b/tests/controller/test_controller_load_shedding.c
@@ -110,10 +110,10 @@
 {
     const fixture_t *fixture = *state;
     submit_live_job(fixture, "j-000001");
-    fake_kv_server_stall(fixture->kv_server, true);
+    fake_kv_server_stall_user_requests(fixture->kv_server, true);
     expect_all_to_retry_later(fixture);
     expect_concurrent_users_to_retry_later(fixture);
-    fake_kv_server_stall(fixture->kv_server, false);
+    fake_kv_server_stall_user_requests(fixture->kv_server, false);
     fixture_expect(fixture, 0, "GET", "/v2/runs/j-000001", NULL, 200, "queued");
     fake_kv_server_refuse(fixture->kv_server, 0, true);
     expect_all_to_retry_later(fixture);
--- a/tests/controller/test_controller_work.c
+++ b/tests/controller/test_controller_work.c
@@ -10,14 +10,14 @@
     fixture_wait_for_active_attempts(fixture, &worker, 0);
     fixture_submit(fixture, 0, "j-000001");
     fixture_wait_for_active_attempts(fixture, &worker, 2);
-    fake_machine_complete(worker.machine);
+    fake_machine_complete_attempts(worker.machine);
     fixture_wait_until_done(fixture, &worker, "j-000001");
     fixture_submit(fixture, 0, "j-000002");
     fixture_wait_for_active_attempts(fixture, &worker, 2);
     fixture_cancel(fixture, 0, "j-000002", "cancelled");
     fixture_wait_for_active_attempts(fixture, &worker, 0);
     fixture_expect(fixture, 0, "GET", "/v2/runs/j-000001", NULL, 200, "done");
-    assert_int_equal(fake_machine_runs(worker.machine), 4);
+    assert_int_equal(fake_machine_started_count(worker.machine), 4);
 }
 
 /* Returns whether the controller answers that the job is running, with these numbers of tasks done
@@ -58,7 +58,7 @@
     fixture_expect(fixture, 0, "POST", "/v2/runs", body, 201, "queued");
     fixture_wait_for_active_attempts(fixture, &worker, 8);
     wait_for_counts_everywhere(fixture, "j-000001", 0, 8);
-    fake_machine_complete(worker.machine);
+    fake_machine_complete_attempts(worker.machine);
     fixture_wait_for_active_attempts(fixture, &worker, 2);
     wait_for_counts_everywhere(fixture, "j-000001", 8, 2);
     fixture_cancel(fixture, 1, "j-000001", "cancelled");
@@ -105,12 +105,12 @@
             fixture_expect_state_everywhere(fixture, id, "cancelled");
             fixture_wait_for_active_attempts(fixture, &worker, 0);
         } else {
-            fake_machine_complete(worker.machine);
+            fake_machine_complete_attempts(worker.machine);
             fixture_wait_until_done(fixture, &worker, id);
             fixture_expect_state_everywhere(fixture, id, "done");
         }
     }
-    assert_int_equal(fake_machine_runs(worker.machine), 8);
+    assert_int_equal(fake_machine_started_count(worker.machine), 8);
 }
 
 /* Guards against a slow start-up: starting a thread takes some of the controller's small processor
--- a/tests/core/partition/partition_fixture.c
+++ b/tests/core/partition/partition_fixture.c
@@ -59,7 +59,8 @@
 {
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
     assert_int_equal(deliver_heartbeat(fixture, &heartbeat, false), HEARTBEAT_ACCEPTED);
-    assert_true(fake_worker_answer(fixture->worker, fixture->partition->view, fixture->commands));
+    assert_true(
+        fake_worker_handle_answer(fixture->worker, fixture->partition->view, fixture->commands));
     fixture->now += 1000;
 }
 
@@ -106,7 +107,7 @@
     place_task(fixture, "j-000001", 0, 100);
     commit_batch(fixture);
     exchange_heartbeat(fixture);
-    fake_worker_exit(fixture->worker, "j-000001", 0, CAUSE_DONE);
+    fake_worker_exit_attempts(fixture->worker, "j-000001", 0, CAUSE_DONE);
     exchange_heartbeat(fixture);
 }
 
--- a/tests/core/partition/test_partition_heartbeats.c
+++ b/tests/core/partition/test_partition_heartbeats.c
@@ -19,7 +19,7 @@
     for (guint i = 0; i < 10; i++)
         exchange_heartbeat(fixture);
     assert_int_equal(partition_change_count(fixture->partition), changes);
-    fake_worker_exit(fixture->worker, "j-000001", 0, CAUSE_DONE);
+    fake_worker_exit_attempts(fixture->worker, "j-000001", 0, CAUSE_DONE);
     exchange_heartbeat(fixture);
     assert_true(partition_change_count(fixture->partition) > changes);
     changes = partition_change_count(fixture->partition);
@@ -34,7 +34,7 @@
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
     worker_heartbeat_t late_heartbeat = fake_worker_heartbeat(fixture->worker);
-    fake_worker_lose_lease(fixture->worker);
+    fake_worker_expire_lease(fixture->worker);
     exchange_heartbeat(fixture);
     assert_int_equal(deliver_heartbeat(fixture, &late_heartbeat, false), HEARTBEAT_DUPLICATE);
 }
@@ -50,7 +50,7 @@
     worker_heartbeat_t late_heartbeat = fake_worker_heartbeat(fixture->worker);
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     assert_non_null(partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, commands));
-    assert_true(fake_worker_push(fixture->worker, 7, 1, commands));
+    assert_true(fake_worker_handle_push(fixture->worker, 7, 1, commands));
     g_array_unref(commands);
     worker_heartbeat_t answer = fake_worker_heartbeat(fixture->worker);
     /* The push answer lists the task as running. */
@@ -74,8 +74,8 @@
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
     partition_handle_heartbeat(older_owner, &heartbeat, false, fixture->now, commands);
-    assert_false(fake_worker_answer(fixture->worker, 6, commands));
-    assert_int_equal(fake_worker_active(fixture->worker), 1);
+    assert_false(fake_worker_handle_answer(fixture->worker, 6, commands));
+    assert_int_equal(fake_worker_active_count(fixture->worker), 1);
     worker_heartbeat_clear(&heartbeat);
     g_array_unref(commands);
     partition_free(older_owner);
--- a/tests/core/partition/test_partition_placement.c
+++ b/tests/core/partition/test_partition_placement.c
@@ -91,7 +91,7 @@
     exchange_heartbeat(fixture);
     assert_int_equal(count_commands(fixture, COMMAND_STOP), 1);
     assert_int_equal(count_commands(fixture, COMMAND_RUN), 1);
-    assert_int_equal(fake_worker_active(fixture->worker), 4);
+    assert_int_equal(fake_worker_active_count(fixture->worker), 4);
     exchange_heartbeat(fixture);
     commit_batch(fixture);
     assert_true(has_result(fixture, 3, CAUSE_STOPPED) || has_result(fixture, 2, CAUSE_STOPPED) ||
@@ -130,7 +130,7 @@
     deliver_heartbeat(fixture, &heartbeat, false);
     assert_int_equal(count_commands(fixture, COMMAND_STOP), 1);
     assert_int_equal(count_commands(fixture, COMMAND_RUN), 0);
-    fake_worker_exit(fixture->worker, "j-000001", 0, CAUSE_STOPPED);
+    fake_worker_exit_attempts(fixture->worker, "j-000001", 0, CAUSE_STOPPED);
     exchange_heartbeat(fixture);
     assert_int_equal(count_commands(fixture, COMMAND_RUN), 1);
 }
@@ -155,7 +155,7 @@
     partition_tick(fixture->partition, fixture->now);
     exchange_heartbeat(fixture);
     assert_int_equal(count_commands(fixture, COMMAND_STOP), 0); /* 12 of 16 cpus are in use */
-    fake_worker_exit(fixture->worker, "j-000001", 2, CAUSE_DONE);
+    fake_worker_exit_attempts(fixture->worker, "j-000001", 2, CAUSE_DONE);
     exchange_heartbeat(fixture);
     partition_tick(fixture->partition, fixture->now);
     exchange_heartbeat(fixture);
--- a/tests/core/partition/test_partition_proofs.c
+++ b/tests/core/partition/test_partition_proofs.c
@@ -24,7 +24,7 @@
     place_task(fixture, "j-000001", 0, 100);
     commit_batch(fixture);
     exchange_heartbeat(fixture);
-    fake_worker_lose_lease(fixture->worker);
+    fake_worker_expire_lease(fixture->worker);
     exchange_heartbeat(fixture);
     /* The result is reported only after the attempt has left the record. */
     assert_int_equal(partition_results(fixture->partition)->len, 0);
@@ -47,13 +47,13 @@
     partition_finish_push(fixture->partition, "m-000001", late_commands, 7, PUSH_UNANSWERED);
     exchange_heartbeat(fixture); /* the answer to this heartbeat starts the task */
     assert_int_equal(fixture->worker->runs, 1);
-    fake_worker_exit(fixture->worker, "j-000001", 0, CAUSE_ERROR);
+    fake_worker_exit_attempts(fixture->worker, "j-000001", 0, CAUSE_ERROR);
     exchange_heartbeat(fixture);
     commit_batch(fixture);
     exchange_heartbeat(fixture);
     assert_int_equal(count_commands(fixture, COMMAND_FORGET), 0);
     assert_true(partition_needs_new_fencing_token(fixture->partition));
-    assert_true(fake_worker_push(fixture->worker, 7, 1, late_commands));
+    assert_true(fake_worker_handle_push(fixture->worker, 7, 1, late_commands));
     assert_int_equal(fixture->worker->runs, 1);
     /* Under a higher fencing token the worker refuses the late copy, so the attempt may be
      * forgotten. */
@@ -61,7 +61,7 @@
     exchange_heartbeat(fixture);
     exchange_heartbeat(fixture);
     assert_int_equal(fixture->worker->attempts->len, 0);
-    assert_false(fake_worker_push(fixture->worker, 7, 1, late_commands));
+    assert_false(fake_worker_handle_push(fixture->worker, 7, 1, late_commands));
     assert_int_equal(fixture->worker->runs, 1);
     g_array_unref(late_commands);
 }
@@ -78,10 +78,11 @@
     exchange_heartbeat(fixture); /* not listed, but the pushed command may still arrive */
     commit_batch(fixture);
     assert_int_equal(partition_results(fixture->partition)->len, 0);
-    assert_true(fake_worker_push(fixture->worker, 7, 1, late_commands));
+    assert_true(fake_worker_handle_push(fixture->worker, 7, 1, late_commands));
     partition_finish_push(fixture->partition, "m-000001", late_commands, 7, PUSH_UNANSWERED);
     exchange_heartbeat(fixture);
-    assert_int_equal(fake_worker_active(fixture->worker), 0); /* stopped as soon as it is listed */
+    assert_int_equal(fake_worker_active_count(fixture->worker),
+                     0); /* stopped as soon as it is listed */
     exchange_heartbeat(fixture);
     commit_batch(fixture);
     assert_true(has_result(fixture, 0, CAUSE_STOPPED));
@@ -98,7 +99,7 @@
     fixture->worker->fencing_token = 6;
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
     assert_int_equal(deliver_heartbeat(fixture, &heartbeat, false), HEARTBEAT_UNVERIFIED);
-    fake_worker_answer(fixture->worker, 7, fixture->commands);
+    fake_worker_handle_answer(fixture->worker, 7, fixture->commands);
     commit_batch(fixture);
     assert_int_equal(partition_results(fixture->partition)->len, 0);
     exchange_heartbeat(fixture);
@@ -115,12 +116,12 @@
     load_page_record(fixture);
     fixture->worker->fencing_token = 6;
     fixture->worker->heartbeat_sequence = 40;
-    fake_worker_lose_lease(fixture->worker);
+    fake_worker_expire_lease(fixture->worker);
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
     assert_int_equal(deliver_heartbeat(fixture, &heartbeat, false), HEARTBEAT_UNVERIFIED);
     commit_batch(fixture);
     assert_int_equal(partition_results(fixture->partition)->len, 0);
-    fake_worker_answer(fixture->worker, 7, fixture->commands);
+    fake_worker_handle_answer(fixture->worker, 7, fixture->commands);
     exchange_heartbeat(fixture);
     assert_int_equal(fixture->worker->runs, 0); /* the old attempt is not sent again */
     commit_batch(fixture);
@@ -142,7 +143,7 @@
         assert_int_equal(deliver_heartbeat(fixture, &heartbeat, false), HEARTBEAT_UNVERIFIED);
         fixture->now += 15000;
     }
-    fake_worker_lose_lease(fixture->worker);
+    fake_worker_expire_lease(fixture->worker);
     worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
     deliver_heartbeat(fixture, &heartbeat, false);
     commit_batch(fixture);
@@ -167,7 +168,7 @@
     assert_int_equal(deliver_heartbeat(fixture, &same_epoch_answer, true), HEARTBEAT_ACCEPTED);
     commit_batch(fixture);
     assert_int_equal(partition_results(fixture->partition)->len, 0);
-    fake_worker_lose_lease(fixture->worker);
+    fake_worker_expire_lease(fixture->worker);
     worker_heartbeat_t answer = fake_worker_heartbeat(fixture->worker);
     deliver_heartbeat(fixture, &answer, true);
     partition_finish_push(fixture->partition, "m-000001", fixture->commands, 7, PUSH_REFUSED);
@@ -211,10 +212,10 @@
         commit_batch(fixture);
         assert_int_equal(partition_results(fixture->partition)->len, 0);
     }
-    assert_true(fake_worker_push(fixture->worker, 7, 1, late_commands));
-    assert_int_equal(fake_worker_active(fixture->worker), 1);
+    assert_true(fake_worker_handle_push(fixture->worker, 7, 1, late_commands));
+    assert_int_equal(fake_worker_active_count(fixture->worker), 1);
     exchange_heartbeat(fixture);
-    assert_int_equal(fake_worker_active(fixture->worker), 0);
+    assert_int_equal(fake_worker_active_count(fixture->worker), 0);
     exchange_heartbeat(fixture);
     commit_batch(fixture);
     assert_true(has_result(fixture, 0, CAUSE_STOPPED));
@@ -224,7 +225,7 @@
     exchange_heartbeat(fixture);
     exchange_heartbeat(fixture);
     assert_int_equal(fixture->worker->attempts->len, 0);
-    assert_false(fake_worker_push(fixture->worker, 7, 1, late_commands));
+    assert_false(fake_worker_handle_push(fixture->worker, 7, 1, late_commands));
     assert_int_equal(fixture->worker->runs, 1);
     g_array_unref(late_commands);
 }
--- a/tests/core/partition/test_partition_reachability.c
+++ b/tests/core/partition/test_partition_reachability.c
@@ -34,7 +34,7 @@
     exchange_heartbeat(fixture);
     for (int round = 0; round < 3; round++) {
         fixture->now += 15000;
-        fake_worker_lose_lease(fixture->worker);
+        fake_worker_expire_lease(fixture->worker);
         worker_heartbeat_t heartbeat = fake_worker_heartbeat(fixture->worker);
         assert_int_equal(deliver_heartbeat(fixture, &heartbeat, false), HEARTBEAT_ACCEPTED);
         assert_null(partition_place(fixture->partition, &request, fixture->now));
--- a/tests/core/partition/test_partition_records.c
+++ b/tests/core/partition/test_partition_records.c
@@ -176,7 +176,7 @@
     exchange_heartbeat(fixture);
     assert_int_equal(count_commands(fixture, COMMAND_STOP), 1);
     assert_int_equal(g_array_index(fixture->commands, worker_command_t, 0).attempt, 100);
-    assert_int_equal(fake_worker_active(fixture->worker), 1);
+    assert_int_equal(fake_worker_active_count(fixture->worker), 1);
 }
 
 int main(void)
--- a/tests/fakes/fake_kv_server.c
+++ b/tests/fakes/fake_kv_server.c
@@ -289,7 +289,7 @@
     pthread_mutex_unlock(&server->lock);
 }
 
-void fake_kv_server_stall(fake_kv_server_t *server, bool is_stalled)
+void fake_kv_server_stall_user_requests(fake_kv_server_t *server, bool is_stalled)
 {
     pthread_mutex_lock(&server->lock);
     server->is_stalled = is_stalled;
--- a/tests/fakes/fake_kv_server.h
+++ b/tests/fakes/fake_kv_server.h
@@ -40,7 +40,7 @@
 /* Leaves one in period executed transactions without an answer, or none if period is 0. */
 void fake_kv_server_lose_answers(fake_kv_server_t *server, guint period);
 /* Starts or ends a stall, in which requests on behalf of users get no answer. */
-void fake_kv_server_stall(fake_kv_server_t *server, bool is_stalled);
+void fake_kv_server_stall_user_requests(fake_kv_server_t *server, bool is_stalled);
 /* Returns the number of requests on behalf of users so far. */
 guint fake_kv_server_user_requests(fake_kv_server_t *server);
 /* Makes all watches return no changes from now on. */
--- a/tests/fakes/fake_machine.c
+++ b/tests/fakes/fake_machine.c
@@ -76,8 +76,8 @@
     fake_machine_t *machine = data;
     g_autoptr(GArray) commands = parse_commands(request->body);
     pthread_mutex_lock(&machine->lock);
-    bool is_executed = fake_worker_push(machine->worker, read_number(request->body, "Helm"),
-                                        read_number(request->body, "Watch"), commands);
+    bool is_executed = fake_worker_handle_push(machine->worker, read_number(request->body, "Helm"),
+                                               read_number(request->body, "Watch"), commands);
     json_t *heartbeat = build_heartbeat(machine);
     pthread_mutex_unlock(&machine->lock);
     return (fake_http_answer_t){is_executed ? 200 : 409, heartbeat};
@@ -104,19 +104,19 @@
 {
     g_autoptr(GArray) commands = parse_commands(answer);
     pthread_mutex_lock(&machine->lock);
-    fake_worker_answer(machine->worker, read_number(answer, "Helm"), commands);
+    fake_worker_handle_answer(machine->worker, read_number(answer, "Helm"), commands);
     pthread_mutex_unlock(&machine->lock);
 }
 
-guint fake_machine_active(fake_machine_t *machine)
+guint fake_machine_active_count(fake_machine_t *machine)
 {
     pthread_mutex_lock(&machine->lock);
-    guint active = fake_worker_active(machine->worker);
+    guint active = fake_worker_active_count(machine->worker);
     pthread_mutex_unlock(&machine->lock);
     return active;
 }
 
-guint fake_machine_runs(fake_machine_t *machine)
+guint fake_machine_started_count(fake_machine_t *machine)
 {
     pthread_mutex_lock(&machine->lock);
     guint runs = machine->worker->runs;
@@ -124,14 +124,14 @@
     return runs;
 }
 
-void fake_machine_complete(fake_machine_t *machine)
+void fake_machine_complete_attempts(fake_machine_t *machine)
 {
     pthread_mutex_lock(&machine->lock);
     for (guint i = 0; i < machine->worker->attempts->len; i++) {
         const reported_attempt_t *attempt =
             &g_array_index(machine->worker->attempts, reported_attempt_t, i);
         if (attempt->state != TASK_EXITED)
-            fake_worker_exit(machine->worker, attempt->job, attempt->task, CAUSE_DONE);
+            fake_worker_exit_attempts(machine->worker, attempt->job, attempt->task, CAUSE_DONE);
     }
     pthread_mutex_unlock(&machine->lock);
 }
--- a/tests/fakes/fake_machine.h
+++ b/tests/fakes/fake_machine.h
@@ -22,10 +22,10 @@
 /* Executes the commands in the answer to a heartbeat. */
 void fake_machine_handle_answer(fake_machine_t *machine, const json_t *answer);
 /* Returns the number of attempts that have not exited. */
-guint fake_machine_active(fake_machine_t *machine);
+guint fake_machine_active_count(fake_machine_t *machine);
 /* Returns the number of attempts started so far. */
-guint fake_machine_runs(fake_machine_t *machine);
+guint fake_machine_started_count(fake_machine_t *machine);
 /* Lets every attempt that has not exited complete successfully. */
-void fake_machine_complete(fake_machine_t *machine);
+void fake_machine_complete_attempts(fake_machine_t *machine);
 
 #endif
--- a/tests/fakes/fake_worker.c
+++ b/tests/fakes/fake_worker.c
@@ -71,7 +71,8 @@
     }
 }
 
-bool fake_worker_answer(fake_worker_t *worker, uint64_t fencing_token, const GArray *commands)
+bool fake_worker_handle_answer(fake_worker_t *worker, uint64_t fencing_token,
+                               const GArray *commands)
 {
     if (fencing_token < worker->fencing_token)
         return false;
@@ -81,14 +82,14 @@
     return true;
 }
 
-bool fake_worker_push(fake_worker_t *worker, uint64_t fencing_token, uint64_t worker_epoch,
-                      const GArray *commands)
+bool fake_worker_handle_push(fake_worker_t *worker, uint64_t fencing_token, uint64_t worker_epoch,
+                             const GArray *commands)
 {
     return worker_epoch == worker->worker_epoch &&
-           fake_worker_answer(worker, fencing_token, commands);
+           fake_worker_handle_answer(worker, fencing_token, commands);
 }
 
-void fake_worker_exit(fake_worker_t *worker, const char *job, uint32_t task, cause_t cause)
+void fake_worker_exit_attempts(fake_worker_t *worker, const char *job, uint32_t task, cause_t cause)
 {
     for (guint i = 0; i < worker->attempts->len; i++) {
         reported_attempt_t *attempt = &g_array_index(worker->attempts, reported_attempt_t, i);
@@ -99,13 +100,13 @@
     }
 }
 
-void fake_worker_lose_lease(fake_worker_t *worker)
+void fake_worker_expire_lease(fake_worker_t *worker)
 {
     worker->worker_epoch++;
     g_array_set_size(worker->attempts, 0);
 }
 
-guint fake_worker_active(const fake_worker_t *worker)
+guint fake_worker_active_count(const fake_worker_t *worker)
 {
     guint active = 0;
     for (guint i = 0; i < worker->attempts->len; i++)
--- a/tests/fakes/fake_worker.h
+++ b/tests/fakes/fake_worker.h
@@ -20,18 +20,20 @@
 worker_heartbeat_t fake_worker_heartbeat(fake_worker_t *worker);
 /* Executes the commands in the answer to a heartbeat. Returns false and executes none of them if
  * the fencing token is outdated. */
-bool fake_worker_answer(fake_worker_t *worker, uint64_t fencing_token, const GArray *commands);
+bool fake_worker_handle_answer(fake_worker_t *worker, uint64_t fencing_token,
+                               const GArray *commands);
 /* Does the same with pushed commands. Also returns false and executes none of them if they are for
  * another worker epoch. */
-bool fake_worker_push(fake_worker_t *worker, uint64_t fencing_token, uint64_t worker_epoch,
-                      const GArray *commands);
+bool fake_worker_handle_push(fake_worker_t *worker, uint64_t fencing_token, uint64_t worker_epoch,
+                             const GArray *commands);
 /* Makes all attempts at the task exit with the cause. */
-void fake_worker_exit(fake_worker_t *worker, const char *job, uint32_t task, cause_t cause);
+void fake_worker_exit_attempts(fake_worker_t *worker, const char *job, uint32_t task,
+                               cause_t cause);
 /* Simulates the expiry of the worker's lease: kills and forgets all attempts, and begins a new
  * epoch.
  */
-void fake_worker_lose_lease(fake_worker_t *worker);
+void fake_worker_expire_lease(fake_worker_t *worker);
 /* Returns the number of attempts that have not exited. */
-guint fake_worker_active(const fake_worker_t *worker);
+guint fake_worker_active_count(const fake_worker_t *worker);
 
 #endif
--- a/tests/io/codec/test_encoding_samples.c
+++ b/tests/io/codec/test_encoding_samples.c
@@ -366,7 +366,7 @@
                  [ATTR_JOB_TEAM] = "vision",
                  [ATTR_MACHINE_TYPE] = "g8",
                  [ATTR_MACHINE_ZONE] = "north"}};
-    GPtrArray *faults = policy_faults_new();
+    GPtrArray *faults = policy_errors_new();
     char *text = read_sample("settings.policy");
     policy_t *policy = policy_compile("settings.policy", text, faults);
     assert_non_null(policy);
--- a/tests/policy/test_policy.c
+++ b/tests/policy/test_policy.c
@@ -5,7 +5,7 @@
 
 static int set_up(void **state)
 {
-    *state = policy_faults_new();
+    *state = policy_errors_new();
     return 0;
 }
 
@@ -18,7 +18,7 @@
 /* Expects that compiling the text reports one error, with this code and message. */
 static void assert_error(const char *text, policy_error_t code, const char *message)
 {
-    g_autoptr(GPtrArray) errors = policy_faults_new();
+    g_autoptr(GPtrArray) errors = policy_errors_new();
     assert_null(policy_compile("f", text, errors));
     assert_int_equal(errors->len, 1);
     const GError *error = g_ptr_array_index(errors, 0);
--- a/tools/load.c
+++ b/tools/load.c
@@ -134,7 +134,7 @@
 {
     double probability = (double)WORKER_TICK_MS / MS_PER_S / load.options.run_s;
     if (arc4random_uniform(RANDOM_STEPS) < probability * RANDOM_STEPS)
-        fake_machine_complete(machine);
+        fake_machine_complete_attempts(machine);
 }
 
 /* Returns whether the worker has started attempts since it had started *runs, and updates *runs. */
