--- a/src/constants.h
+++ b/src/constants.h
@@ -62,8 +62,8 @@
 
 /** Lowest values accepted in the platform's settings. */
 enum {
-    FD_LIMIT_MIN_COUNT = 150, /**< Sockets: CONNECTIONS_SPARE_COUNT and a few for workers. */
-    RAM_MIN_MIB = 16,         /**< Memory. */
+    FD_LIMIT_MIN_COUNT = 150, /**< fd_limit: CONNECTIONS_SPARE_COUNT and some for workers. */
+    RAM_MIN_MIB = 16,         /**< ram_mb. */
     KV_TXN_OPS_MIN_COUNT = 10 /**< Changes in one transaction of the key-value store. */
 };
 
@@ -81,22 +81,22 @@
     KEYS_PAGE_COUNT = 500, /**< Keys per list request: half of the store's limit, to save memory. */
     CHUNK_BITS = 16384,    /**< Tasks in one progress key: 2 KiB, or 2.7 KiB as base64. */
     /** An attempt number is the view number shifted left by this many bits, plus a counter of the
-     * view's attempts: room for 16 million. It stays below 2^53. */
+     * view's attempts, of which there may be 16 million. The number stays below 2^53. */
     ATTEMPT_SHIFT_BITS = 24,
-    SHARDS_PER_ZONE_COUNT = 12, /**< Units of ownership; a large shard has several pages. */
+    SHARDS_PER_ZONE_COUNT = 12, /**< Members own whole shards. A large one has several pages. */
     RECORD_RESERVE_BYTES = 512, /**< Space kept free below value_kb in the record of a page. */
     RECORD_ATTEMPT_BYTES = 32,  /**< Upper bound of the size of an attempt in a record. */
     RECORD_MACHINE_BYTES = 110, /**< Size of a machine in a record, without names and attempts. */
     RECORD_JOB_BYTES = 100,     /**< Size of a job's header in a record, without names. */
-    PROGRESS_BYTES = 64,        /**< Size of a job's progress or end, without its bits. */
+    PROGRESS_BYTES = 64, /**< Size of a record of a job's progress or end, without task bits. */
     KV_TXN_VALUES_BYTES = 48 * 1024, /**< Size of all values; conditions take the rest of 64 KiB. */
     /** Timeout of a call. Slow answers take some hundred ms; after the timeout the outcome counts
      * as indeterminate. */
     KV_TIMEOUT_MS = 2000,
-    /** How long a watch request blocks if nothing changes: half a request per second. Its answer
-     * also advances the time until which cancellations are known. */
+    /** How long a watch request blocks if nothing changes, which makes half a request per second.
+     * Its answer also advances the time until which cancellations are known. */
     KV_WATCH_BLOCK_MS = 2000,
-    COMMIT_GAP_MS = 60,      /**< Pause between commits: batches starts and saves write rate. */
+    COMMIT_GAP_MS = 60,      /**< Pause between commits; batches starts, which saves writes. */
     PLACEMENT_TICK_MS = 250, /**< Longest wait of the placement loop for an event. */
     /** Progress of a job is collected for this long before it is written, or longer if the write
      * rate requires it. */
@@ -114,7 +114,7 @@
     /** Duration of a controller's lease in the key-value store, including the leader's. Failover
      * completes well within the shortest worker lease, 10 s. */
     LEASE_TTL_MS = 4000,
-    LEASE_EXTEND_GAP_MS = 1000, /**< Between extensions: three attempts before the lease ends. */
+    LEASE_EXTEND_GAP_MS = 1000, /**< Between extensions; permits three attempts per lease. */
     KV_RETRY_DELAY_MS = 500,    /**< Pause after a failed read of the view or of other keys. */
     CANDIDACY_YIELD_MS = 400, /**< Additional delay before a less suitable candidate's candidacy. */
     CANDIDACY_JITTER_MS = 150, /**< Highest random delay before a candidacy; avoids conflicts. */
@@ -163,18 +163,18 @@
     HTTP_THREADS_COUNT = 4, /**< Serve all connections. A heartbeat takes a fraction of a ms. */
     THREAD_STACK_BYTES = 128 * 1024,     /**< Deepest path: a JSON parse in an HTTP handler. */
     CONNECTION_BUFFER_BYTES = 16 * 1024, /**< Size of a connection's HTTP buffers. */
-    CONNECTION_COST_BYTES = 32 * 1024,   /**< Upper bound of a connection: buffers and a request. */
+    CONNECTION_COST_BYTES = 32 * 1024,   /**< Most memory of a connection: buffers and a request. */
     RESPONSE_BUFFER_MAX_BYTES = 1 << 18, /**< Largest response buffer kept for the next call. */
     HTTP_READ_BYTES = 16384,             /**< Bytes read from an HTTP connection at once. */
     REAL_DIGITS_COUNT = 9,               /**< Significant digits of a real number in a request. */
     LISTEN_BACKLOG_COUNT = 16,           /**< Connections of siblings that wait to be accepted. */
     CONNECTION_IDLE_S = 30, /**< Idle connections are closed; clients send every few seconds. */
-    /** Sockets of fd_limit for the controller's own calls: 33 HTTP clients with two connections
-     * each, and siblings. The dispatchers' connections are not included. */
+    /** Sockets reserved from fd_limit for the controller's own calls: 33 HTTP clients with two
+     * connections each, and siblings. The dispatchers' connections are not included. */
     CONNECTIONS_SPARE_COUNT = 100,
     DISPATCHER_CONNECTIONS_MIN_COUNT = 2,  /**< Fewest connections of one dispatcher. */
     DISPATCHER_CONNECTIONS_MAX_COUNT = 16, /**< Most connections; 256 for all dispatchers. */
-    DISPATCHER_CONNECTIONS_DIVISOR = 96,   /**< Between these bounds, one in so many of fd_limit. */
+    DISPATCHER_CONNECTIONS_DIVISOR = 96,   /**< One in so many of fd_limit, within these bounds. */
     WORKER_CONNECTIONS_DIVISOR = 4, /**< One in so many connections is reserved for workers. */
     HEAP_TRIM_BYTES = 256 * 1024    /**< Free memory above this at the heap's end is released. */
 };
@@ -223,7 +223,7 @@
      * each blocks a thread briefly. */
     DISPATCHERS_COUNT = 16,
     DISPATCHER_IDLE_MS = 2500, /**< Longest wait of the idle dispatcher that polls. */
-    /** Added to lease_s before an unresponsive machine is released: its lease has then expired. */
+    /** A machine is terminated after a silence of lease_s plus this: its lease has then expired. */
     SILENT_MARGIN_MS = 5000
 };
 
@@ -244,7 +244,7 @@
      * time. Less than the 5 s after which workers try another controller. */
     OWNER_REACHABLE_WITHIN_MS = 3000,
     RETAINED_WRITE_GAP_MS = 3000, /**< Interval between writes of the list of retained workers. */
-    /** The same if a worker was added, because the leader may be about to release its machine. */
+    /** The same if a worker was added, because the leader may soon terminate its machine. */
     RETAINED_GROWN_GAP_MS = 1000,
     RETAINED_FRESH_MS = 8000,      /**< A list of retained workers older than this is ignored. */
     REDIRECTION_FORGET_MS = 60000, /**< A worker not seen for longer is forgotten. */
@@ -260,8 +260,9 @@
     /** After this time without a message of any sibling, the siblings count as unreachable. Peer
      * heartbeats arrive every half second. */
     SIBLING_TIMEOUT_MS = 5000,
-    /** Without the key-value store and without siblings, a controller still answers workers for
-     * this long. Their new owner is elected after 5 s and waits 15 s before it releases them. */
+    /** A controller that reaches neither the key-value store nor a sibling answers workers for this
+     * long. It is replaced after 5 s, and its machines are terminated 15 s later at the earliest.
+     */
     ISOLATED_SERVE_MS = 8000,
     CANCEL_MARGIN_MS = 3000, /**< Subtracted from cancel_s - lease_s for a heartbeat in transit. */
     /** No start is sent if the last time until which all cancellations are known is longer ago than
@@ -270,7 +271,7 @@
     STALL_MIN_MS = 1000, /**< A gap between clock readings that is longer than this is a stall. */
     /** Interval between clock readings if no other thread reads the clock. */
     STALL_CHECK_MS = 500,
-    /** Entries kept for siblings to fetch: those of a minute or more at the rate limits. */
+    /** Entries kept for siblings to fetch. At the rate limits, they cover a minute or more. */
     CANCELLATION_LOG_COUNT = 2048,
     CANCELLATION_UPDATE_COUNT = 256, /**< Entries per message, 6 KB; the next has the rest. */
     JOB_COUNTS_BATCH_COUNT = 256,    /**< Jobs with task counts in one heartbeat answer, 8 KB. */
@@ -284,28 +285,28 @@
     /** The leader delays an answer without items for up to this long, in case one arrives. */
     PEER_ANSWER_DELAY_MS = 200,
     PEER_IDLE_MS = 15000,      /**< A connection without an exchange for this time is closed. */
-    PEER_EXCHANGE_GAP_MS = 50, /**< Pause between exchanges: batches bursts. */
+    PEER_EXCHANGE_GAP_MS = 50, /**< Pause between exchanges; batches bursts. */
     PEER_RETRY_MS = 300,       /**< Pause after a failed exchange. */
-    /** Below this, changes of the time since a machine's last heartbeat are not sent: readers
-     * compare it with ACKNOWLEDGEMENT_TIMEOUT_MS or more. */
+    /** Changes of the time for which a machine has been silent are not sent while it is below this,
+     * because readers compare it with ACKNOWLEDGEMENT_TIMEOUT_MS or more. */
     SUMMARY_SILENT_MS = 3500,
     SUMMARY_IDLE_ERROR_MS = 500, /**< Tolerated error of idle times, which are used in seconds. */
     PEER_SUMMARIES_GAP_MS = 400, /**< Interval between machine summaries without a new batch. */
     PEER_READ_BYTES = 4096,      /**< Bytes read at once: most messages in one call. */
     PEER_FRAME_MAX_BYTES = 1 << 20, /**< Largest message. Typical ones have 10 KB. */
-    /** Items in a message: the starts and ends of 200 machines in a second, which is the duration
-     * of an exchange by relay. */
+    /** Most items in a message. An exchange by relay takes a second, and in that time 200 machines
+     * have about this many starts and ends. */
     PEER_BATCH_COUNT = 128,
     /** Longest time that the answer to a peer heartbeat waits for new cancellations. */
     PEER_HEARTBEAT_HOLD_MS = 1000,
-    PEER_HEARTBEAT_TIMEOUT_MS = 2500,   /**< The hold time, and the delay of a slow sibling. */
+    PEER_HEARTBEAT_TIMEOUT_MS = 2500,   /**< Covers the hold time and a slow sibling's delay. */
     PEER_HEARTBEAT_GAP_MS = 500,        /**< Pause after a failed peer heartbeat. */
-    PEER_HEARTBEAT_UPDATE_GAP_MS = 250, /**< Pause after cancellations: batches bursts. */
+    PEER_HEARTBEAT_UPDATE_GAP_MS = 250, /**< Pause after a quick answer; batches cancellations. */
     RELAY_AFTER_MS = 2500, /**< The relay is used after this time without an exchange by socket. */
     RELAY_SOCKET_GAP_MS = 6000, /**< Interval between socket attempts while the relay is used. */
-    RELAY_GAP_MS = 400,         /**< Interval between reads of the relay: saves request rate. */
+    RELAY_GAP_MS = 400,         /**< Interval between reads of the relay, to save requests. */
     RELAY_RESERVE_BYTES = 512,  /**< Kept free below value_kb in a page of a relayed message. */
-    RELAY_PAGES_COUNT = 10 /**< Pages of a message; a transaction holds about four of 16 KiB. */
+    RELAY_PAGES_COUNT = 10      /**< Most pages of a message; four of 16 KiB fill a transaction. */
 };
 
 /* On a small share of a processor, the pauses between rounds are lengthened where that affects only
@@ -319,19 +320,20 @@
 
 /** Placement. */
 enum {
-    JOB_ERRORS_BACKOFF_COUNT = 4, /**< Consecutive failures after which a job is quarantined. */
-    /** A machine is quarantined after this many failures of jobs that run elsewhere. */
+    JOB_ERRORS_BACKOFF_COUNT = 4, /**< Consecutive failures after which a job backs off. */
+    /** Failures without a success in between after which a machine is quarantined, unless they
+     * all concern one job that has finished no task. */
     MACHINE_ERRORS_QUARANTINE_COUNT = 3,
-    JOB_BACKOFF_MS = 5000, /**< First backoff of a quarantined job; doubles with each failure. */
+    JOB_BACKOFF_MS = 5000,      /**< First backoff of a job; doubles with each further failure. */
     JOB_BACKOFF_MAX_MS = 60000, /**< Longest backoff of a job: one start per minute. */
-    TASK_BACKOFF_MS = 500,      /**< After a refused start: the resources were not free. */
-    /** A job of this age without any started task is placed first (the starvation minimum): the
-     * largest job must start within four minutes. */
+    TASK_BACKOFF_MS = 500, /**< Backoff after a start that was refused for lack of resources. */
+    /** A job of this age that has finished no task has one task placed first (the starvation
+     * minimum), because the largest job must start within four minutes. */
     STARVATION_AGE_MS = 120000,
-    /** From this age on, some of its remaining tasks are placed first. */
+    /** From this age on, some of the job's remaining tasks are placed first. */
     LONG_STARVATION_AGE_MS = 240000,
     STARVING_TASKS_DIVISOR = 16, /**< One task in so many is placed first at a time. */
-    /** Longest claim of a machine for large work. No work that fits the machine may wait 90 s. */
+    /** Longest claim of a machine for large work. Other work that fits it must not wait 90 s. */
     CLAIM_MAX_MS = 60000,
     CLAIM_COOLDOWN_MS = 10000,    /**< After a claim, a machine accepts all work for this long. */
     CLAIMED_MACHINES_DIVISOR = 8, /**< At most one machine in so many is claimed. */
@@ -340,15 +342,15 @@
     PREEMPT_MIN_RUN_MS = 2000 /**< A task is not preempted within this time after its start. */
 };
 
-/** Fraction of the sum of all guarantees: lowest fair-share weight, even without a guarantee. */
+/** Lowest fair-share weight of any team, as a fraction of the sum of all guarantees. */
 static const double UNGUARANTEED_TEAM_FRACTION = 0.1;
-/** Fraction of the weight of a team without a guarantee that applies to its work of a class without
- * an SLO. With 0.25, only half of such a class was served by the end of a day; with 0.5, nearly all
- * of it was. */
+/** Factor on the weight of a team without a guarantee while its next job has neither a deadline nor
+ * an SLO. With 0.25, only half of a class of such jobs was served by the end of a day; with 0.5,
+ * nearly all of it was. */
 static const double BEST_EFFORT_WEIGHT_FRACTION = 0.5;
 /** Cost of preempting a task, added to its lost run time: it waits and fetches its image again. */
 static const double PREEMPT_RESTART_COST_S = 5.0;
-/** Additional cost on a machine that has not cached the image of the task to be placed. */
+/** Additional cost if the machine has not cached the image of the task to be placed. */
 static const double PREEMPT_IMAGE_FETCH_COST_S = 30.0;
 
 /** Scale out and scale in. */
@@ -356,36 +358,38 @@
     /** Timeout of a call. Scale-out may be slow, but a lost answer costs only a repeated call. */
     CLOUD_TIMEOUT_MS = 10000,
     CLOUD_LIST_GAP_MS = 2500, /**< Between reads of the machine list, which lags by seconds. */
-    /** Divided by cloud.rps, the interval between rounds: a round's three calls share the limit. */
+    /** The interval between rounds is this divided by cloud.rps: three calls share that limit. */
     CLOUD_ROUND_MS = 1500,
     /** Interval between rounds of a controller that is not the leader and only publishes. */
     CLOUD_IDLE_GAP_MS = 1000,
-    /** Shortest interval between rounds: with the lists, fewer than 5 calls per second. */
+    /** Shortest interval between rounds; with the lists, fewer than 5 calls per second. */
     CLOUD_GAP_MS = 300,
     MACHINE_TYPES_GAP_MS = 60000, /**< Between reads of the machine types; prices change slowly. */
     /** A type, zone and kind that the cloud refused is not requested again within this time. */
     CAPACITY_RETRY_MS = 12000,
     /** No scale-out in a zone for this long after all its machines were last found unresponsive. */
     UNREACHABLE_ZONE_MS = 60000,
-    /** The machines of such a zone are not released for this long, three boot times. */
+    /** The machines of such a zone are not terminated for this long, three boot times. */
     UNREACHABLE_ZONE_WAIT_MS = 60000,
     /** A booting instance is given up after this time plus three times its type's boot time. */
     BOOT_TIMEOUT_MS = 30000,
     DRAINS_PER_ROUND_COUNT = 8 /**< Drains hundreds of machines in seconds, not minutes. */
 };
 
-/** Shortest scale-out patience of work that is near its deadline. Only tasks that can run one after
- * the other within the patience share a machine. */
+/** The maximum wait of work that is near its deadline is not shortened below this. Only tasks that
+ * can run one after the other within the maximum wait share a machine. */
 static const double SCALE_OUT_MAX_WAIT_MIN_S = 15.0;
-/** Fraction of the total demand. A larger machine is not added unless the demand fills it. */
+/** Fraction of the cpus of the total demand. A larger machine is added only if the missing
+ * resources fill it. */
 static const double SCALE_OUT_OVERSIZE_FRACTION = 0.6;
-/** Fraction of a machine: no machine is added for a smaller remainder of the demand. */
+/** Fraction of a machine. No further machine is added for a smaller remainder of the demand. */
 static const double SCALE_OUT_ROUNDING_FRACTION = 0.25;
 /** Fraction of the price that is added for each existing machine of the same type, zone and kind,
  * to spread the risk. */
 static const double SCALE_OUT_SPREAD_FRACTION = 0.02;
-/** On-demand machines are drained when the queue needs less time than their patience divided by
- * this. Scale-in thus begins at less pending work than scale-out stops at. */
+/** On-demand machines are drained if the pending work needs less time than their maximum wait
+ * divided by this. This is less work than the amount at which scale-out stops, so that machines are
+ * not added and removed repeatedly. */
 static const double ON_DEMAND_EASED_FACTOR = 2.0;
 /** Fraction of a draining machine's cpus: if at least this much is free, its work that can
  * checkpoint is moved to other machines. */
--- a/src/controller/jobs/job_directory.h
+++ b/src/controller/jobs/job_directory.h
@@ -28,8 +28,8 @@
 
 /** The directory's state. Guarded by the controller's lock. */
 typedef struct job_directory {
-    GHashTable *live; /**< Id (char *, borrowed from the value) -> live_job_t *, owned. */
-    bool is_synced;   /**< Whether all of jobs/ has been read, so that its changes are watched. */
+    GHashTable *live;      /**< Id (char *, borrowed from the value) -> live_job_t *, owned. */
+    bool is_synced;        /**< Whether all of jobs/ has been read. Its changes are watched then. */
     msec_t complete_until; /**< Every job accepted or cancelled before this time (steady clock,
                               ms) is known. */
     job_counts_replica_t counts; /**< The leader's task counts per job, or those that this
--- a/src/controller/membership/member_loop.c
+++ b/src/controller/membership/member_loop.c
@@ -126,7 +126,7 @@
 {
     controller_t *controller = loop->controller;
     pthread_mutex_lock(&controller->lock);
-    /* The election is vacant, so a lease that still exists belongs to an earlier process of this
+    /* view/lease is vacant, so a lease that is still recorded belongs to an earlier process of this
      * controller. Until it expires no other controller can take it, so there is no candidate to
      * yield to. */
     bool has_own_lease = controller->membership.election.lease_revision != 0;
--- a/src/controller/peer/peer_exchange.h
+++ b/src/controller/peer/peer_exchange.h
@@ -6,9 +6,9 @@
  * the answer carries what the leader has to send. A leader with nothing to send delays its answer
  * for a moment, so that an item queued meanwhile goes with it. Messages travel by socket
  * (peer_client.c, peer_server.c) or, while sockets fail, as values in the key-value store
- * (peer_relay.c), which stays reachable during a network partition between zones. Messages that the
- * relay delays or repeats do no more harm than those on a socket: batches are numbered, and the
- * numbers are valid within one view only.
+ * (peer_relay.c), which stays reachable during a network partition between zones. A batch that the
+ * relay delays or repeats does no harm, because batches are numbered and the numbers are valid only
+ * within one view.
  */
 #ifndef PEPPERPULLEY_PEER_EXCHANGE_H
 #define PEPPERPULLEY_PEER_EXCHANGE_H
--- a/src/controller/peer/peer_server.c
+++ b/src/controller/peer/peer_server.c
@@ -16,10 +16,10 @@
     int fd;
 } peer_connection_t;
 
-/* Waits until the leader has something to send to the partition, for PEER_ANSWER_DELAY_MS (paced)
- * at most. Returns the channel, or NULL if the placement generation changed during the wait,
- * because a new view frees the channel. Called with the lock held, which is released during the
- * wait. */
+/* Waits until the leader has something to send to the partition, for PEER_ANSWER_DELAY_MS at most,
+ * which controller_scale_pause() may lengthen. Returns the channel, or NULL if the placement
+ * generation changed during the wait, because a new view frees the channel. Called with the lock
+ * held, which is released during the wait. */
 static channel_t *wait_for_items_locked(controller_t *controller, channel_t *channel)
 {
     uint64_t generation = controller->placement.generation;
--- a/src/controller/placement/command_dispatcher.c
+++ b/src/controller/placement/command_dispatcher.c
@@ -5,9 +5,9 @@
  * another controller meanwhile. Whether the commands may still be sent is therefore checked again
  * right before the call. A stall within the call, or a delay on the network, is not caught by this
  * check: the start is then in transit when the job is cancelled. It is handled like any delayed
- * start: its record is kept until there is proof that the attempt is over, the stop that follows
- * the cancellation is repeated as long as the worker lists the attempt, and once the worker's lease
- * has expired, the worker epoch that the start names has ended.
+ * start. Its record is kept until the attempt is proven to be over. The stop that follows the
+ * cancellation is repeated as long as the worker lists the attempt. Once the worker's lease has
+ * expired, the worker epoch that the start names has ended.
  */
 #include "controller/placement/command_dispatcher.h"
 
@@ -31,8 +31,8 @@
     GArray *commands; /* of worker_command_t; transfer none: the dispatcher owns and reuses it */
 } push_t;
 
-/* A dispatcher. It keeps connections to its own machines, and pushes to other machines only while
- * their dispatcher is busy. */
+/* A dispatcher. It keeps connections to the machines that are assigned to it, and pushes to other
+ * machines only while their dispatcher is busy. */
 typedef struct dispatcher {
     controller_t *controller;
     guint dispatcher_index;
@@ -82,8 +82,8 @@
     log_debug("event=commands_pushed machine=%s commands=%u status=%d", push->machine,
               push->commands->len, status);
     pthread_mutex_lock(&controller->lock);
-    /* If another generation was loaded meanwhile, its data know nothing of this push, and its
-     * higher fencing token makes the push void. */
+    /* If another generation was loaded meanwhile, its data do not include this push, and the higher
+     * fencing token that comes with it makes the push invalid. */
     if (controller->placement.generation == push->generation && controller->placement.is_loaded)
         apply_push_result_locked(controller, push, push_result(status, has_heartbeat),
                                  has_heartbeat ? &heartbeat : NULL);
--- a/src/controller/placement/partition_items.c
+++ b/src/controller/placement/partition_items.c
@@ -52,15 +52,15 @@
     pthread_cond_broadcast(&controller->peers.item_available);
 }
 
-/* Withdraws a placement from this controller's own partition. */
+/* Withdraws a placed attempt from this controller's own partition. */
 static void withdraw_locally(controller_t *controller, const task_ref_t *ref, msec_t now)
 {
     partition_withdraw_placement(controller->placement.partition, ref, now);
     controller_notify_placement(controller);
 }
 
-/* Withdraws all outstanding placements of a gang, one of whose tasks found no machine, so that the
- * partitions free the resources reserved for the other tasks. */
+/* Withdraws all outstanding attempts of a gang. Called when no machine was found for one of its
+ * tasks, so that the partitions free the resources that are reserved for the others. */
 static void withdraw_gang(controller_t *controller, const char *job)
 {
     /* Array of partition_attempt_t. */
--- a/src/controller/placement/placement_loop.c
+++ b/src/controller/placement/placement_loop.c
@@ -91,8 +91,8 @@
     guint reserved_conditions = 1 + 2 * MAX(max_ops, usage->ops);
     gsize settings_value_max = (gsize)(settings->value_kb * BYTES_PER_KIB);
     return (partition_limits_t){
-        /* If the records used every write as soon as the rate limit permits it, none would be left
-         * for the end of a job, which needs several at once. */
+        /* If the records used every write as soon as the rate limit permits it, the writes would
+         * never suffice for the end of a job, which needs several at once. */
         .ops = usage->has_blocked_completion ? 0 : max_ops - MIN(max_ops, usage->ops),
         .jobs = max_conditions - MIN(max_conditions, reserved_conditions),
         .value_max = MIN(settings_value_max, (gsize)KV_TXN_VALUES_BYTES / 3),
--- a/src/controller/placement/placement_state.h
+++ b/src/controller/placement/placement_state.h
@@ -14,8 +14,8 @@
 typedef struct placement_state {
     pthread_cond_t ready; /**< Signalled when there may be something to do in a placement round. */
     bool is_loaded;       /**< Whether the records of the installed view are loaded. */
-    uint64_t generation;  /**< Increases with each load, each discard and each view; marks what
-                             was read from data that have been replaced since. */
+    uint64_t generation;  /**< Increases with each load, each discard and each view. Data that
+                             were read at another generation have been replaced since. */
     msec_t loaded_at;     /**< When the data were last loaded. */
     partition_t *partition; /**< Owned; NULL if never loaded. */
     leader_t *leader; /**< Owned; NULL if this controller was not the leader at the last load. */
--- a/src/controller/placement/record_commit.c
+++ b/src/controller/placement/record_commit.c
@@ -75,8 +75,8 @@
         leader_progress_undo(controller->placement.leader, batch->progress);
 }
 
-/* Returns the result that the failed conditions stand for. failed_keys: array of char *, in the
- * order of the conditions. */
+/* Returns the commit result that follows from the failed conditions. failed_keys: array of char *,
+ * in the order of the conditions. */
 static commit_result_t classify_conflict_locked(controller_t *controller,
                                                 const GPtrArray *failed_keys)
 {
--- a/src/controller/placement/record_loader.c
+++ b/src/controller/placement/record_loader.c
@@ -108,8 +108,8 @@
                              live_jobs);
 }
 
-/* Adds the ids of the page's machines to the set, which owns them. Returns false if any machine was
- * in an earlier page already: its attempts would later be removed from one of the pages only. */
+/* Adds the ids of the page's machines to the set, which owns them. Returns false if a machine was
+ * already in an earlier page, because its attempts would later be removed from only one of them. */
 static bool add_unique_machines(GHashTable *machines, const page_record_t *page, const char *key)
 {
     bool is_unique = true;
@@ -137,8 +137,8 @@
     return live_jobs;
 }
 
-/* Returns whether every record is valid. Logs each invalid record, and loads no page from the first
- * invalid one on: if such a record were treated as empty, its tasks would run twice. */
+/* Returns whether every record is valid. Logs each invalid record. Stops loading pages at the first
+ * one, because its tasks would run twice if it were treated as empty. */
 static bool load_machines_locked(controller_t *controller, const listing_t *listing, msec_t now)
 {
     bool is_valid = true;
--- a/src/controller/startup.h
+++ b/src/controller/startup.h
@@ -1,61 +1,67 @@
 /** @file
  * Starts a controller: its loops, one thread each, and its HTTP server.
  *
- * The table lists the threads of a controller. "role" is the thread's name in the metrics
- * (threads.h). "waits for" names a condition variable by its field of controller_t, or a blocking
- * call; a duration is the longest wait, and "paced" means that controller_scale_pause may lengthen
- * it. The loops run as long as the process.
+ * The list below names the threads of a controller by their role, which is their name in the
+ * metrics (threads.h). For each role it gives the function that the thread runs, or its source
+ * file, what the thread waits for and what wakes it. A condition variable is named by its field of
+ * controller_t. A duration is the longest wait; "scaled" means that controller_scale_pause() may
+ * lengthen it. Unless stated otherwise, there is one thread of each role, which runs as long as the
+ * process.
  *
- * @verbatim
- *   role             loop                   waits for                   woken by
- *   ---------------  ---------------------  --------------------------  ---------------------------
- *   view             view_watch_run         the watch of view/,         the key-value store
- *                                           KV_WATCH_BLOCK_MS
- *   member           member_loop_run        membership.changed,         a change of view/, an
- *                                           LEASE_EXTEND_GAP_MS;        installed view, a member
- *                                           MEMBER_TICK_MS while        that was excluded
- *                                           members change or are
- *                                           excluded
- *   job_watch        job_watch_run          the watch of jobs/,         the key-value store
- *                                           KV_WATCH_BLOCK_MS
- *   placement        placement_loop_run     placement.ready,            controller_notify_placement
- *                                           PLACEMENT_TICK_MS (paced);  (changed jobs, machines,
- *                                           then COMMIT_GAP_MS (paced)  results, items or view)
- *   dispatcher       command_dispatcher.c   dispatch.ready[index]: one  command_dispatcher_notify
- *                    (started on demand,    idle dispatcher for         (commands that may be
- *                    DISPATCHERS_COUNT at   DISPATCHER_IDLE_MS, the     pushed)
- *                    most)                  others without limit
- *   cloud            autoscaler_loop_run    autoscaler_ready, until     the placement loop when a
- *                                           the next round is due       view's records are loaded
- *   peer_client      peer_client_run        the leader's answer; if     the leader; an item for the
- *                                           there is no leader to       partition; a view that was
- *                                           call, peers.item_available, installed or loaded
- *                                           MEMBER_TICK_MS
- *   peer_server      peer_server_run        accept()                    a sibling's connection
- *   peer_connection  peer_server.c (one     the next message; before    the sibling; an item for a
- *                    for each connection;   an answer,                  partition; a view that was
- *                    ends with it)          peers.item_available,       installed or loaded; a
- *                                           PEER_ANSWER_DELAY_MS        cancellation that is
- *                                           (paced); before a peer      appended to the log
- *                                           heartbeat's answer,
- *                                           jobs.cancellation_appended,
- *                                           PEER_HEARTBEAT_HOLD_MS
- *   peer_heartbeat   peer_heartbeat.c (one  the sibling's answer,       the sibling
- *                    for each sibling)      PEER_HEARTBEAT_TIMEOUT_MS
- *   relay            peer_relay_run         peers.relay_ready, until a  the placement loop when a
- *                                           member has not called for   view's records are loaded
- *                                           RELAY_AFTER_MS
- *   stall_detector   stall_detector_run     STALL_CHECK_MS              the clock
- *   http             libmicrohttpd          sockets                     users, workers, threads
- *                    (HTTP_THREADS_COUNT)                               that answer requests
- *   request_worker   http_server.c          requests.available; while   a queued request; a
- *                    (started on demand,    it handles a request,       returned connection; a
- *                    REQUEST_WORKERS_COUNT  kv_clients.available and    status batch that is done
- *                    at most)               status_batches.finished,
- *                                           until its deadline
- *   expire           http_server.c          requests.all_workers_busy,      more queued requests
- * than until the next request      idle request workers expires
- * @endverbatim
+ * - view: view_watch_run()
+ *   - waits for changes of view/ for KV_WATCH_BLOCK_MS
+ *   - woken by the key-value store
+ * - member: member_loop_run()
+ *   - waits for membership.changed until the lease is due to be extended (LEASE_EXTEND_GAP_MS), or
+ *     for MEMBER_TICK_MS while members change or are excluded or the member key is lost
+ *   - woken by a change of view/, an installed view or the exclusion of a member
+ * - job_watch: job_watch_run()
+ *   - waits for changes of jobs/ for KV_WATCH_BLOCK_MS
+ *   - woken by the key-value store
+ * - placement: placement_loop_run()
+ *   - waits for placement.ready for PLACEMENT_TICK_MS (scaled), and sleeps for COMMIT_GAP_MS
+ *     (scaled) after each round
+ *   - woken by controller_notify_placement(), when jobs, machines, attempt results, channel items
+ *     or the view have changed
+ * - dispatcher: command_dispatcher.c; up to DISPATCHERS_COUNT threads, started on demand
+ *   - waits for dispatch.ready[index]: one idle dispatcher for DISPATCHER_IDLE_MS, the others
+ *     without limit
+ *   - woken by command_dispatcher_notify(), when there may be commands to push
+ * - cloud: autoscaler_loop_run()
+ *   - waits for autoscaler_ready until the next round is due
+ *   - woken by the placement loop when the records of a view have been loaded
+ * - peer_client: peer_client_run()
+ *   - waits for the leader's answer or, if there is no leader to call, for peers.item_available for
+ *     MEMBER_TICK_MS
+ *   - woken by the leader, an item for a partition, or a view that was installed or loaded
+ * - peer_server: peer_server_run()
+ *   - waits in accept()
+ *   - woken by a connection from a sibling
+ * - peer_connection: peer_server.c; one thread for each connection, which ends with it
+ *   - waits for the next message for PEER_IDLE_MS; woken by the sibling
+ *   - before it answers a partition, waits for peers.item_available for PEER_ANSWER_DELAY_MS
+ *     (scaled); woken by an item for a partition, or a view that was installed or loaded
+ *   - before it answers a peer heartbeat, waits for jobs.cancellation_appended for
+ *     PEER_HEARTBEAT_HOLD_MS; woken by a cancellation that is appended to the log
+ * - peer_heartbeat: peer_heartbeat.c; one thread for each sibling
+ *   - waits for the sibling's answer for PEER_HEARTBEAT_TIMEOUT_MS
+ *   - woken by the sibling
+ * - relay: peer_relay_run()
+ *   - waits for peers.relay_ready until a member has not called for RELAY_AFTER_MS
+ *   - woken by the placement loop when the records of a view have been loaded
+ * - stall_detector: stall_detector_run()
+ *   - sleeps for STALL_CHECK_MS
+ * - http: libmicrohttpd; HTTP_THREADS_COUNT threads
+ *   - waits for its sockets
+ *   - woken by users, by workers, and by request workers that have set a reply
+ * - request_worker: api/request_pool.c; up to REQUEST_WORKERS_COUNT threads, started on demand
+ *   - waits for requests.available; woken by a queued request
+ *   - while it handles a request, waits for kv_clients.available until the request's wait deadline,
+ *     and for status_batches.finished until the request's deadline; woken by a connection that is
+ *     returned to the pool, and by a status batch that is done
+ * - expire: api/request_pool.c
+ *   - waits for requests.all_workers_busy until the earliest wait deadline of a queued request
+ *   - woken when more requests are queued than request workers are idle
  */
 #ifndef PEPPERPULLEY_STARTUP_H
 #define PEPPERPULLEY_STARTUP_H
--- a/src/controller/threads.c
+++ b/src/controller/threads.c
@@ -24,9 +24,9 @@
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 /* Both are created on first use and guarded by lock. */
-static GPtrArray *running_threads; /* thread_t *, borrowed from the threads themselves */
-static GHashTable *roles;          /* role (char *, constant) -> role_t *, owned */
-static _Thread_local bool is_adopted;
+static GPtrArray *running_threads;       /* thread_t *, borrowed from the threads themselves */
+static GHashTable *roles;                /* role (char *, constant) -> role_t *, owned */
+static _Thread_local bool is_registered; /* by threads_register_current() */
 
 static gint64 read_clock_us(clockid_t clock)
 {
@@ -99,9 +99,9 @@
 
 void threads_register_current(const char *role)
 {
-    if (is_adopted)
+    if (is_registered)
         return;
-    is_adopted = true;
+    is_registered = true;
     thread_t *thread = g_new0(thread_t, 1);
     thread->role = role;
     register_thread(thread);
--- a/src/controller/worker_lease.c
+++ b/src/controller/worker_lease.c
@@ -25,8 +25,8 @@
  * A job may be cancelled at any time through a controller that reaches the key-value store. Its
  * tasks must have ended within cancel_s, and a worker may run them for lease_s after this
  * controller's last answer. Leases may therefore be renewed for cancel_s - lease_s after the last
- * time until which all cancellations confirmed to users are known, less a margin for a heartbeat
- * answer that is in transit. */
+ * time until which all cancellations confirmed to users are known. CANCEL_MARGIN_MS is subtracted
+ * for a heartbeat answer that is in transit. */
 static msec_t renewal_limit_ms(const settings_t *settings)
 {
     double slack_s = settings->cancel_s - settings->lease_s;
--- a/src/core/membership/election.h
+++ b/src/core/membership/election.h
@@ -54,8 +54,8 @@
                            uint64_t revision);
 
 /** Returns whether this controller may try to become the leader: no controller holds the lease, or
- * an earlier process of this controller does, which no longer exists because this process has its
- * name. */
+ * an earlier process of this controller does. That process no longer exists, because this one has
+ * its name. */
 bool election_lease_is_vacant(const election_t *election);
 
 /** Returns whether the lease is held under the name of another controller. */
--- a/src/core/membership/redirection.h
+++ b/src/core/membership/redirection.h
@@ -6,12 +6,12 @@
  * owner, and this controller retains it: it answers the worker's heartbeats, without starts, until
  * it redirects the worker again.
  *
- * A worker that arrives some time after the last view change had reached its owner and has lost it,
+ * A worker that arrives here some time after the last view change has lost contact with its owner,
  * usually together with the owner's other workers. This controller then redirects one of them as a
- * probe, and retains the others until the probe has returned or has stayed away for long enough.
- * Without the probe, each worker would wait 5 s for every controller that does not answer, and its
- * lease would expire meanwhile. The leader receives the list of retained machines, so that it does
- * not treat them as dead.
+ * probe. It retains the others until the probe has returned, or until REDIRECT_PROBE_MS has passed
+ * without its return. Without the probe, each worker would wait 5 s for every controller that does
+ * not answer, and its lease would expire meanwhile. The leader receives the list of retained
+ * machines, so that it does not treat them as dead.
  *
  * Pure: no input, output or clock; times are of this controller's steady clock, in ms. The caller
  * holds the lock that guards the redirection.
@@ -77,9 +77,8 @@
  * state of workers that have sent no heartbeat for REDIRECTION_FORGET_MS. */
 GPtrArray *redirection_list_retained(redirection_t *redirection, msec_t now);
 
-/** Adds the ids that redirection_list_retained returns to the set @p ids, which owns its keys (char
- * *).
- */
+/** Adds the ids that redirection_list_retained returns to @p ids, a set of char * that owns its
+ * keys. */
 void redirection_add_retained(redirection_t *redirection, msec_t now, GHashTable *ids);
 
 #endif
--- a/src/core/replication/cancellation_log.h
+++ b/src/core/replication/cancellation_log.h
@@ -27,7 +27,7 @@
  * confirmation and numbered consecutively from 1. It also holds a replica of each sibling's log. A
  * replica records only how much of the sibling's log is known, not the jobs, because the caller
  * stops these. The caller holds the controller's lock; no input or output. All times are of this
- * controller's steady clock, in ms. Where a time is uncertain, the bound that proves less is used.
+ * controller's steady clock, in ms. Where a time is uncertain, the more conservative bound is used.
  */
 #ifndef PEPPERPULLEY_CANCELLATION_LOG_H
 #define PEPPERPULLEY_CANCELLATION_LOG_H
--- a/src/core/request_queue.h
+++ b/src/core/request_queue.h
@@ -1,8 +1,8 @@
 /** @file
  * Bounded FIFO queue of requests that wait for a request worker.
  *
- * Each request has a deadline for its wait. When the deadline passes, the request is shed: the
- * caller has to answer it at that moment, even while all request workers are busy. The creator owns
+ * Each request has a deadline for its wait. When the deadline passes, the request expires: the
+ * caller has to refuse it at that moment, even while all request workers are busy. The creator owns
  * the queue and guards it with its own lock; the requests are borrowed (transfer none).
  */
 #ifndef PEPPERPULLEY_REQUEST_QUEUE_H
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -72,7 +72,7 @@
 
 /** Why an attempt ended. The peer protocol uses the same numbers. */
 typedef enum {
-    CAUSE_NONE,    /**< Unknown: the attempt is proved to be over, but no report states why. */
+    CAUSE_NONE,    /**< Unknown: the attempt is proven to be over, but no report states why. */
     CAUSE_DONE,    /**< The task finished its work. */
     CAUSE_STOPPED, /**< A command stopped the task. */
     CAUSE_ERROR,   /**< The task failed. */
--- a/tests/core/replication/test_cancellation_log.c
+++ b/tests/core/replication/test_cancellation_log.c
@@ -82,8 +82,8 @@
 
 /* The key-value store refuses only the leader, a sibling confirms a cancellation, and then the
  * key-value store refuses all controllers. "Complete until" may advance past the cancellation only
- * once the leader knows it, so that the leader can stop the job. The other work keeps its leases.
- */
+ * once the leader knows it, so that the leader can stop the job while it goes on renewing the
+ * workers' leases. */
 static void test_cancellations_are_known_before_complete_until_advances(void **state)
 {
     fixture_t *fixture = *state;
@@ -141,7 +141,7 @@
 }
 
 /* A restarted sibling does not know what its earlier incarnation confirmed last. "Complete until"
- * must not advance by its answers until the watch of jobs/ is complete up to the restart. */
+ * must not advance from its answers until the watch of jobs/ is complete up to the restart. */
 static void test_restarted_sibling_counts_after_the_watch_passes_the_restart(void **state)
 {
     fixture_t *fixture = *state;
--- a/tests/core/replication/test_summary_update.c
+++ b/tests/core/replication/test_summary_update.c
@@ -162,7 +162,7 @@
     fixture_clear(&fixture);
 }
 
-static void change_something(fixture_t *fixture, GRand *random)
+static void change_a_random_machine(fixture_t *fixture, GRand *random)
 {
     guint kind = (guint)g_rand_int_range(random, 0, 5);
     guint position = (guint)g_rand_int_range(random, 0, MAX((gint)fixture->current->len, 1));
@@ -191,7 +191,7 @@
     for (guint i = 0; i < ROUNDS; i++) {
         advance(&fixture, g_rand_int_range(random, 50, 1500));
         for (gint changes = g_rand_int_range(random, 0, 4); changes > 0; changes--)
-            change_something(&fixture, random);
+            change_a_random_machine(&fixture, random);
         bool arrives = g_rand_int_range(random, 0, 10) > 0;
         exchange(&fixture, arrives, g_rand_int_range(random, 0, 10) > 0);
         if (delayed.summaries)
--- a/tests/core/test_request_queue.c
+++ b/tests/core/test_request_queue.c
@@ -39,9 +39,9 @@
     assert_false(request_queue_push(&full->queue, &full->late, 1300));
 }
 
-/* A request is shed at its deadline even if requests that arrived before it still wait. Otherwise
+/* A request expires at its deadline even if requests that arrived before it still wait. Otherwise
  * it would be answered late whenever all request workers are busy. */
-static void test_expired_request_is_shed_at_its_deadline(void **state)
+static void test_request_expires_at_its_deadline(void **state)
 {
     full_queue_t *full = *state;
     assert_true(request_queue_earliest_deadline(&full->queue) == 1000);
@@ -67,8 +67,7 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(test_full_queue_refuses_at_once, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_expired_request_is_shed_at_its_deadline, set_up,
-                                        tear_down),
+        cmocka_unit_test_setup_teardown(test_request_expires_at_its_deadline, set_up, tear_down),
         cmocka_unit_test_setup_teardown(test_requests_are_served_in_order_of_arrival, set_up,
                                         tear_down),
     };
