--- a/src/constants.h
+++ b/src/constants.h
@@ -257,7 +257,7 @@
 
 /** Connectivity, stalls and known cancellations. */
 enum {
-    /** After this time without a message of any sibling, the siblings count as unreachable. Peer
+    /** After this time without a message from any sibling, the siblings count as unreachable. Peer
      * heartbeats arrive every half second. */
     SIBLING_TIMEOUT_MS = 5000,
     /** A controller that reaches neither the key-value store nor a sibling answers workers for this
@@ -358,7 +358,8 @@
     /** Timeout of a call. Scale-out may be slow, but a lost answer costs only a repeated call. */
     CLOUD_TIMEOUT_MS = 10000,
     CLOUD_LIST_GAP_MS = 2500, /**< Between reads of the machine list, which lags by seconds. */
-    /** The interval between rounds is this divided by cloud.rps: three calls share that limit. */
+    /** The interval between rounds is this divided by cloud.rps, a limit that the three calls of a
+     * round share. */
     CLOUD_ROUND_MS = 1500,
     /** Interval between rounds of a controller that is not the leader and only publishes. */
     CLOUD_IDLE_GAP_MS = 1000,
--- a/src/controller/peer/peer_exchange.h
+++ b/src/controller/peer/peer_exchange.h
@@ -4,8 +4,8 @@
  *
  * Each partition calls the leader in a loop. The call carries what the partition has to send, and
  * the answer carries what the leader has to send. A leader with nothing to send delays its answer
- * for a moment, so that an item queued meanwhile goes with it. Messages travel by socket
- * (peer_client.c, peer_server.c) or, while sockets fail, as values in the key-value store
+ * for up to PEER_ANSWER_DELAY_MS, so that it includes an item queued in that time. Messages travel
+ * by socket (peer_client.c, peer_server.c) or, while sockets fail, as values in the key-value store
  * (peer_relay.c), which stays reachable during a network partition between zones. A batch that the
  * relay delays or repeats does no harm, because batches are numbered and the numbers are valid only
  * within one view.
--- a/src/controller/peer/peer_relay.c
+++ b/src/controller/peer/peer_relay.c
@@ -9,7 +9,7 @@
 #include "io/log.h"
 #include "io/relay.h"
 
-/* A due time that never comes: no member can need the relay. */
+/* The due time if no member can need the relay. */
 #define NEVER G_MAXINT64
 
 /* Writes a message to the inbox under the given name, in place of the earlier one. Returns whether
@@ -86,9 +86,10 @@
     }
 }
 
-/* Returns the time from which a member may use the relay: RELAY_AFTER_MS after the longest silent
- * member last called by socket, counted from the loading of the records at the earliest. Returns
- * NEVER if this controller has no partitions to serve. Called with the lock held. */
+/* Returns the time from which a member may use the relay, which is RELAY_AFTER_MS after the
+ * earliest of the members' last calls by socket. For a member that has not called since the records
+ * were loaded, the time of the loading counts. Returns NEVER if this controller has no partitions
+ * to serve. Called with the lock held. */
 static msec_t relay_due_at_locked(const controller_t *controller)
 {
     msec_t due_at = NEVER;
--- a/src/controller/peer/peer_relay.h
+++ b/src/controller/peer/peer_relay.h
@@ -1,6 +1,6 @@
 /** @file
- * The exchange by relay: partitions that cannot reach the leader by socket exchange messages with
- * it as values in the key-value store. io/relay.h defines the format.
+ * The exchange by relay. A partition that cannot reach the leader by socket exchanges messages with
+ * it through values in the key-value store. io/relay.h defines their format.
  *
  * A partition writes its message to the leader's inbox, waits, and reads the partitions' inbox. The
  * leader reads its inbox while any member has not called by socket for RELAY_AFTER_MS, and answers
--- a/src/controller/placement/record_loader.c
+++ b/src/controller/placement/record_loader.c
@@ -36,8 +36,8 @@
     return kv_list(&controller->kv_store, client, prefix, entries, NULL) == KV_OK;
 }
 
-/* Returns whether everything was read. Jobs are read last: a job that is listed was still live when
- * its finished tasks were read, and a job that is not listed has ended. */
+/* Returns whether everything was read. Jobs are read last, so a job that is listed was still live
+ * when its finished tasks were read, and a job that is not listed has ended. */
 static bool read_listing(controller_t *controller, http_client_t *client, bool is_leader,
                          listing_t *listing)
 {
@@ -124,8 +124,9 @@
 }
 
 /* Returns the ids of the live jobs, a set (char *, borrowed from the entries). A job that has been
- * cancelled since it was listed is left out, so that its tasks are stopped: the cancellation was
- * recorded in the data that this load replaces, and it is not reported a second time. */
+ * cancelled since it was listed is left out. Otherwise its tasks would not be stopped, because the
+ * cancellation was recorded in the data that this load replaces and is not reported a second time.
+ */
 static GHashTable *live_job_ids_locked(const controller_t *controller, const GArray *job_entries)
 {
     GHashTable *live_jobs = g_hash_table_new(g_str_hash, g_str_equal);
@@ -163,7 +164,7 @@
     return is_valid;
 }
 
-/* Replaces the partition by an empty one, which inherits the drains of the old one. */
+/* Replaces the partition with an empty one, which inherits the drains of the old one. */
 static void replace_partition_locked(controller_t *controller)
 {
     const settings_t *settings = controller->settings;
--- a/src/controller/placement/record_loader.h
+++ b/src/controller/placement/record_loader.h
@@ -8,7 +8,7 @@
 #include "controller/controller_type.h"
 #include "io/http_client.h"
 
-/** Reads all records and replaces the loaded data by them, unless the view changed meanwhile. If
+/** Reads all records and replaces the loaded data with them, unless the view changed meanwhile. If
  * the key-value store can't be read, changes nothing and sleeps for KV_RETRY_DELAY_MS. If a record
  * is invalid, the data stay marked as not loaded. Called by the placement loop, without the lock.
  */
--- a/src/core/membership/connectivity.h
+++ b/src/core/membership/connectivity.h
@@ -3,7 +3,7 @@
  *
  * If the key-value store refuses this controller alone, the other controllers have replaced it or
  * will replace it. In an outage of the key-value store, all controllers wait for its end. A
- * controller that receives neither answers of the key-value store nor messages of any sibling
+ * controller that receives neither answers from the key-value store nor messages from any sibling
  * (another controller named in the settings) cannot tell these cases apart. It must soon stop
  * renewing its workers' leases, because the other controllers may have replaced it.
  *
@@ -18,7 +18,7 @@
 typedef struct connectivity {
     msec_t kv_answered_at;  /**< When the newest request that the key-value store has answered
                                was sent. */
-    msec_t peer_message_at; /**< When the last message of a sibling arrived, by socket or
+    msec_t peer_message_at; /**< When the last message from a sibling arrived, by socket or
                                relay. */
     msec_t siblings_kv_answered_at; /**< When the key-value store last answered a sibling, according
                                        to the siblings' messages. */
--- a/src/core/membership/redirection.c
+++ b/src/core/membership/redirection.c
@@ -17,7 +17,7 @@
 typedef struct owner {
     char probe_machine[ID_BYTES]; /* id of the machine of the last probe */
     msec_t probed_at;             /* when the probe was redirected */
-    msec_t unreachable_at;        /* when a worker last returned without an answer of the owner */
+    msec_t unreachable_at;        /* when a worker last returned without an answer from the owner */
 } owner_t;
 
 struct redirection {
--- a/src/core/replication/cancellation_log.h
+++ b/src/core/replication/cancellation_log.h
@@ -10,17 +10,17 @@
  * - The watch of jobs/ yields times up to which every cancellation is known. In an outage of the
  *   key-value store it yields no new ones.
  * - If a sibling answers a heartbeat with everything that it has confirmed since such a time, this
- *   controller knows everything that the sibling confirmed before it answered, whatever the view.
- *   If all siblings do so, "complete until" advances to the earliest time at which they can have
- *   made these answers: the time at which the heartbeat was sent, plus the time for which the
- *   sibling delayed its answer. The jobs that the siblings name are stopped by command; otherwise
- *   they would run until their workers' leases expire.
+ *   controller knows everything that the sibling confirmed before it answered. The views of the two
+ *   do not matter. If all siblings do so, "complete until" advances to the earliest time at which
+ *   they can have made these answers: the time at which the heartbeat was sent, plus the time for
+ *   which the sibling delayed its answer. The jobs that the siblings name are stopped by command;
+ *   otherwise they would run until their workers' leases expire.
  * - A lost or repeated answer does not advance it, and a late one advances it no further than to
  *   the time at which the answer can have been made. An answer after a gap (the sibling's process
  *   was restarted, or its log dropped entries that were not fetched in time) counts only after the
  *   watch has yielded a time after the gap.
  * - A controller appends an entry to its own log before it sends the answer that confirms the
- *   cancellation, whatever the answer is for: a first abort, a repeated abort, an abort whose
+ *   cancellation, regardless of what the answer is for: a first or repeated abort, an abort whose
  *   commit had no answer, a status read or a repeated submission.
  *
  * A log holds the cancellations that this controller has confirmed, in the order of their first
--- a/tests/core/membership/test_redirection.c
+++ b/tests/core/membership/test_redirection.c
@@ -75,8 +75,8 @@
     assert_int_equal(receive(redirection, 3, 1, 2000), REDIRECTION_RETAINED);
 }
 
-/* Handles a heartbeat of a worker that lost its owner. `now` counts from the end of the period
- * after a view change in which workers move to new owners. */
+/* Handles a heartbeat of a worker that lost contact with its owner. `now` counts from the end of
+ * REDIRECTION_GRACE_MS, the time after a view change in which workers move to new owners. */
 static redirection_verdict_t receive_after_loss(redirection_t *redirection, const char *machine,
                                                 uint64_t heartbeat_sequence, msec_t now)
 {
@@ -85,10 +85,10 @@
                                         REDIRECTION_GRACE_MS + now);
 }
 
-/* Guards against the expiry of leases when all workers of an owner lose it at the same time. When
- * every one of them was redirected to that owner again, each waited 5 s for every controller that
- * did not answer, until its lease had expired. In a fleet that only one controller could reach,
- * 1,405 tasks were killed. */
+/* Guards against the expiry of leases when all workers of an owner lose contact with it at the same
+ * time. When every one of them was redirected to that owner again, each waited 5 s for every
+ * controller that did not answer, until its lease had expired. In a fleet that only one controller
+ * could reach, 1,405 tasks were killed. */
 static void test_one_probe_is_redirected_while_the_others_are_retained(void **state)
 {
     redirection_t *redirection = *state;
@@ -128,7 +128,7 @@
                                                   REDIRECTION_GRACE_MS + 2100),
                      REDIRECTION_TO_OWNER);
     /* While workers move to new owners after a view change, none is retained to wait for a probe,
-     * whatever fencing token a command has given it. */
+     * no matter which fencing token it has received with a command. */
     g_strlcpy(heartbeat.machine, "m-000003", sizeof heartbeat.machine);
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false,
                                                   REDIRECTION_GRACE_MS + 2200),
@@ -180,7 +180,7 @@
         REDIRECTION_UNVERIFIED);
     heartbeat.heartbeat_sequence = 9;
     heartbeat.fencing_token =
-        7; /* sent by the worker after an answer or a command of its owner gave it the token */
+        7; /* sent by the worker after an answer or a command from its owner gave it the token */
     assert_int_equal(redirection_handle_heartbeat(redirection, &heartbeat, "controller-1", false,
                                                   1100 + REDIRECT_TIMEOUT_MS),
                      REDIRECTION_TO_OWNER);
