--- a/src/constants.h
+++ b/src/constants.h
@@ -261,8 +261,7 @@
      * heartbeats arrive every half second. */
     SIBLING_TIMEOUT_MS = 5000,
     /** A controller that reaches neither the key-value store nor a sibling answers workers for this
-     * long. It is replaced after 5 s, and its machines are terminated 15 s later at the earliest.
-     */
+     * long. It is replaced after 5 s, and its machines are not terminated for another 15 s. */
     ISOLATED_SERVE_MS = 8000,
     CANCEL_MARGIN_MS = 3000, /**< Subtracted from cancel_s - lease_s for a heartbeat in transit. */
     /** No start is sent if the last time until which all cancellations are known is longer ago than
@@ -377,8 +376,8 @@
     DRAINS_PER_ROUND_COUNT = 8 /**< Drains hundreds of machines in seconds, not minutes. */
 };
 
-/** The maximum wait of work that is near its deadline is not shortened below this. Only tasks that
- * can run one after the other within the maximum wait share a machine. */
+/** TUNABLE_SCALE_OUT_MAX_WAIT is not shortened below this for work that is near its deadline. Only
+ * tasks that can run one after the other within the maximum wait share a machine. */
 static const double SCALE_OUT_MAX_WAIT_MIN_S = 15.0;
 /** Fraction of the cpus of the total demand. A larger machine is added only if the missing
  * resources fill it. */
@@ -388,9 +387,9 @@
 /** Fraction of the price that is added for each existing machine of the same type, zone and kind,
  * to spread the risk. */
 static const double SCALE_OUT_SPREAD_FRACTION = 0.02;
-/** On-demand machines are drained if the pending work needs less time than their maximum wait
- * divided by this. This is less work than the amount at which scale-out stops, so that machines are
- * not added and removed repeatedly. */
+/** On-demand machines are drained if the pending work needs less time than
+ * TUNABLE_ON_DEMAND_MAX_WAIT divided by this. That is less work than the amount at which scale-out
+ * stops, so that machines are not added and removed repeatedly. */
 static const double ON_DEMAND_EASED_FACTOR = 2.0;
 /** Fraction of a draining machine's cpus: if at least this much is free, its work that can
  * checkpoint is moved to other machines. */
