--- a/src/core/partition/attempt_internal.h
+++ b/src/core/partition/attempt_internal.h
@@ -14,14 +14,14 @@
 typedef enum attempt_phase {
     ATTEMPT_PLACED,    /**< Its resources are reserved. It is not recorded yet. */
     ATTEMPT_RECORDED,  /**< It is in the durable record, so its `run` command may be sent. */
-    ATTEMPT_TERMINATED /**< It is proved to be over. It is removed from the record with the next
-                          commit, or, if its cause is CAUSE_DONE, with the next commit after its
-                          acknowledgement. */
+    ATTEMPT_TERMINATED /**< It is proven to be over. The next commit removes it from the record. If
+                          its cause is CAUSE_DONE, the next commit after its acknowledgement does
+                          so. */
 } attempt_phase_t;
 
-/** How the commit in flight changes the record of an attempt. */
+/** How the commit in flight changes the durable record with regard to one attempt. */
 typedef enum batch_change {
-    BATCH_NONE, /**< It does not change it. */
+    BATCH_NONE, /**< It neither adds nor removes the attempt. */
     BATCH_ADD,  /**< It adds the attempt to the record. */
     BATCH_DROP  /**< It removes the attempt from the record. */
 } batch_change_t;
@@ -37,9 +37,9 @@
                               requires it unchanged. */
     uint64_t worker_epoch; /**< The worker epoch under which it is recorded. */
     bool is_in_record;     /**< Whether the durable record contains it. */
-    batch_change_t batch_change; /**< How the commit in flight changes its record. */
+    batch_change_t batch_change; /**< What the commit in flight does with it. */
     bool is_listed; /**< Whether the newest accepted heartbeat lists it; for a terminated attempt,
-                       whether the heartbeat that proved it to be over listed it. */
+                       the value from when it was terminated. */
     task_state_t state;    /**< Its state according to the last heartbeat that listed it. */
     cause_t cause;         /**< Why it is over, if it is terminated. */
     bool is_done_reported; /**< Whether its result CAUSE_DONE was reported to the leader. It stays
@@ -50,8 +50,9 @@
                                  being preempted. */
     bool is_preempted;        /**< Whether it is being stopped to make room for another attempt. */
     bool is_stop_requested;   /**< Whether it is to be stopped. */
-    msec_t kill_at;           /**< Time from which a stop gives it no time to save; 0: always. */
-    msec_t listed_since_at;   /**< When a heartbeat first listed it; 0: never. */
+    msec_t kill_at; /**< Time from which a stop command gives it no time to save; 0: no stop command
+                       does. */
+    msec_t listed_since_at; /**< When a heartbeat first listed it; 0: never. */
 } attempt_t;
 
 /** Adds a new attempt to the machine, which owns it. Returns the attempt (transfer none). */
@@ -66,7 +67,7 @@
                                   const machine_t *machine);
 /** Appends the attempt's result to partition_results(). */
 void partition_add_result(partition_t *partition, const attempt_t *attempt);
-/** Records that the attempt is over, which one of the proofs listed in partition.h must have shown.
+/** Records that the attempt is over. The caller must have one of the proofs listed in partition.h.
  * An attempt whose start is being committed is removed from the record after that commit. */
 void partition_terminate_attempt(partition_t *partition, attempt_t *attempt, cause_t cause);
 /** Requests that the attempt be stopped. It gets time to save if it has checkpoints. */
--- a/src/core/partition/batches.c
+++ b/src/core/partition/batches.c
@@ -65,15 +65,15 @@
     return due;
 }
 
-/* Returns whether the attempt is over, or to be stopped, without ever having been in the record or
- * in a batch. */
+/* Returns whether the attempt is over or is to be stopped, and is neither in the record nor in the
+ * batch. */
 static bool ended_before_recording(const attempt_t *attempt)
 {
     return !attempt->is_in_record && attempt->batch_change == BATCH_NONE &&
            (attempt->phase == ATTEMPT_TERMINATED || attempt->is_stop_requested);
 }
 
-/* Drops the attempts that never got into the record, which needs no commit. */
+/* Drops the attempts that ended before they were recorded. This needs no commit. */
 static void drop_unrecorded(partition_t *partition, machine_t *machine)
 {
     for (guint i = machine->attempts->len; i-- > 0;) {
@@ -123,12 +123,12 @@
     return MIN(value_max, page->record_bytes + count_unrecorded(page) * start_bytes_max);
 }
 
-/* Returns whether the page has anything to write. A page in which a start found no room is split
- * first. */
+/* Returns whether the page has anything to write. A page whose record had no room for a start is
+ * split first. */
 static bool prepare_page(partition_t *partition, page_t *page)
 {
     if (page->is_in_batch)
-        return false; /* its split sibling brought it into the batch */
+        return false; /* it was added to the batch with its split sibling */
     clean_page(partition, page);
     if (page->is_full && !page->split_sibling)
         partition_split_page(partition, page);
@@ -175,8 +175,8 @@
 {
     attempt->batch_change = BATCH_NONE;
     attempt->is_in_record = true;
-    /* If the attempt was proved to be over while the commit was in flight, its `run` is not sent,
-     * and it leaves the record with the next commit. */
+    /* If the attempt was proven to be over while the commit was in flight, its `run` is not sent,
+     * and the next commit removes it from the record. */
     if (attempt->phase == ATTEMPT_PLACED)
         attempt->phase = ATTEMPT_RECORDED;
     else
--- a/src/core/partition/commands.c
+++ b/src/core/partition/commands.c
@@ -9,17 +9,17 @@
     g_array_append_val(commands, command);
 }
 
+/* Returns the time in seconds that a stop command at `now` gives the task to save. */
 static double stop_grace_s(const attempt_t *attempt, msec_t now)
 {
-    /* A task without checkpoints has nothing to save. A task that is already saving is killed only
-     * when its time is over. */
+    /* A task without checkpoints has nothing to save. */
     if (attempt->entry.checkpoint_s <= 0 || attempt->kill_at <= now)
         return 0;
     return (double)(attempt->kill_at - now) / MS_PER_S;
 }
 
-/* Returns whether commands for the attempt may be sent: it is in the record, under the machine's
- * current worker epoch. */
+/* Returns whether commands for the attempt may be sent: it is recorded under the machine's current
+ * worker epoch and is not proven to be over. */
 static bool may_send_commands(const machine_t *machine, const attempt_t *attempt)
 {
     return attempt->phase == ATTEMPT_RECORDED && attempt->is_in_record &&
@@ -35,6 +35,8 @@
             !attempt->is_listed)
             continue;
         double grace_s = stop_grace_s(attempt, now);
+        /* A task that is already saving gets another stop only when its time to save is over. */
+
         if (attempt->state != TASK_SAVING || grace_s <= 0)
             commands_append(commands, COMMAND_STOP, entry->job, entry->task, entry->attempt,
                             grace_s);
--- a/src/core/partition/drain_internal.h
+++ b/src/core/partition/drain_internal.h
@@ -9,8 +9,8 @@
 #include "core/partition/partition_type.h"
 #include "core/types.h"
 
-/** Stops those attempts on the machine that have checkpoints, if the machine is draining and mostly
- * empty. */
+/** If the machine is draining and mostly empty, stops those of its attempts that have checkpoints.
+ */
 void partition_evict_from_draining(partition_t *partition, machine_t *machine, msec_t now);
 
 #endif
--- a/src/core/partition/heartbeats.c
+++ b/src/core/partition/heartbeats.c
@@ -50,8 +50,8 @@
 
 /* The resources of the attempts that one heartbeat lists. */
 typedef struct listed_resources {
-    resources_t total;
-    resources_t growth; /* of those attempts that no earlier heartbeat listed */
+    resources_t total;  /* of all these attempts */
+    resources_t growth; /* of those among them that no earlier heartbeat listed */
 } listed_resources_t;
 
 static void reset_listed_attempts(machine_t *machine)
@@ -118,9 +118,9 @@
  * No `run` can arrive later if the worker had seen the fencing token of this view, no pushed
  * command is in flight, and no pushed `run` went unanswered under a fencing token as high as the
  * one that the worker had seen. Commands in answers to heartbeats need no further check, because
- * the worker sends a heartbeat only after the answer to the previous one arrived or was given up.
- * That holds for periodic heartbeats only: the answer to a pushed command may overtake the commands
- * in the answer to an earlier heartbeat.
+ * the worker sends a heartbeat only after it received the answer to the previous one or stopped
+ * waiting for it. That holds for periodic heartbeats only: the answer to a pushed command may
+ * overtake the commands in the answer to an earlier heartbeat.
  */
 static bool is_run_in_flight(const partition_t *partition, const machine_t *machine,
                              const worker_heartbeat_t *heartbeat)
@@ -143,7 +143,8 @@
     }
 }
 
-/* Appends the commands for listed attempts that the record does not contain.
+/* Appends the commands for listed attempts that the partition does not have on this machine. Those
+ * that have not exited are stopped without time to save.
  *
  * After a `forget`, the worker no longer remembers the attempt, so a late copy of its `run` would
  * start it again. A `forget` is therefore sent only in the answer to a periodic heartbeat that
@@ -167,12 +168,13 @@
     }
 }
 
-/* Returns the verdict on a heartbeat, which depends only on its order. A copy of a heartbeat may
- * arrive seconds to minutes late, here or at a controller that never received the original. It must
- * not restore an older state, prove that an attempt is over, confirm a reservation or make a
- * machine look alive. If this partition has received a heartbeat of the machine before, the worker
- * epoch and the sequence number decide. There is nothing to compare a first heartbeat with; but if
- * it carries the fencing token of this view, it was sent in this view. */
+/* Returns the verdict on a heartbeat. A copy of a heartbeat may arrive seconds to minutes late,
+ * here or at a controller that never received the original. It must not restore an older state,
+ * prove that an attempt is over, confirm a reservation or make a machine look alive. If this
+ * partition has received a heartbeat of the machine before, the worker epoch and the sequence
+ * number show which one is newer. There is nothing to compare the first periodic heartbeat with. It
+ * is accepted only if it carries the fencing token of this view, which shows that it was sent in
+ * this view. */
 static heartbeat_verdict_t classify_heartbeat(const partition_t *partition,
                                               const machine_t *machine,
                                               const worker_heartbeat_t *heartbeat,
@@ -191,8 +193,9 @@
     return HEARTBEAT_ACCEPTED;
 }
 
-/* Records a periodic heartbeat that is newer than the ones before. If it follows the last one
- * within the time that a worker waits for an answer, it shows that the answer arrived. */
+/* Records a periodic heartbeat that is newer than the periodic ones before. If it follows the last
+ * one within the time that a worker waits for an answer, it shows that the answer arrived. The
+ * first one in this view counts as an acknowledgement, too. */
 static void record_acknowledgement(machine_t *machine, const worker_heartbeat_t *heartbeat,
                                    msec_t now)
 {
@@ -213,8 +216,8 @@
     return partition_is_reachable(partition, machine, now) && !machine->interruption_at;
 }
 
-/* Queues a push if a recorded start waits for preempted attempts, since their resources may be free
- * now. */
+/* Queues a push if a recorded start waits for preempted attempts, because their resources may be
+ * free now. */
 static void queue_waiting_starts(partition_t *partition, machine_t *machine)
 {
     for (guint i = 0; i < machine->attempts->len; i++) {
--- a/src/core/partition/machine.h
+++ b/src/core/partition/machine.h
@@ -29,7 +29,7 @@
     bool is_draining;    /**< Whether it is draining: it accepts no starts, and its attempts are to
                             leave it. */
     resources_t total;   /**< Its total resources. */
-    resources_t free;    /**< Resources taken neither by listed attempts nor reservations. */
+    resources_t free;    /**< Resources taken neither by listed attempts nor by reservations. */
     guint attempts;      /**< Number of its attempts in any phase. */
     msec_t unacknowledged_ms; /**< Time since it last acknowledged a message sent to it. */
     msec_t idle_ms;           /**< Time since it was last known to have work. */
--- a/src/core/partition/machine_internal.h
+++ b/src/core/partition/machine_internal.h
@@ -22,7 +22,7 @@
     resources_t capacity;        /**< Total resources. */
     bool has_responded; /**< Whether, in this view, it sent a periodic heartbeat that was accepted
                            or executed a probe. */
-    bool has_heartbeat; /**< Whether it sent a periodic heartbeat in this view. */
+    bool has_heartbeat; /**< Whether a periodic heartbeat that it sent in this view was received. */
     bool needs_probe;   /**< Whether to probe it, since its next heartbeat may be seconds away. */
     uint64_t worker_epoch; /**< Worker epoch of its newest accepted heartbeat, or of its record if
                               none was accepted yet. */
@@ -76,8 +76,8 @@
 void partition_drop_machine(partition_t *partition, machine_t *machine);
 /** Sets the machine's capacity from its machine type, if that type is known. */
 void partition_look_up_capacity(const partition_t *partition, machine_t *machine);
-/** Schedules the machine's record to be written without delay, because a start, or the new
- * placement of a task, waits for that commit. */
+/** Schedules the machine's record to be written without delay, because the start of an attempt, or
+ * the placement of a task's next attempt, waits for that commit. */
 void partition_request_flush(partition_t *partition, const machine_t *machine);
 /** Returns the resources that are taken neither by listed attempts nor by reservations. */
 resources_t machine_free_resources(const machine_t *machine);
--- a/src/core/partition/page_internal.h
+++ b/src/core/partition/page_internal.h
@@ -10,9 +10,10 @@
 #include "core/partition/partition_type.h"
 #include "core/types.h"
 
-/** The machines that are recorded under one key. A page is written without delay when a start or
- * the new placement of a task waits for the commit (flush_order). If the only change is that
- * acknowledged results are to leave the record, it is written later (deferred flush). */
+/** The machines that are recorded under one key. A page is written without delay when the start of
+ * an attempt, or the placement of a task's next attempt, waits for the commit (flush_order). If the
+ * only change is that acknowledged results are to leave the record, it is written later (deferred
+ * flush). */
 typedef struct page {
     char shard[SHARD_NAME_BYTES]; /**< Name of its shard. */
     guint number;                 /**< Number of the page in its shard. */
--- a/src/core/partition/partition.c
+++ b/src/core/partition/partition.c
@@ -63,9 +63,9 @@
     g_array_set_size(partition->results, 0);
 }
 
-/* Returns the time within which two successive heartbeats arrive, even if the second is late. With
- * an interval of 3 s and some heartbeats half an interval late, machines would otherwise look
- * silent between two heartbeats. */
+/* Returns the longest expected time between the arrivals of two successive heartbeats. With a fixed
+ * timeout of 4 s, machines would look silent between two heartbeats if the interval is 3 s and some
+ * heartbeats are half an interval late. */
 static msec_t max_heartbeat_gap_ms(double heartbeat_interval_s)
 {
     return (msec_t)(heartbeat_interval_s * HEARTBEAT_GAP_MAX_FACTOR * MS_PER_S) +
@@ -152,8 +152,8 @@
     }
 }
 
-/* Updates when the wait of each page's deferred flush began: at the last tick before the flush was
- * deferred. */
+/* Sets the time from which a deferred flush waits, for each page that has none yet. The wait of a
+ * deferred flush is thus counted from the last tick before the flush was deferred. */
 static void tick_pages(const partition_t *partition, msec_t now)
 {
     GHashTableIter iter;
--- a/src/core/partition/partition.h
+++ b/src/core/partition/partition.h
@@ -79,13 +79,13 @@
 /** Sets the interval between worker heartbeats, in seconds. It determines how long a machine that
  * does not acknowledge still counts as reachable. */
 void partition_set_heartbeat_interval(partition_t *partition, double heartbeat_interval_s);
-/** Delays the probe of each machine for as long as two of its heartbeats may take to arrive. Used
- * where probing all machines takes longer than that. */
+/** Delays the probe of each machine by the longest expected time between two of its heartbeats.
+ * Used where probing all machines takes longer than that. */
 void partition_delay_probes(partition_t *partition, double heartbeat_interval_s);
 
 /** Chooses the machine with the best rank for the request, by preemption if the request allows it
- * and no machine has enough free, and reserves the request's resources there. Returns the machine
- * (transfer none), or NULL if no machine has room. */
+ * and no machine has enough free resources, and reserves the request's resources there. Returns the
+ * machine (transfer none), or NULL if no machine has room. */
 machine_t *partition_place(partition_t *partition, const placement_request_t *request, msec_t now);
 /** Returns the number of cpus of the team's attempts that are being preempted. */
 double partition_cpus_being_preempted(const partition_t *partition, const char *team);
@@ -102,8 +102,8 @@
 /** Records that the cloud confirmed that machine @p id is terminated, which proves that its
  * attempts are over. */
 void partition_record_machine_terminated(partition_t *partition, const char *id);
-/** Expires reservations, stops attempts that are to leave draining machines, and updates the wait
- * of deferred flushes. Called once per tick. */
+/** Expires reservations, stops attempts that are to leave draining machines, and updates the times
+ * from which deferred flushes wait. Called once per tick. */
 void partition_tick(partition_t *partition, msec_t now);
 
 #endif
--- a/src/core/partition/partition_heartbeats.h
+++ b/src/core/partition/partition_heartbeats.h
@@ -10,7 +10,7 @@
 #include "core/partition/partition_type.h"
 #include "core/types.h"
 
-/** The verdict on a heartbeat, which follows from its order among those of its worker. */
+/** The verdict on a heartbeat, which tells whether its content was applied. */
 typedef enum heartbeat_verdict {
     HEARTBEAT_ACCEPTED,     /**< The heartbeat is the newest, and its content was applied. */
     HEARTBEAT_OUT_OF_ORDER, /**< The heartbeat is older than the newest state received in this
@@ -22,7 +22,8 @@
                                arrives minutes late, so its content is not applied. The answer gives
                                the worker the fencing token that its next heartbeat will carry. */
     HEARTBEAT_DUPLICATE /**< The heartbeat is from an earlier worker epoch or a terminated machine,
-                           or a copy of one received before. Its content is not applied. */
+                           or it is periodic and not newer than the newest periodic heartbeat
+                           received before. Its content is not applied. */
 } heartbeat_verdict_t;
 
 /** Handles a worker's periodic heartbeat, or the body of the answer to a pushed command.
@@ -45,7 +46,7 @@
 
 /** Records that machine @p id executed a pushed command of this view and that the body of its
  * answer was accepted. If the machine has not responded in this view yet, it counts as reachable
- * for the time being. */
+ * until the acknowledgement timeout has passed. */
 void partition_record_probe_answer(partition_t *partition, const char *id, msec_t now);
 
 #endif
--- a/src/core/partition/placement_request.h
+++ b/src/core/partition/placement_request.h
@@ -6,7 +6,7 @@
 
 #include "core/types.h"
 
-/** A request to place one attempt at one task, with the machines on which it may start. */
+/** A request to place one attempt of a task, with the constraints on the machine. */
 typedef struct placement_request {
     char job[ID_BYTES];      /**< Id of the job. */
     char team[LABEL_BYTES];  /**< The job's team. */
@@ -24,8 +24,8 @@
                               requires it unchanged. */
     bool may_preempt; /**< Whether attempts of lower priority may be preempted if no machine has
                          enough free resources. */
-    bool claims_guarantee;      /**< Whether the team claims its guarantee, so that attempts of any
-                                   priority of the preemptible teams may be preempted. */
+    bool claims_guarantee; /**< Whether the task is within its team's guarantee, so that attempts of
+                              any priority of the preemptible teams may be preempted. */
     uint64_t preemptible_teams; /**< The other teams whose attempts may be preempted: one bit per
                                    team, in the order of the settings. */
     uint32_t task;              /**< Index of the task in its job. */
--- a/src/core/partition/preemption.c
+++ b/src/core/partition/preemption.c
@@ -62,16 +62,16 @@
 static GArray *preemptible_attempts(const partition_t *partition, const machine_t *machine,
                                     const placement_request_t *request, msec_t now)
 {
-    GArray *chosen_attempts = g_array_new(FALSE, FALSE, sizeof(preemptible_attempt_t));
+    GArray *attempts = g_array_new(FALSE, FALSE, sizeof(preemptible_attempt_t));
     for (guint i = 0; i < machine->attempts->len; i++) {
         preemptible_attempt_t candidate = {.attempt = machine_attempt(machine, i)};
         if (!is_preemptible(partition, candidate.attempt, request, now))
             continue;
         candidate.lost_work = lost_work(candidate.attempt, now);
-        g_array_append_val(chosen_attempts, candidate);
+        g_array_append_val(attempts, candidate);
     }
-    g_array_sort(chosen_attempts, compare_preemption_cost);
-    return chosen_attempts;
+    g_array_sort(attempts, compare_preemption_cost);
+    return attempts;
 }
 
 /* Returns the attempts on the machine whose preemption makes room for the request: array of
@@ -81,21 +81,21 @@
                                           const placement_request_t *request, msec_t now,
                                           double *lost)
 {
-    g_autoptr(GArray) chosen_attempts = preemptible_attempts(partition, machine, request, now);
+    g_autoptr(GArray) attempts = preemptible_attempts(partition, machine, request, now);
     resources_t resources = machine_free_resources(machine);
     guint chosen_count = 0;
     *lost = 0;
-    while (!resources_fit(request->need, resources) && chosen_count < chosen_attempts->len) {
+    while (!resources_fit(request->need, resources) && chosen_count < attempts->len) {
         const preemptible_attempt_t *candidate =
-            &g_array_index(chosen_attempts, preemptible_attempt_t, chosen_count);
+            &g_array_index(attempts, preemptible_attempt_t, chosen_count);
         chosen_count++;
         resources_add(&resources, candidate->attempt->entry.need, 1);
         *lost += candidate->lost_work;
     }
     if (!resources_fit(request->need, resources))
         return NULL;
-    g_array_set_size(chosen_attempts, chosen_count);
-    return g_steal_pointer(&chosen_attempts);
+    g_array_set_size(attempts, chosen_count);
+    return g_steal_pointer(&attempts);
 }
 
 /* A machine, and the attempts to preempt on it. */
--- a/src/core/partition/pushed_commands.h
+++ b/src/core/partition/pushed_commands.h
@@ -46,7 +46,7 @@
 void partition_finish_push(partition_t *partition, const char *id, const GArray *commands,
                            uint64_t fencing_token, push_result_t result);
 
-/** Returns whether a higher fencing token is needed before attempts can be forgotten or proved to
+/** Returns whether a higher fencing token is needed before attempts can be forgotten or proven to
  * be over, because an unanswered `run` under the current one may still arrive. */
 bool partition_needs_new_fencing_token(const partition_t *partition);
 
--- a/src/core/partition/reservation.h
+++ b/src/core/partition/reservation.h
@@ -4,8 +4,8 @@
  * Reservations are part of projected least-loaded placement. A reservation is made when an attempt
  * is placed, is confirmed when the resources of the listed attempts grow, and expires after a time
  * to live (the setting reservation_lapse). When a reservation ends, its resources count as free
- * again. It does not make the task available for another attempt: only proof that the attempt is
- * over does that (see partition.h).
+ * again. The task does not become available for another attempt then: this requires proof that the
+ * attempt is over (see partition.h).
  *
  * A list is a GArray of reservation_t in the order in which the reservations were made. It belongs
  * to the machine. Called with the controller's lock held.
--- a/tests/core/partition/partition_fixture.c
+++ b/tests/core/partition/partition_fixture.c
@@ -10,7 +10,7 @@
     machine_type_t machine_type = {.name = "t16", .capacity = {16, 0, 64}};
     g_array_append_val(fixture->machine_types, machine_type);
     fixture->teams = g_array_new(FALSE, FALSE, sizeof(team_t));
-    fixture->partition = partition_fixture_partition(fixture, VIEW);
+    fixture->partition = partition_fixture_new_partition(fixture, VIEW);
     fixture->worker = fake_worker_new("m-000001");
     fixture->worker->fencing_token = VIEW; /* the worker has seen this view */
     fixture->commands = g_array_new(FALSE, FALSE, sizeof(worker_command_t));
@@ -32,7 +32,7 @@
     return 0;
 }
 
-partition_t *partition_fixture_partition(const partition_fixture_t *fixture, uint64_t view)
+partition_t *partition_fixture_new_partition(const partition_fixture_t *fixture, uint64_t view)
 {
     partition_t *partition =
         partition_new(fixture->machine_types, fixture->teams, RESERVATION_TTL_MS);
--- a/tests/core/partition/partition_fixture.h
+++ b/tests/core/partition/partition_fixture.h
@@ -23,7 +23,7 @@
 
 /* Returns a partition of the given view without machines, with the settings of the fixture
  * (transfer full). */
-partition_t *partition_fixture_partition(const partition_fixture_t *fixture, uint64_t view);
+partition_t *partition_fixture_new_partition(const partition_fixture_t *fixture, uint64_t view);
 /* Returns the worker's machine (transfer none), or NULL if the partition does not know it. */
 machine_t *fixture_machine(const partition_fixture_t *fixture);
 
@@ -41,12 +41,12 @@
 partition_batch_t *take_batch(partition_fixture_t *fixture);
 /* Takes the batch of records that are due now and commits it. */
 void commit_batch(partition_fixture_t *fixture);
-/* Commits what is due after the wait of deferred flushes. Acknowledged results leave the record
- * then, or earlier with the next start. */
+/* Waits until deferred flushes are due, and commits what is due then. Acknowledged results leave
+ * the record by this commit, unless the commit of a start removed them before. */
 void commit_deferred(partition_fixture_t *fixture);
 /* Runs task 0 of j-000001, as attempt 100, until its worker reports it as done. */
 void run_to_completion(partition_fixture_t *fixture);
-/* Loads the record of an earlier view, in which the machine has attempt 55 at task 0 of j-000001.
+/* Loads the record of an earlier view, in which the machine has attempt 55 of task 0 of j-000001.
  */
 void load_page_record(partition_fixture_t *fixture);
 
--- a/tests/core/partition/test_partition_heartbeats.c
+++ b/tests/core/partition/test_partition_heartbeats.c
@@ -1,4 +1,5 @@
-/* Tests of worker heartbeats: which are applied, and which are copied, late or out of order. */
+/* Tests of worker heartbeats: which are applied, and which are not because they are copies, late or
+ * out of order. */
 #include "partition_fixture.h"
 #include "unit_test.h"
 
@@ -61,12 +62,12 @@
 }
 
 /* Two controllers both consider themselves the owner of the machine. The worker must ignore the
- * answer of the one with the older fencing token, so that this one cannot start or stop anything.
+ * answer of the one with the older fencing token, so that this owner cannot start or stop anything.
  */
 static void test_worker_ignores_an_owner_with_an_older_fencing_token(void **state)
 {
     partition_fixture_t *fixture = *state;
-    partition_t *older_owner = partition_fixture_partition(fixture, 6);
+    partition_t *older_owner = partition_fixture_new_partition(fixture, 6);
     exchange_heartbeat(fixture);
     place_task(fixture, "j-000001", 0, 100);
     commit_batch(fixture);
@@ -106,9 +107,9 @@
     fake_worker_free(earlier_worker);
 }
 
-/* A copy reaches the owner that received the original. It is not newer than the original, so its
- * content is not applied, and it does not shorten the time for which the machine counts as silent.
- */
+/* A copy of a heartbeat reaches the owner that received the original. It is not newer than the
+ * original, so its content must not be applied, and it must not shorten the time for which the
+ * machine counts as silent. */
 static void test_owner_does_not_apply_a_copied_heartbeat(void **state)
 {
     partition_fixture_t *fixture = *state;
@@ -128,8 +129,8 @@
     assert_int_equal(fixture->commands->len, 0);
 }
 
-/* If a copied heartbeat added the machine again, its resources would look free, and starts would
- * wait there for minutes. */
+/* Guards against a copied heartbeat that adds a terminated machine again. The resources of that
+ * machine would look free, and starts would wait there for minutes. */
 static void test_copied_heartbeat_does_not_restore_a_terminated_machine(void **state)
 {
     partition_fixture_t *fixture = *state;
--- a/tests/core/partition/test_partition_placement.c
+++ b/tests/core/partition/test_partition_placement.c
@@ -2,7 +2,7 @@
 #include "partition_fixture.h"
 #include "unit_test.h"
 
-/* Tasks with equal hashes would form long chains in the hash table of attempts. */
+/* Guards against long chains in the hash table of attempts, which tasks with equal hashes form. */
 static void test_tasks_of_jobs_with_similar_ids_have_distinct_hashes(void **state)
 {
     (void)state;
@@ -135,9 +135,9 @@
     assert_int_equal(count_commands(fixture, COMMAND_RUN), 1);
 }
 
-/* A single long task would occupy a whole draining machine for minutes, so it is stopped to save
- * and continue on another machine. Tasks without checkpoints are left to end, and so are all tasks
- * while much of the machine is in use. */
+/* A single long task would occupy a whole draining machine for minutes, so it is stopped, saves,
+ * and continues on another machine. Tasks without checkpoints are not stopped, and no task is
+ * stopped while much of the machine is in use. */
 static void test_tasks_with_checkpoints_leave_a_draining_machine(void **state)
 {
     partition_fixture_t *fixture = *state;
@@ -164,8 +164,8 @@
     assert_true(g_array_index(fixture->commands, worker_command_t, 0).grace_s > 4);
 }
 
-/* If a new view ended the drains, then with a new view every half minute draining machines would
- * accept work again each time, and few would ever be emptied. */
+/* Guards against drains that end with the view. With a new view every half minute, draining
+ * machines would accept work again each time, and few would ever be emptied. */
 static void test_drain_persists_across_views(void **state)
 {
     partition_fixture_t *fixture = *state;
@@ -173,7 +173,7 @@
     exchange_heartbeat(fixture);
     partition_set_draining(fixture->partition, "m-000001", true);
     partition_t *earlier = fixture->partition;
-    fixture->partition = partition_fixture_partition(fixture, 0);
+    fixture->partition = partition_fixture_new_partition(fixture, 0);
     partition_copy_draining_machines(fixture->partition, earlier);
     partition_set_view(fixture->partition, 8);
     partition_free(earlier);
@@ -182,10 +182,10 @@
     exchange_heartbeat(fixture);
     placement_request_t request = placement_request_of("j-000002", 0, 200, 1);
     assert_null(partition_place(fixture->partition, &request, fixture->now));
-    /* After the leader cancelled the drain, later views do not inherit it either. */
+    /* A drain that the leader has cancelled is not copied to later views. */
     partition_set_draining(fixture->partition, "m-000001", false);
     earlier = fixture->partition;
-    fixture->partition = partition_fixture_partition(fixture, 9);
+    fixture->partition = partition_fixture_new_partition(fixture, 9);
     partition_copy_draining_machines(fixture->partition, earlier);
     partition_free(earlier);
     assert_int_equal(g_hash_table_size(fixture->partition->draining), 0);
--- a/tests/core/partition/test_partition_proofs.c
+++ b/tests/core/partition/test_partition_proofs.c
@@ -3,7 +3,7 @@
 #include "partition_fixture.h"
 #include "unit_test.h"
 
-static void test_silence_does_not_prove_an_attempt_over(void **state)
+static void test_silence_does_not_prove_that_an_attempt_is_over(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
@@ -17,7 +17,7 @@
     assert_int_equal(partition_attempt_count(fixture->partition), 1);
 }
 
-static void test_new_worker_epoch_proves_attempts_of_the_old_one_over(void **state)
+static void test_new_worker_epoch_proves_that_older_attempts_are_over(void **state)
 {
     partition_fixture_t *fixture = *state;
     exchange_heartbeat(fixture);
@@ -89,8 +89,8 @@
     g_array_unref(late_commands);
 }
 
-/* A job whose attempt was recorded in an earlier view is cancelled. That the worker does not list
- * the attempt proves nothing before the worker has seen the fencing token of this view. */
+/* A job whose attempt was recorded in an earlier view is cancelled. The absence of the attempt from
+ * the worker's list proves nothing until the worker has seen the fencing token of this view. */
 static void test_absence_is_proof_only_under_the_current_fencing_token(void **state)
 {
     partition_fixture_t *fixture = *state;
@@ -108,8 +108,8 @@
 }
 
 /* All controllers were down for longer than a lease, so the workers killed all their tasks. The
- * fencing token of a worker's second heartbeat shows that it is not a copy. With it, each recorded
- * attempt is over, and its task may be placed again. */
+ * fencing token of a worker's second heartbeat shows that this heartbeat is not a copy. Its new
+ * worker epoch proves that each recorded attempt is over, so the tasks may be placed again. */
 static void test_recorded_attempts_are_over_after_an_outage_of_all_controllers(void **state)
 {
     partition_fixture_t *fixture = *state;
@@ -233,9 +233,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_silence_does_not_prove_an_attempt_over,
+        cmocka_unit_test_setup_teardown(test_silence_does_not_prove_that_an_attempt_is_over,
                                         partition_fixture_set_up, partition_fixture_tear_down),
-        cmocka_unit_test_setup_teardown(test_new_worker_epoch_proves_attempts_of_the_old_one_over,
+        cmocka_unit_test_setup_teardown(test_new_worker_epoch_proves_that_older_attempts_are_over,
                                         partition_fixture_set_up, partition_fixture_tear_down),
         cmocka_unit_test_setup_teardown(test_late_run_does_not_restart_a_finished_attempt,
                                         partition_fixture_set_up, partition_fixture_tear_down),
--- a/tests/core/partition/test_partition_reachability.c
+++ b/tests/core/partition/test_partition_reachability.c
@@ -2,8 +2,8 @@
 #include "partition_fixture.h"
 #include "unit_test.h"
 
-/* Each machine has a dispatcher that keeps a connection to it. Another dispatcher serves the
- * machine only in place of that one. */
+/* Each machine has a dispatcher that keeps a connection to it. A push to the machine must be due
+ * for that dispatcher alone, and must not be taken if only other dispatchers are considered. */
 static void test_commands_go_to_the_dispatcher_of_their_machine(void **state)
 {
     partition_fixture_t *fixture = *state;
@@ -22,8 +22,8 @@
 }
 
 /* Heartbeats arrive, but answers and pushed commands are lost. The worker waits 4 s for each answer
- * and then tries one controller after another, so that its heartbeats arrive here every 15 s. Each
- * start sent to it would be lost when its lease ends, again and again. */
+ * and then tries one controller after another, so that its heartbeats arrive here every 15 s. Every
+ * start sent to the machine would be lost when its lease ends. */
 static void test_machine_without_acknowledgements_gets_no_starts(void **state)
 {
     partition_fixture_t *fixture = *state;
@@ -69,9 +69,9 @@
     return machine;
 }
 
-/* With heartbeats 3 s apart, no machine would accept starts for up to 4 s after each change of
- * view. A new owner therefore probes its machines. The answer to a push of its own view cannot be
- * an old copy. */
+/* Without probes, and with heartbeats 3 s apart, no machine would accept starts for up to 4 s after
+ * each change of view. A new owner therefore probes its machines. The answer to a push of its own
+ * view cannot be an old copy. */
 static void test_probed_machine_accepts_starts_before_its_first_heartbeat(void **state)
 {
     partition_fixture_t *fixture = *state;
@@ -107,7 +107,7 @@
     assert_non_null(probe_machine(fixture, PUSH_EXECUTED));
     /* A machine that sent a heartbeat in time accepts starts without a probe. */
     partition_free(fixture->partition);
-    fixture->partition = partition_fixture_partition(fixture, 7);
+    fixture->partition = partition_fixture_new_partition(fixture, 7);
     partition_delay_probes(fixture->partition, 1.0);
     load_page_record(fixture);
     exchange_heartbeat(fixture);
@@ -124,7 +124,7 @@
     partition_fixture_t *fixture = *state;
     placement_request_t request = placement_request_of("j-000009", 0, 900, 4);
     load_page_record(fixture);
-    /* The worker refuses it because of another worker epoch or a higher fencing token. */
+    /* The worker refuses the probe because of another worker epoch or a higher fencing token. */
     assert_non_null(probe_machine(fixture, PUSH_REFUSED));
     assert_null(partition_place(fixture->partition, &request, fixture->now));
     assert_null(probe_machine(fixture, PUSH_EXECUTED)); /* a machine is probed only once */
@@ -166,7 +166,7 @@
         partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands);
     assert_ptr_equal(machine, fixture_machine(fixture));
     partition_finish_push(fixture->partition, "m-000001", fixture->commands, 7, PUSH_UNANSWERED);
-    partition_end_job(fixture->partition, "j-000001"); /* the machine is now due a stop */
+    partition_end_job(fixture->partition, "j-000001"); /* a stop is now due for the machine */
     assert_null(
         partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands));
     assert_null(partition_place(fixture->partition, &request, fixture->now));
--- a/tests/core/partition/test_partition_records.c
+++ b/tests/core/partition/test_partition_records.c
@@ -123,7 +123,7 @@
     return NULL;
 }
 
-/* Two tasks of a job that is cancelled were stopped before: one was given time to save, and one
+/* Two tasks of a job were stopped before the job is cancelled: one was given time to save, and one
  * still fetches its image. The cancellation must stop both without time to save. */
 static void test_cancelled_tasks_get_no_time_to_save(void **state)
 {
