--- a/src/core/leader/admission.c
+++ b/src/core/leader/admission.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-team_state_t *leader_team_find(const leader_t *leader, const char *name, guint *index)
+team_state_t *leader_find_team(const leader_t *leader, const char *name, guint *index)
 {
     for (guint i = 0; i < leader->teams->len; i++) {
         team_state_t *state = &g_array_index(leader->teams, team_state_t, i);
--- a/src/core/leader/demand.c
+++ b/src/core/leader/demand.c
@@ -27,7 +27,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         job_t *job = value;
         guint team = 0;
-        const team_state_t *state = leader_team_find(leader, job->spec.team, &team);
+        const team_state_t *state = leader_find_team(leader, job->spec.team, &team);
         if (!state || leader_is_job_blocked(job, now))
             continue;
         job_demand_t entry = {.job = job, .team = team, .tasks = count_demanded_tasks(job, state)};
--- a/src/core/leader/demand.h
+++ b/src/core/leader/demand.h
@@ -7,15 +7,15 @@
 #include "core/leader/leader_type.h"
 
 /** The demand of one job. */
-typedef struct demand {
+typedef struct job_demand {
     job_t *job;     /**< Borrowed from the leader. */
     guint team;     /**< Index of its team in leader_t.teams. */
     uint32_t tasks; /**< Number of pending tasks that may be placed; above 0. */
 } job_demand_t;
 
-/** Returns the demand of the live jobs whose tasks may be placed at @p now, which leaves out jobs
- * that are backing off: an array of job_demand_t. The job pointers in it are valid until the leader
- * is changed. Transfer full. Called with the controller's lock held. */
+/** Returns the demand of the live jobs whose tasks may be placed at @p now: an array of
+ * job_demand_t, transfer full. Jobs that are backing off are left out. The job pointers in the
+ * array are valid until the leader is changed. Called with the controller's lock held. */
 GArray *leader_demand(const leader_t *leader, msec_t now);
 
 #endif
--- a/src/core/leader/job_progress.c
+++ b/src/core/leader/job_progress.c
@@ -3,8 +3,8 @@
 
 #include "core/leader/leader_internal.h"
 
-/* Operations of a job completion besides those that delete the job's chunks: one deletes jobs/<id>
- * and one writes ended/<id>. */
+/* Operations of a job completion besides those that delete the job's chunks: one deletes jobs/ID
+ * and one writes ended/ID. */
 enum { JOB_COMPLETION_OPS = 2 };
 
 void leader_mark_task_done(job_t *job, uint32_t task)
@@ -120,9 +120,9 @@
     return (first > second) - (first < second);
 }
 
-/* Returns an array of job_t, borrowed: unfinished jobs with progress that is not durable and dates
- * from due_before or earlier, oldest first. In the order of the hash table, the jobs at its end
- * would never be reached under a low rate limit. */
+/* Returns an array of job_t, borrowed: the unfinished jobs whose oldest progress that is not
+ * durable was received at due_before or earlier, oldest first. In the order of the hash table, the
+ * jobs at its end would never be reached under a low rate limit. */
 static GPtrArray *jobs_with_due_chunks(const leader_t *leader, msec_t due_before)
 {
     GPtrArray *due = g_ptr_array_new();
--- a/src/core/leader/job_progress.h
+++ b/src/core/leader/job_progress.h
@@ -13,10 +13,10 @@
 /** One entry of a progress batch: the completion of a job, or one chunk of its done_bits. */
 typedef struct progress {
     char job[ID_BYTES];      /**< The job's id. */
-    bool is_job_completion;  /**< True for a job completion: all tasks are done, and the transaction
-                         deletes jobs/{id} and the chunks and writes ended/{id}. */
+    bool is_job_completion;  /**< Whether the entry is a job completion: all tasks are done, and the
+                                transaction deletes jobs/ID and the chunks and writes ended/ID. */
     uint32_t done;           /**< Number of tasks done. */
-    uint64_t job_revision;   /**< Revision of jobs/{id}; the transaction requires it unchanged. */
+    uint64_t job_revision;   /**< Revision of jobs/ID; the transaction requires it unchanged. */
     guint chunk;             /**< Index of the chunk; unused for a job completion. */
     uint64_t revision;       /**< Revision of the chunk's key, which the transaction requires
                                 unchanged; 0: the key does not exist. */
@@ -34,12 +34,12 @@
     guint burst_ops; /**< Value that max_ops reaches if nothing is written for a while. */
     gsize bytes;     /**< Total size in bytes of the values so far. */
     gsize max_bytes; /**< Maximum total size in bytes of the values. */
-    bool has_blocked_completion; /**< A job completion needs more operations than the rate limit
-                             permits now. Nothing else may be written, so that the permitted number
-                             grows until the completion fits. */
+    bool has_blocked_completion; /**< Whether a job completion needs more operations than the rate
+                             limit permits now. Nothing else may then be written, so that the
+                             permitted number grows until the completion fits. */
 } kv_txn_usage_t;
 
-/** Marks the tasks of a job as done that a chunk read from the key-value store lists as done.
+/** Marks tasks of a job as done according to a chunk that was read from the key-value store.
  * @p chunk: index of the chunk; @p bits: a bit for each task of the chunk, @p bytes long, copied;
  * @p revision: revision of the chunk's key. Does nothing if the job is not live. */
 void leader_load_chunk(leader_t *leader, const char *id, guint chunk, const uint8_t *bits,
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -44,8 +44,8 @@
 /** Begins a view. Attempt numbers consist of the view number and a counter that starts anew. */
 void leader_set_view(leader_t *leader, uint64_t view);
 
-/** Adds a live job. @p spec is copied; @p revision is the revision of the key jobs/{id}. Does
- * nothing if the job is already known. */
+/** Adds a live job. @p spec is copied; @p revision is the revision of the key jobs/ID. Does nothing
+ * if the job is already known. */
 void leader_add_job(leader_t *leader, const job_spec_t *spec, uint64_t revision);
 
 /** Removes a job that is cancelled or done. Its outstanding attempts still count against its team's
@@ -68,9 +68,9 @@
 /** Replaces a partition's machine summaries: array of machine_summary_t, transfer full. */
 void leader_set_summaries(leader_t *leader, guint partition, GArray *summaries);
 
-/** Replaces the partition's data on cpus that are being preempted. @p cpus: for each team, in the
- * order of the teams, the cpus of its attempts that the partition is preempting; array of double,
- * transfer full. */
+/** Replaces a partition's numbers of cpus that are being preempted. @p cpus: array of double,
+ * transfer full; for each team, in the order of the teams, the cpus of its attempts that the
+ * partition is preempting. */
 void leader_set_cpus_being_preempted(leader_t *leader, guint partition, GArray *cpus);
 
 /** Makes placement requests for the tasks that can be placed now, and counts them as outstanding.
--- a/src/core/leader/leader_internal.h
+++ b/src/core/leader/leader_internal.h
@@ -31,7 +31,7 @@
 
 /** Returns the team with this name, or NULL if the settings have none. @p index, which may be NULL,
  * receives the team's index in leader_t.teams if the team is found. */
-team_state_t *leader_team_find(const leader_t *leader, const char *name, guint *index);
+team_state_t *leader_find_team(const leader_t *leader, const char *name, guint *index);
 
 /** Returns whether the team's limits permit one more task that needs the resources @p need. */
 bool leader_team_admits(const team_state_t *state, resources_t need);
@@ -79,9 +79,9 @@
 /** A job in its team's queue. */
 typedef struct queued_job {
     job_t *job;                  /**< Borrowed from the leader. */
-    uint32_t starvation_minimum; /**< Number of outstanding tasks up to which this entry goes early,
-                                    because the job has waited long; 0: this is the ordinary entry
-                                    of the job. */
+    uint32_t starvation_minimum; /**< Number of outstanding tasks that the job is to get because it
+                                    has waited long. The entry is served early until this number is
+                                    reached. 0: this is the ordinary entry of the job. */
     double pending_cpu_s;        /**< Estimated cpu seconds of its pending tasks. */
     double latest_start_ms;      /**< Latest start that meets its next SLO, time of day in ms;
                                     infinite if it has no SLO or can meet none. */
@@ -132,8 +132,8 @@
 typedef struct failure_record {
     guint error_count;               /**< Number of failed attempts. */
     char first_failed_job[ID_BYTES]; /**< Id of the job whose attempt failed first. */
-    bool is_machine_at_fault;        /**< Attempts of more than one job failed, or of a job that has
-                                        finished tasks. */
+    bool is_machine_at_fault; /**< Whether attempts of more than one job failed, or an attempt of a
+                                 job that has finished tasks. */
 } failure_record_t;
 
 /** Sets the back-off of the job after an attempt that failed or was refused for @p cause. */
--- a/src/core/leader/leader_type.h
+++ b/src/core/leader/leader_type.h
@@ -23,7 +23,7 @@
 typedef struct job {
     job_spec_t spec;              /**< As submitted, except that may_use_spot is false if the
                                      policy rules out spot machines for the job. */
-    uint64_t revision;            /**< Revision of the key jobs/{id}. */
+    uint64_t revision;            /**< Revision of the key jobs/ID. */
     uint8_t *done_bits;           /**< Owned; a bit for each task, set if the task is done. */
     uint8_t *outstanding_bits;    /**< Owned; a bit for each task, set if an attempt is
                                      outstanding. */
@@ -39,7 +39,7 @@
     GArray *committing_attempts; /**< Array of partition_attempt_t, owned: attempts whose completion
                                     is in the commit in flight; NULL: no commit is in flight. */
     msec_t dirty_since_at;       /**< When the oldest progress of dirty_chunks was received. */
-    bool is_completion_in_flight; /**< The commit in flight contains the job's completion. */
+    bool is_completion_in_flight; /**< Whether the commit in flight completes the job. */
     guint consecutive_errors;     /**< Failed attempts since the last success. */
     msec_t retry_at;              /**< No task of the job is requested before this time. */
     GHashTable *zone_outstanding; /**< Zone name (char *, owned) to the number of outstanding
@@ -52,14 +52,14 @@
 typedef struct team_state {
     team_t team;                 /**< Its quota, from the settings. */
     double outstanding_cpus;     /**< Cpus of its outstanding attempts. */
-    double outstanding_gpus;     /**< Accelerators of its outstanding attempts. */
+    double outstanding_gpus;     /**< Gpus of its outstanding attempts. */
     double cpus_being_preempted; /**< Cpus of its attempts that partitions are preempting. */
 } team_state_t;
 
 /** An outstanding attempt: it was requested or is recorded, and it is not proven to be over. It
  * counts against its team's quota and its job's zone constraints even if its machine hangs or is
  * unreachable. */
-typedef struct outstanding {
+typedef struct outstanding_attempt {
     task_ref_t ref;         /**< The attempt; the key in leader_t.outstanding. */
     guint team_index;       /**< Index in leader_t.teams; G_MAXUINT: the settings no longer have
                                the team. */
@@ -68,8 +68,8 @@
     guint partition;        /**< Index of the partition that handles it. */
 } outstanding_attempt_t;
 
-/** Totals over all machines in a placement round. They let the round skip the scan of the single
- * summaries for work that cannot fit on any machine. */
+/** Totals over all machines in a placement round. They allow the round to skip the search through
+ * the summaries for work that cannot fit on any machine. */
 typedef struct leader_round {
     guint machine_count;         /**< Number of machines of all partitions. */
     guint claimed_count;         /**< Number of machines claimed in this round. */
--- a/src/core/leader/outstanding_attempts.c
+++ b/src/core/leader/outstanding_attempts.c
@@ -35,7 +35,7 @@
     outstanding->need = need;
     outstanding->partition = partition;
     outstanding->team_index = G_MAXUINT;
-    team_state_t *state = leader_team_find(leader, team, &outstanding->team_index);
+    team_state_t *state = leader_find_team(leader, team, &outstanding->team_index);
     if (state) {
         state->outstanding_cpus += need.cpus;
         state->outstanding_gpus += need.gpus;
--- a/src/core/leader/team_queues.c
+++ b/src/core/leader/team_queues.c
@@ -5,15 +5,16 @@
 #include <string.h>
 
 /* Finds the first objective that a task started now can still meet, and lowers the entry's latest
- * start to the latest start that meets it. objectives is an array of double in ascending order, in
- * units of unit_ms after submission. ready_ms is the end of a task that starts now. */
-static void apply_next_slo(const GArray *objectives, double unit_ms, double ready_ms,
+ * start to the latest one that meets this objective. objectives is an array of double in ascending
+ * order, in units of unit_ms after submission. earliest_end_ms is the end of a task that starts
+ * now. */
+static void apply_next_slo(const GArray *objectives, double unit_ms, double earliest_end_ms,
                            queued_job_t *queued)
 {
     const job_spec_t *spec = &queued->job->spec;
     for (guint i = 0; i < objectives->len; i++) {
         double due_ms = (double)spec->submitted_ms + g_array_index(objectives, double, i) * unit_ms;
-        if (due_ms < ready_ms)
+        if (due_ms < earliest_end_ms)
             continue;
         queued->latest_start_ms =
             MIN(queued->latest_start_ms, due_ms - spec->estimate_s * MS_PER_S);
@@ -50,12 +51,12 @@
     queued.pending_cpu_s =
         leader_pending_task_count(job) * spec->need.cpus * MAX(spec->estimate_s, 1);
     const slo_t *slos = g_hash_table_lookup(leader->slos, spec->class_name);
-    double ready_ms = (double)day_ms + spec->estimate_s * MS_PER_S;
+    double earliest_end_ms = (double)day_ms + spec->estimate_s * MS_PER_S;
     if (spec->deadline_s > 0)
-        apply_next_slo(deadline_multiples(leader, slos), spec->deadline_s * MS_PER_S, ready_ms,
-                       &queued);
+        apply_next_slo(deadline_multiples(leader, slos), spec->deadline_s * MS_PER_S,
+                       earliest_end_ms, &queued);
     if (slos)
-        apply_next_slo(slos->within_s, MS_PER_S, ready_ms, &queued);
+        apply_next_slo(slos->within_s, MS_PER_S, earliest_end_ms, &queued);
     return queued;
 }
 
--- a/tests/core/leader/test_failure_records.c
+++ b/tests/core/leader/test_failure_records.c
@@ -3,9 +3,9 @@
 #include "leader_fixture.h"
 #include "unit_test.h"
 
-/* A job that fails on every machine accumulates reservations until its partition appears full. This
- * is a known weakness of projected least-loaded placement. */
-static void test_job_that_fails_everywhere_is_backed_off(void **state)
+/* Guards against a job that fails on every machine and accumulates reservations until its partition
+ * appears full. This is a known weakness of projected least-loaded placement. */
+static void test_job_that_fails_everywhere_backs_off(void **state)
 {
     leader_fixture_t *fixture = *state;
     job_spec_t spec = make_job("j-000001", "team-b", 50);
@@ -55,7 +55,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_job_that_fails_everywhere_is_backed_off, set_up_leader,
+        cmocka_unit_test_setup_teardown(test_job_that_fails_everywhere_backs_off, set_up_leader,
                                         tear_down_leader),
         cmocka_unit_test_setup_teardown(test_machine_is_quarantined_after_failures_of_several_jobs,
                                         set_up_leader, tear_down_leader),
--- a/tests/core/leader/test_machine_claims.c
+++ b/tests/core/leader/test_machine_claims.c
@@ -64,7 +64,7 @@
 
 /* Guards against placement rounds whose cost is the length of the backlog times the number of
  * machines. Work that fits on no machine must not make the round examine the summaries. */
-static void test_work_that_fits_no_machine_examines_no_summary(void **state)
+static void test_round_skips_summaries_for_work_that_fits_no_machine(void **state)
 {
     leader_fixture_t *fixture = *state;
     enum { MACHINES = 64, JOBS = 200 };
@@ -95,7 +95,7 @@
             tear_down_leader),
         cmocka_unit_test_setup_teardown(test_machine_claim_ends_after_the_maximum_time,
                                         set_up_leader, tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_work_that_fits_no_machine_examines_no_summary,
+        cmocka_unit_test_setup_teardown(test_round_skips_summaries_for_work_that_fits_no_machine,
                                         set_up_leader, tear_down_leader),
     };
     return cmocka_run_group_tests_name("machine_claims", tests, NULL, NULL);
--- a/tests/core/leader/test_placement_requests.c
+++ b/tests/core/leader/test_placement_requests.c
@@ -54,9 +54,9 @@
 }
 
 /* A same-zone job has an attempt in a zone that lost its machines, and a spread job has half of its
- * tasks in the only zone with machines. These attempts may still run and count until they are
+ * tasks in the only zone with machines. These attempts may still run, so they count until they are
  * proven to be over. Only then may other tasks of the jobs start in the zone with machines. */
-static void test_zone_limits_count_attempts_until_they_are_proven_over(void **state)
+static void test_zone_limits_count_attempts_until_proven_to_be_over(void **state)
 {
     leader_fixture_t *fixture = *state;
     job_spec_t same_zone = make_job("j-000001", "team-b", 2);
@@ -77,7 +77,7 @@
     handle_result(fixture, 0, task_ref("j-000002", 1, 9), CAUSE_NONE);
     g_autoptr(GArray) requests = schedule(fixture);
     assert_int_equal(count_requests(requests, "j-000001"), 2);
-    assert_int_equal(count_requests(requests, "j-000002"), 1); /* half of it, rounded up */
+    assert_int_equal(count_requests(requests, "j-000002"), 1); /* at most 2 of 3 in zone-a */
 }
 
 static void test_gang_is_requested_completely_or_not_at_all(void **state)
@@ -106,7 +106,7 @@
                                         set_up_leader, tear_down_leader),
         cmocka_unit_test_setup_teardown(test_spread_job_places_at_most_half_of_its_tasks_in_a_zone,
                                         set_up_leader, tear_down_leader),
-        cmocka_unit_test_setup_teardown(test_zone_limits_count_attempts_until_they_are_proven_over,
+        cmocka_unit_test_setup_teardown(test_zone_limits_count_attempts_until_proven_to_be_over,
                                         set_up_leader, tear_down_leader),
         cmocka_unit_test_setup_teardown(test_gang_is_requested_completely_or_not_at_all,
                                         set_up_leader, tear_down_leader),
--- a/tests/core/leader/test_published_counts.c
+++ b/tests/core/leader/test_published_counts.c
@@ -19,8 +19,8 @@
     assert_int_equal(counts.outstanding, outstanding);
 }
 
-/* A replica receives only the counts that changed, a few jobs at a time. After the leader's data
- * was loaded anew, which begins a new epoch, the replica discards the counts that it had. */
+/* A replica receives only the counts that changed, a few jobs at a time. When the leader's data is
+ * loaded again, a new epoch begins, and the replica discards the counts that it had. */
 static void test_replica_receives_changed_job_counts(void **state)
 {
     leader_fixture_t *fixture = *state;
