--- a/src/controller/autoscaler/autoscaler_loop.c
+++ b/src/controller/autoscaler/autoscaler_loop.c
@@ -19,7 +19,7 @@
 }
 
 /* Waits gap_ms until the next round. The wait ends early when the data of a view have been loaded,
- * because the queues of a new leader may have no machines yet. */
+ * because a new leader may have pending jobs and no machines yet. */
 static void wait_for_next_round(controller_t *controller, msec_t gap_ms)
 {
     pthread_mutex_lock(&controller->lock);
--- a/src/controller/autoscaler/member_exclusion.c
+++ b/src/controller/autoscaler/member_exclusion.c
@@ -7,31 +7,32 @@
 /* Returns the ids (owned) of the partition's machines whose workers seem unable to reach their
  * owner, because they are silent. Returns none if these are fewer than SILENT_MACHINES_MIN_COUNT or
  * at most half of the partition's machines. Called with the lock held. */
-static GPtrArray *find_lost_machines(const controller_t *controller, guint partition)
+static GPtrArray *find_cut_off_machines(const controller_t *controller, guint partition)
 {
     /* Of machine_summary_t; NULL if none were received yet. */
     const GArray *summaries = g_ptr_array_index(controller->placement.leader->summaries, partition);
-    GPtrArray *lost = g_ptr_array_new_with_free_func(g_free);
+    GPtrArray *cut_off = g_ptr_array_new_with_free_func(g_free);
     for (guint i = 0; summaries && i < summaries->len; i++) {
         const machine_summary_t *summary = &g_array_index(summaries, machine_summary_t, i);
         if (summary->silent_ms > cloud_context_lost_owner_ms(controller))
-            g_ptr_array_add(lost, g_strdup(summary->machine));
+            g_ptr_array_add(cut_off, g_strdup(summary->machine));
     }
-    if (lost->len < SILENT_MACHINES_MIN_COUNT || 2 * lost->len <= summaries->len)
-        g_ptr_array_set_size(lost, 0);
-    return lost;
+    if (cut_off->len < SILENT_MACHINES_MIN_COUNT || 2 * cut_off->len <= summaries->len)
+        g_ptr_array_set_size(cut_off, 0);
+    return cut_off;
 }
 
-/* Returns the same as find_lost_machines, but none if the placement generation has changed. Takes
- * the lock. */
-static GPtrArray *read_lost_machines(controller_t *controller, guint partition, uint64_t generation)
+/* Returns the same as find_cut_off_machines, but none if the placement generation has changed.
+ * Takes the lock. */
+static GPtrArray *read_cut_off_machines(controller_t *controller, guint partition,
+                                        uint64_t generation)
 {
     pthread_mutex_lock(&controller->lock);
-    GPtrArray *lost = controller->placement.generation == generation
-                          ? find_lost_machines(controller, partition)
-                          : g_ptr_array_new();
+    GPtrArray *cut_off = controller->placement.generation == generation
+                             ? find_cut_off_machines(controller, partition)
+                             : g_ptr_array_new();
     pthread_mutex_unlock(&controller->lock);
-    return lost;
+    return cut_off;
 }
 
 /* Returns how many of the machines are in the set of retained ones; NULL counts as an empty set. */
@@ -80,11 +81,11 @@
     uint64_t generation = 0;
     guint partitions = count_partitions_to_check(controller, now, &generation);
     for (guint i = 0; i < partitions; i++) {
-        g_autoptr(GPtrArray) lost = read_lost_machines(controller, i, generation);
-        if (lost->len && !retained)
+        g_autoptr(GPtrArray) cut_off = read_cut_off_machines(controller, i, generation);
+        if (cut_off->len && !retained)
             retained = retained_workers_read(context);
-        guint retained_count = count_retained(lost, retained);
-        if (lost->len && 2 * retained_count > lost->len)
+        guint retained_count = count_retained(cut_off, retained);
+        if (cut_off->len && 2 * retained_count > cut_off->len)
             exclude_member(controller, i, generation, retained_count, now);
     }
 }
--- a/src/controller/autoscaler/scale_in.c
+++ b/src/controller/autoscaler/scale_in.c
@@ -42,9 +42,9 @@
         autoscaler_reset_scale_in_delay(controller->autoscaler);
         return false;
     }
-    /* NEW_LEADER_SCALE_IN_DELAY_MS counts from the start of the leadership, not of the view: when
-     * it counted from the view and a leader installed a new view every half minute, nothing was
-     * scaled in for minutes. */
+    /* NEW_LEADER_SCALE_IN_DELAY_MS counts from the start of the leadership. If it counted from the
+     * start of the view, nothing would be scaled in for minutes while a leader installs a new view
+     * every half minute. */
     return now - controller->membership.leader_since_at > NEW_LEADER_SCALE_IN_DELAY_MS &&
            now - controller->placement.loaded_at > LEADER_GRACE_MS;
 }
--- a/src/controller/autoscaler/scale_out.c
+++ b/src/controller/autoscaler/scale_out.c
@@ -6,7 +6,7 @@
 #include "io/codec/codec.h"
 #include "io/log.h"
 
-/* Cancels the drain of one machine that still has work instead of scaling out, because it is
+/* Instead of scaling out, cancels the drain of one machine that still has work, because it is
  * available sooner than any new machine. Returns false if there is no such machine. Called with the
  * lock held. */
 static bool cancel_drain(controller_t *controller)
--- a/src/controller/autoscaler/silent_machines.c
+++ b/src/controller/autoscaler/silent_machines.c
@@ -4,7 +4,8 @@
 #include "io/clock.h"
 #include "io/log.h"
 
-/* Updates which zones are unreachable, and logs those that became so. Called with the lock held. */
+/* Updates which zones are unreachable, and logs those that became unreachable. Called with the lock
+ * held. */
 static void update_zones(controller_t *controller, msec_t now)
 {
     g_autoptr(GPtrArray) unreachable =
--- a/src/core/autoscaler/autoscaler_internal.h
+++ b/src/core/autoscaler/autoscaler_internal.h
@@ -15,14 +15,14 @@
     char type[LABEL_BYTES]; /**< The machine type's name. */
     char zone[LABEL_BYTES]; /**< The zone. */
     bool is_spot;           /**< True for a spot machine, false for an on-demand machine. */
-    msec_t requested_at;    /**< From when its boot time counts. */
+    msec_t requested_at;    /**< Time from which its boot time counts. */
 } booting_instance_t;
 
 /** The state of the autoscaler. */
 struct autoscaler {
     /** Machine id (stored in the value) -> booting_instance_t; values owned. */
     GHashTable *booting_instances;
-    /** Since when every check has found a machine that may be scaled in; 0 if the last check found
+    /** When the checks began to find a machine that may be scaled in; 0 if the last check found
      * none. */
     msec_t surplus_since;
     /** Type, zone and kind (see refusal_key) -> msec_t *: when such machines may be requested
@@ -48,12 +48,12 @@
 autoscaler_balance_t autoscaler_balance(const autoscaler_t *autoscaler, const leader_t *leader,
                                         const GArray *machine_types, msec_t now, int64_t day_ms);
 
-/** Returns the number of on-demand cpus that exceeds the demand within the guarantees; 0 if none
- * does. */
+/** Returns the number of on-demand cpus beyond the demand within the guarantees, or 0 if there are
+ * none. */
 double autoscaler_extra_on_demand_cpus(const autoscaler_balance_t *balance);
 
 /** Returns how many on-demand cpus beyond the guaranteed demand the pending work justifies. These
- * are the cpus that, added to the other capacity, let the pending work start within @p max_wait_s.
+ * are the cpus that, added to the other capacity, complete the pending work within @p max_wait_s.
  * The number is limited to the policy's on-demand share of the cpus needed for that or of the other
  * capacity, whichever is larger. Because the needed cpus count for the limit, work proceeds on that
  * share even if no spot machines are available at all. */
--- a/src/core/autoscaler/zone_reachability.c
+++ b/src/core/autoscaler/zone_reachability.c
@@ -5,7 +5,7 @@
 /* The number of machines of one zone in each state. */
 typedef struct zone_machines {
     guint accepting_starts;
-    guint silent; /* for too long */
+    guint silent; /* for longer than the limit */
 } zone_machines_t;
 
 /* Returns a map from the zone's name, borrowed from the summaries, to zone_machines_t, owned. */
--- a/tests/core/autoscaler/test_autoscaler.c
+++ b/tests/core/autoscaler/test_autoscaler.c
@@ -23,12 +23,15 @@
 }
 
 /* Gives the leader summaries of this many machines in the zone, all alike. */
-static void set_summaries(leader_fixture_t *fixture, guint machines, msec_t silent_ms, bool open)
+static void set_summaries(leader_fixture_t *fixture, guint machines, msec_t silent_ms,
+                          bool accepts_starts)
 {
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(machine_summary_t));
     for (guint i = 0; i < machines; i++) {
-        machine_summary_t summary = {
-            .type = "t", .zone = "zone-a", .accepts_starts = open, .silent_ms = silent_ms};
+        machine_summary_t summary = {.type = "t",
+                                     .zone = "zone-a",
+                                     .accepts_starts = accepts_starts,
+                                     .silent_ms = silent_ms};
         g_snprintf(summary.machine, sizeof summary.machine, "m-%06u", i);
         g_array_append_val(summaries, summary);
     }
@@ -43,8 +46,9 @@
 }
 
 /* Returns whether machines are scaled out for the pending work of a team without a guarantee, while
- * the cloud has no spot machines. silent_machines: the number of machines in the zone, all of which
- * were silent for too long and were then terminated. after_ms: the time since. */
+ * the cloud has no spot machines, and sets *request to the request for them. silent_machines: the
+ * number of machines in the zone, all of which were silent for too long and were then terminated.
+ * after_ms: the time from the update that found them silent to the scale-out. */
 static bool next_scale_out(leader_fixture_t *fixture, bool may_use_spot, guint silent_machines,
                            msec_t after_ms, scale_out_request_t *request)
 {
@@ -105,9 +109,9 @@
     return is_scaling_out ? request.count : 0;
 }
 
-/* Guards against a long queue that never drains: no more spot machines were available and nothing
- * was scaled out for a queue of five minutes. Also guards against on-demand machines for the whole
- * queue, which cost more than the work was worth. */
+/* Guards against a long queue that is never worked off: no more spot machines were available, and
+ * nothing was scaled out for a queue of five minutes. Also guards against on-demand machines for
+ * the whole queue, which cost more than the work was worth. */
 static void test_a_long_queue_gets_a_limited_share_of_on_demand_machines(void **state)
 {
     leader_fixture_t *fixture = *state;
