--- a/src/controller/autoscaler/retained_workers.c
+++ b/src/controller/autoscaler/retained_workers.c
@@ -22,10 +22,10 @@
     rate_limiter_charge(&controller->loop_request_limiter, 1, clock_steady());
     if (kv_list(&controller->kv_store, context->http_client, "kept/", entries, NULL) != KV_OK)
         return NULL;
-    int64_t day_ms = clock_realtime();
+    int64_t wall_clock_ms = clock_realtime();
     for (guint i = 0; i < entries->len; i++) {
         const json_t *value = g_array_index(entries, kv_entry_t, i).value;
-        if (day_ms - codec_get_retained_time(value) <= RETAINED_FRESH_MS)
+        if (wall_clock_ms - codec_get_retained_time(value) <= RETAINED_FRESH_MS)
             add_machines(retained, value);
     }
     /* This controller's own entry in the store may be seconds old, so its current list is added. */
--- a/src/controller/autoscaler/scale_out.c
+++ b/src/controller/autoscaler/scale_out.c
@@ -25,7 +25,7 @@
     return false;
 }
 
-/* Returns whether the machines that an earlier leader scaled out must be known by now. In the first
+/* Returns whether all machines that an earlier leader scaled out are known by now. In the first
  * view there was no earlier leader that could have scaled out, so a list that was read since the
  * data were loaded shows all machines. Called with the lock held. */
 static bool is_fleet_known(const cloud_context_t *context, msec_t now)
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -8,8 +8,9 @@
  *
  * The autoscaler keeps track of the booting instances, of the scale-out requests that were refused
  * recently and of the unreachable zones. Every function is called with the controller's lock held.
- * Times are in milliseconds of the steady clock, except for @p day_ms, which is the wall-clock time
- * that the jobs' deadlines refer to. @p machine_types is an array of machine_type_t; transfer none.
+ * Times are in milliseconds of the steady clock, except for @p wall_clock_ms, which is the
+ * wall-clock time that the jobs' deadlines refer to. @p machine_types is an array of
+ * machine_type_t; transfer none.
  */
 #ifndef PEPPERPULLEY_AUTOSCALER_H
 #define PEPPERPULLEY_AUTOSCALER_H
@@ -94,7 +95,7 @@
 /** Chooses the next machines to scale out and fills in @p request. Returns false, and leaves
  * @p request undefined, if no machines are to be scaled out. */
 bool autoscaler_next_scale_out(const autoscaler_t *autoscaler, const leader_t *leader,
-                               const GArray *machine_types, msec_t now, int64_t day_ms,
+                               const GArray *machine_types, msec_t now, int64_t wall_clock_ms,
                                scale_out_request_t *request);
 
 /** Chooses a machine to drain and terminate because the capacity has exceeded the demand for at
@@ -103,7 +104,7 @@
  * to be scaled in; transfer none. */
 machine_summary_t *autoscaler_next_scale_in(autoscaler_t *autoscaler, const leader_t *leader,
                                             const GArray *machine_types, msec_t now,
-                                            int64_t day_ms);
+                                            int64_t wall_clock_ms);
 
 /** Restarts the scale-in delay: it counts from the next call that finds surplus capacity. */
 void autoscaler_reset_scale_in_delay(autoscaler_t *autoscaler);
--- a/src/core/autoscaler/autoscaler_internal.h
+++ b/src/core/autoscaler/autoscaler_internal.h
@@ -46,7 +46,8 @@
 
 /** Computes the balance of demand and capacity. */
 autoscaler_balance_t autoscaler_balance(const autoscaler_t *autoscaler, const leader_t *leader,
-                                        const GArray *machine_types, msec_t now, int64_t day_ms);
+                                        const GArray *machine_types, msec_t now,
+                                        int64_t wall_clock_ms);
 
 /** Returns the number of on-demand cpus beyond the demand within the guarantees, or 0 if there are
  * none. */
--- a/src/core/autoscaler/demand_balance.c
+++ b/src/core/autoscaler/demand_balance.c
@@ -4,18 +4,18 @@
 
 /* Returns the seconds within which the pending tasks of the job should start. It is shorter for a
  * job close to its deadline, which therefore justifies more machines at once. */
-static double job_max_wait_s(const leader_t *leader, const job_t *job, int64_t day_ms)
+static double job_max_wait_s(const leader_t *leader, const job_t *job, int64_t wall_clock_ms)
 {
     double max_wait_s = tunable_for_job(leader->policy, TUNABLE_SCALE_OUT_MAX_WAIT, &job->spec);
     if (job->spec.deadline_s <= 0)
         return max_wait_s;
-    double latest_start_in_s = (double)(job->spec.submitted_ms - day_ms) / MS_PER_S +
+    double latest_start_in_s = (double)(job->spec.submitted_ms - wall_clock_ms) / MS_PER_S +
                                job->spec.deadline_s - job->spec.estimate_s;
     return CLAMP(latest_start_in_s, MIN(max_wait_s, SCALE_OUT_MAX_WAIT_MIN_S), max_wait_s);
 }
 
 /* Returns the resources for the outstanding tasks and for the pending tasks. */
-static resources_t total_demand(const leader_t *leader, msec_t now, int64_t day_ms)
+static resources_t total_demand(const leader_t *leader, msec_t now, int64_t wall_clock_ms)
 {
     resources_t total = {0};
     GHashTableIter iter;
@@ -30,7 +30,7 @@
         /* Tasks that can run one after another on the same resources within the maximum wait count
          * once. */
         double rounds =
-            MAX(1, job_max_wait_s(leader, entry->job, day_ms) / MAX(spec->estimate_s, 1));
+            MAX(1, job_max_wait_s(leader, entry->job, wall_clock_ms) / MAX(spec->estimate_s, 1));
         resources_add(&total, spec->need, MAX(entry->tasks / rounds, MIN(entry->tasks, 1.0)));
     }
     return total;
@@ -86,9 +86,10 @@
 }
 
 autoscaler_balance_t autoscaler_balance(const autoscaler_t *autoscaler, const leader_t *leader,
-                                        const GArray *machine_types, msec_t now, int64_t day_ms)
+                                        const GArray *machine_types, msec_t now,
+                                        int64_t wall_clock_ms)
 {
-    autoscaler_balance_t balance = {.demand = total_demand(leader, now, day_ms)};
+    autoscaler_balance_t balance = {.demand = total_demand(leader, now, wall_clock_ms)};
     measure_team_demand(leader, now, &balance);
     add_running(&balance, leader);
     add_booting(&balance, autoscaler, machine_types);
--- a/src/core/autoscaler/scale_in_choice.c
+++ b/src/core/autoscaler/scale_in_choice.c
@@ -12,11 +12,12 @@
 } scale_in_choice_t;
 
 static scale_in_choice_t prepare_choice(const autoscaler_t *autoscaler, const leader_t *leader,
-                                        const GArray *machine_types, msec_t now, int64_t day_ms)
+                                        const GArray *machine_types, msec_t now,
+                                        int64_t wall_clock_ms)
 {
     scale_in_choice_t choice = {
         .machine_types = machine_types,
-        .balance = autoscaler_balance(autoscaler, leader, machine_types, now, day_ms)};
+        .balance = autoscaler_balance(autoscaler, leader, machine_types, now, wall_clock_ms)};
     choice.headroom = tunable_value(leader->policy, TUNABLE_SCALE_IN_HEADROOM);
     choice.extra_on_demand_cpus = autoscaler_extra_on_demand_cpus(&choice.balance);
     /* Hysteresis: on-demand machines are scaled in only if less work is pending than the amount at
@@ -81,9 +82,11 @@
 }
 
 machine_summary_t *autoscaler_next_scale_in(autoscaler_t *autoscaler, const leader_t *leader,
-                                            const GArray *machine_types, msec_t now, int64_t day_ms)
+                                            const GArray *machine_types, msec_t now,
+                                            int64_t wall_clock_ms)
 {
-    scale_in_choice_t choice = prepare_choice(autoscaler, leader, machine_types, now, day_ms);
+    scale_in_choice_t choice =
+        prepare_choice(autoscaler, leader, machine_types, now, wall_clock_ms);
     machine_summary_t *machine = choose_machine(&choice, leader);
     if (!machine) {
         autoscaler->surplus_since = 0;
--- a/src/core/autoscaler/scale_out_choice.c
+++ b/src/core/autoscaler/scale_out_choice.c
@@ -158,11 +158,11 @@
 }
 
 bool autoscaler_next_scale_out(const autoscaler_t *autoscaler, const leader_t *leader,
-                               const GArray *machine_types, msec_t now, int64_t day_ms,
+                               const GArray *machine_types, msec_t now, int64_t wall_clock_ms,
                                scale_out_request_t *request)
 {
     autoscaler_balance_t balance =
-        autoscaler_balance(autoscaler, leader, machine_types, now, day_ms);
+        autoscaler_balance(autoscaler, leader, machine_types, now, wall_clock_ms);
     resources_t missing = missing_resources(leader, &balance);
     if (missing.cpus <= 0 && missing.memory <= 0)
         return false;
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -74,10 +74,10 @@
 void leader_set_cpus_being_preempted(leader_t *leader, guint partition, GArray *cpus);
 
 /** Makes placement requests for the tasks that can be placed now, and counts them as outstanding.
- * @p now: steady clock; @p day_ms: time of day in ms. Returns an array of leader_request_t with at
- * most @p max_requests elements, or more if a gang, which is never split, exceeds that limit.
- * Transfer full. */
-GArray *leader_schedule(leader_t *leader, msec_t now, int64_t day_ms, guint max_requests);
+ * @p now: steady clock; @p wall_clock_ms: wall-clock time in ms. Returns an array of
+ * leader_request_t with at most @p max_requests elements, or more if a gang, which is never split,
+ * exceeds that limit. Transfer full. */
+GArray *leader_schedule(leader_t *leader, msec_t now, int64_t wall_clock_ms, guint max_requests);
 
 /** Returns whether the attempt is outstanding. */
 bool leader_is_outstanding(const leader_t *leader, const task_ref_t *ref);
--- a/src/core/leader/leader_internal.h
+++ b/src/core/leader/leader_internal.h
@@ -83,14 +83,14 @@
                                     has waited long. The entry is served early until this number is
                                     reached. 0: this is the ordinary entry of the job. */
     double pending_cpu_s;        /**< Estimated cpu seconds of its pending tasks. */
-    double latest_start_ms;      /**< Latest start that meets its next SLO, time of day in ms;
+    double latest_start_ms;      /**< Latest start that meets its next SLO, wall-clock time in ms;
                                     infinite if it has no SLO or can meet none. */
 } queued_job_t;
 
 /** Returns the team's jobs that have pending tasks and are not blocked, in the order in which they
- * are served: array of queued_job_t, transfer full. @p now: steady clock. @p day_ms: time of
- * day in ms. */
-GArray *leader_team_queue(const leader_t *leader, guint team, msec_t now, int64_t day_ms);
+ * are served: array of queued_job_t, transfer full. @p now: steady clock. @p wall_clock_ms:
+ * wall-clock time in ms. */
+GArray *leader_team_queue(const leader_t *leader, guint team, msec_t now, int64_t wall_clock_ms);
 
 /** Returns the cpus that one task of the job takes from its team's allowance; above 0. */
 double leader_task_cost(const queued_job_t *queued);
--- a/src/core/leader/schedule.c
+++ b/src/core/leader/schedule.c
@@ -75,14 +75,14 @@
     }
 }
 
-GArray *leader_schedule(leader_t *leader, msec_t now, int64_t day_ms, guint max_requests)
+GArray *leader_schedule(leader_t *leader, msec_t now, int64_t wall_clock_ms, guint max_requests)
 {
     guint teams = leader->teams->len;
     leader->preempting_request_count = 0;
     leader_begin_round(leader);
     g_autoptr(GPtrArray) queues = g_ptr_array_new_with_free_func((GDestroyNotify)g_array_unref);
     for (guint i = 0; i < teams; i++)
-        g_ptr_array_add(queues, leader_team_queue(leader, i, now, day_ms));
+        g_ptr_array_add(queues, leader_team_queue(leader, i, now, wall_clock_ms));
     schedule_t schedule = {.leader = leader,
                            .queues = queues,
                            .positions = g_new0(guint, MAX(teams, 1)),
--- a/src/core/leader/team_queues.c
+++ b/src/core/leader/team_queues.c
@@ -26,9 +26,9 @@
  * the queue alone would starve jobs under a lasting overload: large jobs, jobs of low priority and
  * jobs past their SLOs would wait forever. From the age of STARVATION_AGE_MS on, a job gets its
  * first task started, and from LONG_STARVATION_AGE_MS on a small part of its tasks at a time. */
-static uint32_t starvation_minimum_tasks(const job_t *job, int64_t day_ms)
+static uint32_t starvation_minimum_tasks(const job_t *job, int64_t wall_clock_ms)
 {
-    int64_t age_ms = day_ms - job->spec.submitted_ms;
+    int64_t age_ms = wall_clock_ms - job->spec.submitted_ms;
     if (age_ms < STARVATION_AGE_MS)
         return 0;
     if (age_ms < LONG_STARVATION_AGE_MS)
@@ -44,14 +44,14 @@
                                                  : leader->default_deadline_multiples;
 }
 
-static queued_job_t make_queue_entry(const leader_t *leader, job_t *job, int64_t day_ms)
+static queued_job_t make_queue_entry(const leader_t *leader, job_t *job, int64_t wall_clock_ms)
 {
     const job_spec_t *spec = &job->spec;
     queued_job_t queued = {.job = job, .latest_start_ms = INFINITY};
     queued.pending_cpu_s =
         leader_pending_task_count(job) * spec->need.cpus * MAX(spec->estimate_s, 1);
     const slo_t *slos = g_hash_table_lookup(leader->slos, spec->class_name);
-    double earliest_end_ms = (double)day_ms + spec->estimate_s * MS_PER_S;
+    double earliest_end_ms = (double)wall_clock_ms + spec->estimate_s * MS_PER_S;
     if (spec->deadline_s > 0)
         apply_next_slo(deadline_multiples(leader, slos), spec->deadline_s * MS_PER_S,
                        earliest_end_ms, &queued);
@@ -110,16 +110,16 @@
 
 /* Appends the job's ordinary entry. A job below its starvation minimum gets a second entry for that
  * minimum, which is served early. */
-static void append_job(const leader_t *leader, job_t *job, int64_t day_ms, GArray *queue)
+static void append_job(const leader_t *leader, job_t *job, int64_t wall_clock_ms, GArray *queue)
 {
-    queued_job_t queued = make_queue_entry(leader, job, day_ms);
+    queued_job_t queued = make_queue_entry(leader, job, wall_clock_ms);
     g_array_append_val(queue, queued);
-    queued.starvation_minimum = starvation_minimum_tasks(job, day_ms);
+    queued.starvation_minimum = starvation_minimum_tasks(job, wall_clock_ms);
     if (job->outstanding_count < queued.starvation_minimum)
         g_array_append_val(queue, queued);
 }
 
-GArray *leader_team_queue(const leader_t *leader, guint team, msec_t now, int64_t day_ms)
+GArray *leader_team_queue(const leader_t *leader, guint team, msec_t now, int64_t wall_clock_ms)
 {
     const char *name = g_array_index(leader->teams, team_state_t, team).team.name;
     GArray *queue = g_array_new(FALSE, FALSE, sizeof(queued_job_t));
@@ -131,7 +131,7 @@
         if (!leader_pending_task_count(job) || leader_is_job_blocked(job, now) ||
             strcmp(job->spec.team, name) != 0)
             continue;
-        append_job(leader, job, day_ms, queue);
+        append_job(leader, job, wall_clock_ms, queue);
     }
     g_array_sort(queue, compare_queued);
     return queue;
--- a/src/core/partition/machine_internal.h
+++ b/src/core/partition/machine_internal.h
@@ -20,8 +20,8 @@
     bool is_spot;                /**< Whether it is a spot machine. */
     bool is_capacity_known;      /**< Whether its type is known, so that capacity is set. */
     resources_t capacity;        /**< Total resources. */
-    bool has_responded; /**< Whether, in this view, it sent a periodic heartbeat that was accepted
-                           or executed a probe. */
+    bool has_responded; /**< Whether, in this view, a periodic heartbeat of it was accepted or it
+                           executed a probe. */
     bool has_heartbeat; /**< Whether a periodic heartbeat that it sent in this view was received. */
     bool needs_probe;   /**< Whether to probe it, since its next heartbeat may be seconds away. */
     uint64_t worker_epoch; /**< Worker epoch of its newest accepted heartbeat, or of its record if
--- a/tests/core/leader/leader_fixture.c
+++ b/tests/core/leader/leader_fixture.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-enum { NOW_MS = 1000, DAY_MS = 2000, MAX_REQUESTS = 100, JOB_REVISION = 5 };
+enum { NOW_MS = 1000, WALL_CLOCK_MS = 2000, MAX_REQUESTS = 100, JOB_REVISION = 5 };
 
 int set_up_leader(void **state)
 {
@@ -95,7 +95,7 @@
 
 GArray *schedule(leader_fixture_t *fixture)
 {
-    return leader_schedule(fixture->leader, NOW_MS, DAY_MS, MAX_REQUESTS);
+    return leader_schedule(fixture->leader, NOW_MS, WALL_CLOCK_MS, MAX_REQUESTS);
 }
 
 guint schedule_and_count(leader_fixture_t *fixture)
--- a/tests/core/leader/leader_fixture.h
+++ b/tests/core/leader/leader_fixture.h
@@ -38,8 +38,8 @@
 void load_attempt(leader_fixture_t *fixture, const record_entry_t *entry, const char *zone,
                   guint partition);
 
-/* Runs a placement round at 1000 ms on the steady clock and 2000 ms time of day. Returns an array
- * of leader_request_t. */
+/* Runs a placement round at 1000 ms on the steady clock and 2000 ms on the wall clock. Returns an
+ * array of leader_request_t. */
 GArray *schedule(leader_fixture_t *fixture);
 /* Runs such a round and returns its number of requests. */
 guint schedule_and_count(leader_fixture_t *fixture);
