--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -51,10 +51,10 @@
 /** Removes a booting instance that was terminated. Has no effect if the machine is not recorded. */
 void autoscaler_remove_booting(autoscaler_t *autoscaler, const char *machine);
 
-/** Removes the booting instances that are in @p known_machines, because a partition now has a
- * summary of them, and those that were interrupted while booting: they were requested more than
- * @p listing_lag_ms before @p now and are not in @p listed_machines. Both are sets of machine ids;
- * transfer none. */
+/** Removes the booting instances that have booted or no longer exist. Those in @p known_machines
+ * have booted, because a partition has a summary of them. Those that were requested more than
+ * @p listing_lag_ms before @p now and are not in @p listed_machines were interrupted while booting.
+ * Both are sets of machine ids; transfer none. */
 void autoscaler_prune_booting(autoscaler_t *autoscaler, GHashTable *known_machines,
                               GHashTable *listed_machines, msec_t listing_lag_ms, msec_t now);
 
