--- a/src/controller/autoscaler/scale_out.c
+++ b/src/controller/autoscaler/scale_out.c
@@ -6,7 +6,7 @@
 #include "io/codec/codec.h"
 #include "io/log.h"
 
-/* Cancels the drain of one machine that still has work instead of scaling out, because it is
+/* Instead of scaling out, cancels the drain of one machine that still has work, because it is
  * available sooner than any new machine. Returns false if there is no such machine. Called with the
  * lock held. */
 static bool cancel_drain(controller_t *controller)
@@ -25,7 +25,7 @@
     return false;
 }
 
-/* Returns whether the machines that an earlier leader scaled out must be known by now. In the first
+/* Returns whether all machines that an earlier leader scaled out are known by now. In the first
  * view there was no earlier leader that could have scaled out, so a list that was read since the
  * data were loaded shows all machines. Called with the lock held. */
 static bool is_fleet_known(const cloud_context_t *context, msec_t now)
