--- a/src/io/clock.h
+++ b/src/io/clock.h
@@ -17,8 +17,8 @@
     return (msec_t)now.tv_sec * MS_PER_S + now.tv_nsec / NS_PER_MS;
 }
 
-/** Returns the time of the monotonic clock, in milliseconds, for intervals and deadlines within the
- * process. */
+/** Returns the time of the steady (monotonic) clock, in milliseconds, for intervals and deadlines
+ * within the process. */
 static inline msec_t clock_steady(void)
 {
     return clock_read(CLOCK_MONOTONIC);
--- a/src/io/codec/answers.c
+++ b/src/io/codec/answers.c
@@ -1,9 +1,9 @@
 /* Answers to users and workers that need none of the core's types: errors, readiness, redirects. */
 #include "io/codec/codec.h"
 
-json_t *codec_build_error(const char *why)
+json_t *codec_build_error(const char *reason)
 {
-    return json_pack("{s:s}", "error", why);
+    return json_pack("{s:s}", "error", reason);
 }
 
 json_t *codec_build_ready(void)
--- a/src/io/codec/cloud.c
+++ b/src/io/codec/cloud.c
@@ -54,22 +54,22 @@
 
 /* Only the machine's id is required. The other fields keep their defaults if they are missing or
  * malformed. */
-static bool parse_host(const json_t *value, cloud_machine_t *host)
+static bool parse_cloud_machine(const json_t *value, cloud_machine_t *machine)
 {
     static const char *const states[] = {"booting", "running", "failed"};
     int state = CLOUD_MACHINE_RUNNING;
-    if (!codec_get_string(value, "Uid", host->machine, sizeof host->machine, NULL))
+    if (!codec_get_string(value, "Uid", machine->machine, sizeof machine->machine, NULL))
         return false;
-    codec_get_string(value, "Hull", host->type, sizeof host->type, NULL);
-    codec_get_string(value, "Dock", host->zone, sizeof host->zone, NULL);
-    codec_get_boolean(value, "Driftwood", &host->is_spot, NULL);
+    codec_get_string(value, "Hull", machine->type, sizeof machine->type, NULL);
+    codec_get_string(value, "Dock", machine->zone, sizeof machine->zone, NULL);
+    codec_get_boolean(value, "Driftwood", &machine->is_spot, NULL);
     codec_get_enum(value, "Trim", states, G_N_ELEMENTS(states), &state, NULL);
-    host->state = (cloud_machine_state_t)state;
-    host->age_s = json_number_value(json_object_get(value, "HeldS"));
+    machine->state = (cloud_machine_state_t)state;
+    machine->age_s = json_number_value(json_object_get(value, "HeldS"));
     return true;
 }
 
-bool codec_parse_cloud_machines(const json_t *body, GArray *hosts, bool *has_more)
+bool codec_parse_cloud_machines(const json_t *body, GArray *machines, bool *has_more)
 {
     const json_t *list = json_object_get(body, "Winches");
     if (!json_is_array(list))
@@ -78,10 +78,10 @@
     json_t *value;
     json_array_foreach(list, i, value)
     {
-        cloud_machine_t host = {0};
-        if (!parse_host(value, &host))
+        cloud_machine_t machine = {0};
+        if (!parse_cloud_machine(value, &machine))
             return false;
-        g_array_append_val(hosts, host);
+        g_array_append_val(machines, machine);
     }
     *has_more = json_is_true(json_object_get(body, "More"));
     return true;
--- a/src/io/codec/codec.h
+++ b/src/io/codec/codec.h
@@ -49,9 +49,9 @@
 bool codec_parse_job(const json_t *body, bool is_stored, job_spec_t *spec, GError **error);
 
 /** Copies the job's id from a submission that may be malformed or truncated, so that a repeat of an
- * accepted submission can be recognised. @p partial: what was parsed of it; may be NULL. @p id
- * becomes an empty string if there is no id, or one with a NUL character. @p size: of the buffer.
- */
+ * accepted submission can be recognised. @p partial: the part of the submission that was parsed;
+ * may be NULL. @p id: a buffer of @p size bytes, which becomes an empty string if the submission
+ * has no id or an id with a NUL character. */
 void codec_get_submitted_id(const json_t *partial, char *id, gsize size);
 
 /** Returns the number of tasks of a job, given the job's value in the key-value store. */
@@ -65,9 +65,8 @@
 json_t *codec_build_status(const char *id, const char *state, uint32_t done_count,
                            uint32_t running_count);
 
-/** Builds the answer to a request that is refused. @p why: the reason. Returns NULL if @p why is
- * not UTF-8. */
-json_t *codec_build_error(const char *why);
+/** Builds the answer to a request that is refused. Returns NULL if @p reason is not UTF-8. */
+json_t *codec_build_error(const char *reason);
 
 /** Builds the answer of a controller that is ready for users' requests. */
 json_t *codec_build_ready(void);
@@ -105,7 +104,7 @@
 } cloud_machine_state_t;
 
 /** A machine in the cloud's list. */
-typedef struct host {
+typedef struct cloud_machine {
     char machine[ID_BYTES];      /**< The machine's id. */
     char type[LABEL_BYTES];      /**< Name of its machine type. */
     char zone[LABEL_BYTES];      /**< Its zone. */
@@ -114,10 +113,10 @@
     double age_s;                /**< Seconds since it was requested. */
 } cloud_machine_t;
 
-/** Parses one page of the cloud's list of machines and appends the machines to @p hosts, a GArray
- * of cloud_machine_t. Sets *has_more to whether another page follows. Returns false if the page is
- * malformed; in that case some of its machines may have been appended. */
-bool codec_parse_cloud_machines(const json_t *body, GArray *hosts, bool *has_more);
+/** Parses one page of the cloud's list of machines and appends the machines to @p machines, a
+ * GArray of cloud_machine_t. Sets *has_more to whether another page follows. Returns false if the
+ * page is malformed; in that case some of its machines may have been appended. */
+bool codec_parse_cloud_machines(const json_t *body, GArray *machines, bool *has_more);
 
 /** Builds a scale-out request for @p count machines of one type and zone. The cloud executes
  * requests with the same @p idempotency_key only once. */
@@ -137,8 +136,8 @@
 /** Builds a scale-in request. @p machines: GPtrArray of char *, the machines' ids. */
 json_t *codec_build_scale_in(const GPtrArray *machines);
 
-/** Builds the value of machines/PAGE, a page of machine records. Returns NULL if a part of it can't
- * be built, for example because a text is not UTF-8; the page must then not be written. */
+/** Builds the value of machines/PAGE, a page of machine records. Returns NULL if a part of it
+ * cannot be built, for example because a text is not UTF-8; the page must then not be written. */
 json_t *codec_build_page_record(const page_record_t *record);
 
 /** Parses the value of machines/PAGE. @p page: the page's name, the last part of the key.
--- a/src/io/codec/heartbeat_values.h
+++ b/src/io/codec/heartbeat_values.h
@@ -61,7 +61,7 @@
 }
 
 /** Parses a decimal integer from 0 to @p max. Returns false, without an error message, if the text
- * is no such integer. */
+ * is not such an integer. */
 static inline bool value_parse_integer(const char *text, gsize length, guint64 max, uint64_t *to)
 {
     char digits[NUMBER_BYTES];
--- a/src/io/codec/worker_heartbeats.c
+++ b/src/io/codec/worker_heartbeats.c
@@ -1,5 +1,5 @@
-/* Parses worker heartbeats. Their values are stored from yajl's callbacks, without a JSON tree in
- * between, because heartbeats are most of the traffic.
+/* Parses worker heartbeats. yajl's callbacks store the values in the heartbeat directly, without
+ * building a JSON tree, because heartbeats are most of the traffic.
  *
  * The fields of the heartbeat are those of the outermost object. The fields of an attempt are those
  * of an object in the heartbeat's list of attempts. Fields with other names and deeper values are
@@ -54,8 +54,8 @@
     [ATTEMPT_FIELD_STATE] = "Trim",
     [ATTEMPT_FIELD_CAUSE] = "Cause"};
 
-/* The protocol's state of a gang's task that waits for the gang's other tasks. The core has no such
- * state and gets TASK_FETCHING instead. */
+/* In this state of the protocol, a task of a gang waits for the other tasks of the gang. The core
+ * has no such state and gets TASK_FETCHING instead. */
 enum { STATE_GATHERING = TASK_EXITED + 1 };
 
 static const char *const state_names[] = {[TASK_FETCHING] = "pulling",
@@ -80,9 +80,9 @@
     guint depth;                   /* number of open containers */
     bool is_in_attempts;           /* whether the list of attempts is open */
     heartbeat_field_t field;       /* field of the next value at DEPTH_HEARTBEAT */
-    guint seen_fields;             /* a bit, 1U << field, for each field read so far */
+    guint seen_fields;             /* bit 1U << field is set for each field read so far */
     attempt_field_t attempt_field; /* field of the next value at DEPTH_ATTEMPT */
-    guint seen_attempt_fields;     /* likewise for the fields of this attempt */
+    guint seen_attempt_fields;     /* the same for the fields of this attempt */
     reported_attempt_t attempt;    /* the attempt that is being read */
 } heartbeat_reader_t;
 
@@ -119,7 +119,7 @@
     case FIELD_FENCING_TOKEN:
         return value_read_integer(value, name, &heartbeat->fencing_token, error);
     case FIELD_INTERRUPTION:
-        heartbeat->interruption_in_s = -1; /* kept if the value is null: no interruption notice */
+        heartbeat->interruption_in_s = -1; /* stays if the value is null: no interruption notice */
         return value_read_optional_number(value, name, &heartbeat->interruption_in_s, error);
     case FIELD_ATTEMPTS: /* read_array_start handles the list itself */
         return value->type == VALUE_NULL ||
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -22,12 +22,12 @@
     HTTP_CONFLICT = 409,           /**< A precondition did not hold. */
     HTTP_GONE = 410,               /**< The requested data is no longer kept. */
     HTTP_MISDIRECTED = 421,        /**< Another controller owns the worker. */
-    HTTP_UNPROCESSABLE = 422,      /**< The request is well-formed but can't be satisfied. */
+    HTTP_UNPROCESSABLE = 422,      /**< The request is well-formed but cannot be satisfied. */
     HTTP_TOO_MANY_REQUESTS = 429,  /**< Not executed: the rate limit is exceeded. */
     HTTP_UNAVAILABLE = 503,        /**< Not executed: the service is temporarily unavailable. */
-    HTTP_NO_ANSWER = 0,            /**< Sent, but no answer came: the request may have been executed
-                                      or may still be. */
-    HTTP_NOT_SENT = -1             /**< Certainly not executed: no byte of the request was sent. */
+    HTTP_NO_ANSWER = 0, /**< Sent, but no answer came: the request may have been executed,
+                           or may be executed later. */
+    HTTP_NOT_SENT = -1  /**< Certainly not executed: no byte of the request was sent. */
 };
 
 /** Initializes the HTTP library. Call it once per process, before any other thread starts. */
--- a/src/io/kv_store.h
+++ b/src/io/kv_store.h
@@ -21,10 +21,10 @@
     KV_NOT_FOUND,     /**< Not executed: the key or the lease does not exist. */
     KV_NOT_EXECUTED,  /**< Certainly not executed: the request was not sent, or the store
                          refused it because of an outage or the rate limit. */
-    KV_INDETERMINATE, /**< No usable answer: the request may have been executed or may still
-                         be. */
-    KV_COMPACTED,     /**< Not executed: a watch starts at a revision whose later changes the
-                         store no longer has in full. */
+    KV_INDETERMINATE, /**< No usable answer: the request may have been executed, or may be
+                         executed later. */
+    KV_COMPACTED,     /**< Not executed: the store no longer has all changes after the revision
+                         at which the watch starts. */
     KV_INVALID        /**< Not executed: the request is malformed. */
 } kv_result_t;
 
@@ -35,7 +35,7 @@
 /** The key-value store, shared by all threads. */
 typedef struct kv_store {
     char base_url[BASE_URL_BYTES]; /**< Scheme and address. */
-    _Atomic(msec_t) answered_at;   /**< Monotonic time at which the latest request that has been
+    _Atomic(msec_t) answered_at;   /**< Steady clock, ms: when the latest request that has been
                                       answered was sent, or KV_NEVER_ANSWERED. */
 } kv_store_t;
 
--- a/src/io/peer_protocol.x
+++ b/src/io/peer_protocol.x
@@ -81,9 +81,9 @@
     wire_resources total;
     wire_resources free;
     unsigned int attempts;  /* number of attempts recorded on it */
-    hyper silent_ms;        /* ms since the machine was last reached */
+    hyper silent_ms;        /* ms since it last acknowledged a message that was sent to it */
     hyper idle_ms;          /* ms since it last had work */
-    hyper known_ms;         /* ms since the partition first received anything from it */
+    hyper known_ms;         /* ms since the partition first learned of it */
 };
 
 struct wire_cancellation_update {
--- a/src/io/rate_limiter.h
+++ b/src/io/rate_limiter.h
@@ -30,7 +30,7 @@
 /** Returns the number of available tokens; negative if more were taken than there were. */
 double rate_limiter_available(rate_limiter_t *limiter, msec_t now);
 
-/** Takes @p amount tokens even if fewer are available, for requests that can't be delayed. */
+/** Takes @p amount tokens even if fewer are available, for requests that cannot be delayed. */
 void rate_limiter_charge(rate_limiter_t *limiter, double amount, msec_t now);
 
 #endif
--- a/src/io/records.c
+++ b/src/io/records.c
@@ -65,8 +65,8 @@
     }
 }
 
-/* Requires the revisions of `jobs`, which maps ids to revisions, except for those in
- * `written_jobs`, the set of ids of the jobs that the transaction requires already. */
+/* Adds a condition on the revision of each job in `jobs`, a map from ids to revisions. Skips the
+ * jobs in `written_jobs`, a set of ids, because the transaction already has their conditions. */
 static void require_jobs(kv_txn_t *txn, GHashTable *jobs, GHashTable *written_jobs)
 {
     char key[KV_KEY_BYTES];
--- a/src/io/records.h
+++ b/src/io/records.h
@@ -1,8 +1,8 @@
 /** @file
  * Builds the transactions that write jobs, progress, machine records and members, each with its
  * conditions and changes. The conditions make a transaction safe even if it is executed late, after
- * its sender has given up on it or another controller has taken over. Thread-safe; nothing is sent
- * here.
+ * its sender has given up on it or another controller has taken over. The functions are thread-safe
+ * and send nothing.
  */
 #ifndef PEPPERPULLEY_RECORDS_H
 #define PEPPERPULLEY_RECORDS_H
@@ -15,7 +15,7 @@
  * full). @p progress: GArray of progress_t, or NULL.
  *
  * It requires that the key view/number still has @p view_revision and that the keys that it
- * replaces or deletes are unchanged, so a commit of an older view fails however late it is
+ * replaces or deletes are unchanged. A commit of an older view therefore fails, however late it is
  * executed. It also requires that the jobs whose starts it records are unchanged, so that no start
  * is recorded after a cancellation. */
 kv_txn_t records_build_commit(const GArray *progress, const partition_batch_t *machines,
--- a/src/io/relay.h
+++ b/src/io/relay.h
@@ -1,5 +1,5 @@
 /** @file
- * Relays messages between controllers that can't reach each other by socket, as values in the
+ * Relays messages between controllers that cannot reach each other by socket, as values in the
  * key-value store.
  *
  * A message is compressed, encoded as text and divided into pages, each of which fits into a value.
--- a/src/io/settings.c
+++ b/src/io/settings.c
@@ -18,7 +18,7 @@
         settings_read_address(reader, item, "endpoint", sibling.endpoint);
         g_array_append_val(settings->siblings, sibling);
     }
-    G_STATIC_ASSERT(MEMBERS_MAX_COUNT - 1 == 15); /* the error text has this limit */
+    G_STATIC_ASSERT(MEMBERS_MAX_COUNT - 1 == 15); /* the error text names this limit */
     if (settings->siblings->len >= MEMBERS_MAX_COUNT)
         settings_set_error(reader, SETTINGS_ERROR_RANGE, "siblings",
                            "too many controllers, expected at most 15");
@@ -97,7 +97,7 @@
     }
 }
 
-/* Returns the factor by which the pauses between rounds that only serve quality are lengthened. */
+/* Returns settings_t.pause_factor. */
 static double read_pause_factor(settings_reader_t *reader, const json_t *limits)
 {
     if (!json_object_get(limits, "core_share"))
@@ -134,7 +134,7 @@
     /* A controller that no longer learns of cancellations goes on renewing leases for the
      * difference between cancel_s and lease_s, less the margin. Without any time left, no worker
      * could keep its lease. */
-    G_STATIC_ASSERT(CANCEL_MARGIN_MS == 3 * MS_PER_S); /* the error text has this limit */
+    G_STATIC_ASSERT(CANCEL_MARGIN_MS == 3 * MS_PER_S); /* the error text names this limit */
     if (!reader->error &&
         settings->cancel_s * MS_PER_S <= settings->lease_s * MS_PER_S + CANCEL_MARGIN_MS)
         settings_set_error(reader, SETTINGS_ERROR_VALUE, "cancel_s",
--- a/src/io/settings.h
+++ b/src/io/settings.h
@@ -8,14 +8,14 @@
 
 #include "core/types.h"
 
-/** Error domain of settings_load(). A message is one line: "file: field: error", where the error
- * says what is wrong or what is expected; for a file that is not JSON, "file:line:column: error";
- * for a file that can't be read, "file: error". */
+/** Error domain of settings_load(). A message is one line. It has the form "file: field: error",
+ * where the error says what is wrong or what is expected, "file:line:column: error" if the file is
+ * not JSON, or "file: error" if the file cannot be read. */
 #define SETTINGS_ERROR (settings_error_quark())
 
 /** The error codes of SETTINGS_ERROR. */
 typedef enum {
-    SETTINGS_ERROR_FILE,    /**< The file can't be read, or is not JSON. */
+    SETTINGS_ERROR_FILE,    /**< The file cannot be read, or is not JSON. */
     SETTINGS_ERROR_MISSING, /**< A field is missing. */
     SETTINGS_ERROR_TYPE,    /**< A field has the wrong JSON type, or is an empty string. */
     SETTINGS_ERROR_RANGE,   /**< A number is out of range, a string too long or a list too large. */
@@ -44,19 +44,20 @@
     GArray *siblings;                     /**< The other controllers: array of sibling_t; owned. */
     GArray *teams;                        /**< Array of team_t; owned. */
     GHashTable *slos; /**< Maps class (char *) to SLOs (slo_t *); owned, with keys and values. */
-    double heartbeat_interval_s;  /**< Interval between the heartbeats of a worker. */
-    double lease_s;               /**< Duration of a worker's lease. */
-    double cancel_s;              /**< Time within which the tasks of a cancelled job must stop. */
+    double heartbeat_interval_s;  /**< Interval between the heartbeats of a worker, s. */
+    double lease_s;               /**< Duration of a worker's lease, s. */
+    double cancel_s;              /**< Time in which the tasks of a cancelled job must stop, s. */
     double kv_rps;                /**< Rate limit of the key-value store: requests per second. */
     double kv_write_rps;          /**< Rate limit of the key-value store: changes per second. */
     double value_kb;              /**< Largest value in the key-value store, in KiB. */
     guint txn_ops;                /**< Most changes in a transaction. */
     double cloud_rps;             /**< Rate limit of the cloud: requests per second. */
-    double list_lag_s;            /**< How far the cloud's list of machines may lag behind. */
+    double list_lag_s;            /**< Longest delay of changes in the cloud's machine list, s. */
     guint dispatcher_connections; /**< Connections to workers that each command dispatcher keeps
                                      open. */
-    double pause_factor; /**< Factor by which the pauses between rounds that only serve quality, not
-                    safety, are lengthened: 1, or more on a small share of a core. */
+    double pause_factor; /**< Factor that lengthens the pauses between rounds that affect only the
+                            quality of scheduling, not its safety. It is above 1 if the process has
+                            only a small share of a core, otherwise 1. */
     guint connections;   /**< Most simultaneous connections of users and workers, as limited by
                             sockets, threads and memory. */
 } settings_t;
--- a/tests/io/codec/test_codec.c
+++ b/tests/io/codec/test_codec.c
@@ -53,7 +53,7 @@
     (void)state;
     assert_true(is_accepted(valid_job(), NULL));
     assert_true(is_accepted(job_with("Unheard", json_integer(1)), NULL));
-    assert_true(is_accepted(job_without("TideS"), NULL)); /* may be null, so may be omitted */
+    assert_true(is_accepted(job_without("TideS"), NULL)); /* optional, like Hulls */
     assert_true(is_accepted(job_without("Hulls"), NULL));
     assert_true(is_accepted(job_with("Cpus", json_integer(4)), NULL));
     assert_true(is_accepted(job_with("Pieces", json_integer(TASKS_MAX_COUNT)), NULL));
@@ -86,7 +86,7 @@
     assert_job_refused(json_array(), CODEC_ERROR_SYNTAX, "a JSON object is expected");
 }
 
-/* What is built for the key-value store must yield the same job when it is loaded. */
+/* A job that is loaded from the key-value store must be equal to the job that was stored. */
 static void test_stored_job_is_parsed_back(void **state)
 {
     (void)state;
@@ -145,8 +145,8 @@
 }
 
 /* The id must be found even if the rest of a submission is malformed, so that a repeat of an
- * accepted submission is recognised. An id with a NUL character counts as none: C code would
- * truncate it. */
+ * accepted submission is recognised. An id with a NUL character counts as no id, because C code
+ * would truncate it. */
 static void test_id_of_a_malformed_submission_is_extracted(void **state)
 {
     (void)state;
--- a/tests/io/codec/test_encoding_samples.c
+++ b/tests/io/codec/test_encoding_samples.c
@@ -1,6 +1,5 @@
-/* Checks that the service writes and reads exactly the bytes in tests/samples, which the builds in
- * use wrote. During an update, controllers of the old and the new build run side by side and must
- * be able to read each other's values and messages. */
+/* Checks that the service writes and reads exactly the bytes in tests/samples, as deployed versions
+ * do. During an update, controllers of the old and the new version must read each other's data. */
 #include "controller/api/reply.h"
 #include "io/codec/codec.h"
 #include "io/records.h"
@@ -8,7 +7,7 @@
 #include "sample_files.h"
 
 /* Consumes the transaction. */
-static void assert_txn_is_sample(const char *name, kv_txn_t txn)
+static void assert_txn_sample(const char *name, kv_txn_t txn)
 {
     assert_false(txn.is_invalid);
     assert_json_is_sample(name, json_pack("[o,o]", txn.conditions, txn.changes));
@@ -133,15 +132,14 @@
     assert_int_equal(heartbeat.fencing_token, 41);
     assert_int_equal(heartbeat.attempts->len, G_N_ELEMENTS(states) + CAUSE_GANG_INCOMPLETE + 1);
     for (guint i = 0; i < heartbeat.attempts->len; i++) {
-        const reported_attempt_t *attempt =
-            &g_array_index(heartbeat.attempts, reported_attempt_t, i);
+        const reported_attempt_t *item = &g_array_index(heartbeat.attempts, reported_attempt_t, i);
         bool has_exited = i >= G_N_ELEMENTS(states);
         guint cause = has_exited ? i - G_N_ELEMENTS(states) : CAUSE_NONE;
-        assert_string_equal(attempt->job, has_exited ? "j-000398" : "j-000412");
-        assert_int_equal(attempt->task, has_exited ? 10 + cause : 3 + i);
-        assert_int_equal(attempt->attempt, 2 + i);
-        assert_int_equal(attempt->state, has_exited ? TASK_EXITED : states[i]);
-        assert_int_equal(attempt->cause, cause);
+        assert_string_equal(item->job, has_exited ? "j-000398" : "j-000412");
+        assert_int_equal(item->task, has_exited ? 10 + cause : 3 + i);
+        assert_int_equal(item->attempt, 2 + i);
+        assert_int_equal(item->state, has_exited ? TASK_EXITED : states[i]);
+        assert_int_equal(item->cause, cause);
     }
     worker_heartbeat_clear(&heartbeat);
     g_free(text);
@@ -199,21 +197,21 @@
         {"m-000002", "c16", "south", false, CLOUD_MACHINE_RUNNING, 40.5},
         {"m-000003", "c32", "east", false, CLOUD_MACHINE_FAILED, 7}};
     bool has_more = false;
-    GArray *hosts = g_array_new(FALSE, FALSE, sizeof(cloud_machine_t));
+    GArray *machines = g_array_new(FALSE, FALSE, sizeof(cloud_machine_t));
     json_t *body = read_json_sample("cloud_machines.json");
-    assert_true(codec_parse_cloud_machines(body, hosts, &has_more));
+    assert_true(codec_parse_cloud_machines(body, machines, &has_more));
     assert_true(has_more);
-    assert_int_equal(hosts->len, G_N_ELEMENTS(expected));
-    for (guint i = 0; i < hosts->len; i++) {
-        const cloud_machine_t *host = &g_array_index(hosts, cloud_machine_t, i);
-        assert_string_equal(host->machine, expected[i].machine);
-        assert_string_equal(host->type, expected[i].type);
-        assert_string_equal(host->zone, expected[i].zone);
-        assert_int_equal(host->is_spot, expected[i].is_spot);
-        assert_int_equal(host->state, expected[i].state);
-        assert_true(host->age_s == expected[i].age_s);
+    assert_int_equal(machines->len, G_N_ELEMENTS(expected));
+    for (guint i = 0; i < machines->len; i++) {
+        const cloud_machine_t *machine = &g_array_index(machines, cloud_machine_t, i);
+        assert_string_equal(machine->machine, expected[i].machine);
+        assert_string_equal(machine->type, expected[i].type);
+        assert_string_equal(machine->zone, expected[i].zone);
+        assert_int_equal(machine->is_spot, expected[i].is_spot);
+        assert_int_equal(machine->state, expected[i].state);
+        assert_true(machine->age_s == expected[i].age_s);
     }
-    g_array_unref(hosts);
+    g_array_unref(machines);
     json_decref(body);
 }
 
@@ -297,9 +295,8 @@
     g_string_free(text, TRUE);
 }
 
-/* The commit writes a chunk of progress, the end of a job and a page of machine records, and
- * deletes an empty page. It records starts of two jobs. For j-000412, the write of its progress
- * already requires the job's revision, so only j-000555 needs a condition of its own. */
+/* The commit records starts of two jobs. It needs a separate condition on j-000555 only, because
+ * the write of the progress of j-000412 already requires the revision of that job. */
 static void test_commit_matches_sample(void **state)
 {
     (void)state;
@@ -320,7 +317,7 @@
     g_array_append_val(batch.records, empty);
     g_hash_table_insert(batch.jobs, "j-000412", GSIZE_TO_POINTER(101));
     g_hash_table_insert(batch.jobs, "j-000555", GSIZE_TO_POINTER(105));
-    assert_txn_is_sample("txn_commit.json", records_build_commit(progress, &batch, 100));
+    assert_txn_sample("txn_commit.json", records_build_commit(progress, &batch, 100));
     g_array_unref(page.machines);
     g_array_unref(empty.machines);
     g_array_unref(batch.records);
@@ -346,11 +343,10 @@
     (void)state;
     const member_t self = {"node-2", "south", 1700000000456, true};
     job_spec_t spec = submitted_job();
-    assert_txn_is_sample("txn_submit.json", records_build_submission(&spec));
-    assert_txn_is_sample("txn_abort.json",
-                         records_build_cancellation("j-000412", 21, CHUNK_BITS + 1));
-    assert_txn_is_sample("txn_abort_single.json", records_build_cancellation("j-000412", 22, 1));
-    assert_txn_is_sample("txn_member.json", records_build_member(&self, 23, 24));
+    assert_txn_sample("txn_submit.json", records_build_submission(&spec));
+    assert_txn_sample("txn_abort.json", records_build_cancellation("j-000412", 21, CHUNK_BITS + 1));
+    assert_txn_sample("txn_abort_single.json", records_build_cancellation("j-000412", 22, 1));
+    assert_txn_sample("txn_member.json", records_build_member(&self, 23, 24));
     job_spec_clear(&spec);
 }
 
@@ -366,15 +362,15 @@
                  [ATTR_JOB_TEAM] = "vision",
                  [ATTR_MACHINE_TYPE] = "g8",
                  [ATTR_MACHINE_ZONE] = "north"}};
-    GPtrArray *faults = policy_errors_new();
+    GPtrArray *errors = policy_errors_new();
     char *text = read_sample("settings.policy");
-    policy_t *policy = policy_compile("settings.policy", text, faults);
+    policy_t *policy = policy_compile("settings.policy", text, errors);
     assert_non_null(policy);
     for (int tunable = 0; tunable < TUNABLE_COUNT; tunable++)
         if (policy_value(policy, (policy_tunable_t)tunable, &env) != expected[tunable])
             fail_msg("sample settings.policy: tunable %d has the wrong value", tunable);
     policy_free(policy);
-    g_ptr_array_unref(faults);
+    g_ptr_array_unref(errors);
     g_free(text);
 }
 
--- a/tests/io/codec/test_worker_heartbeats.c
+++ b/tests/io/codec/test_worker_heartbeats.c
@@ -1,5 +1,5 @@
-/* Tests of the codec of worker heartbeats: which are accepted and which are refused with which
- * error. */
+/* Tests of the codec of worker heartbeats: which heartbeats are accepted, and which are refused
+ * with which error. */
 #include "io/codec/codec.h"
 #include "unit_test.h"
 
@@ -130,9 +130,9 @@
     assert_text_refused("", 0, "not JSON");
 }
 
-/* An attempt has exited whatever cause the worker gives. A cause that is unknown or missing must
- * neither make the heartbeat invalid nor count as success. The cause of an attempt that has not
- * exited is ignored. */
+/* An attempt in the state "exited" has ended whatever its cause is. A cause that is unknown or
+ * missing must neither make the heartbeat invalid nor count as success. The cause of an attempt
+ * that has not exited is ignored. */
 static void test_unknown_or_missing_cause_counts_as_error(void **state)
 {
     (void)state;
--- a/tests/io/records_fixture.h
+++ b/tests/io/records_fixture.h
@@ -45,7 +45,7 @@
     return 0;
 }
 
-/* Replaces the partition by an empty one in the view, like that of a controller that takes over. */
+/* Replaces the partition by an empty one in that view, as a controller that takes over has it. */
 static inline void fixture_replace_partition(records_fixture_t *fixture, uint64_t view)
 {
     partition_free(fixture->partition);
@@ -71,7 +71,8 @@
     return spec;
 }
 
-/* Handles a heartbeat of a machine without attempts. Its sequence number is also its time, in s. */
+/* Handles a heartbeat of a machine without attempts. The sequence number of the heartbeat is also
+ * the time at which it arrives, in s. */
 static inline void fixture_heartbeat(records_fixture_t *fixture, const char *id, const char *type,
                                      uint64_t heartbeat_sequence)
 {
--- a/tests/io/test_machine_pages.c
+++ b/tests/io/test_machine_pages.c
@@ -8,8 +8,8 @@
     TXN_MAX_BYTES = 64 * 1024
 };
 
-/* Returns the ids of MACHINES_COUNT machines of one shard: more than a shard has if a zone has a
- * thousand machines. */
+/* Returns the ids of MACHINES_COUNT machines of one shard, which is more than a shard has in a zone
+ * with a thousand machines. */
 static GPtrArray *machines_of_one_shard(void)
 {
     GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
@@ -97,8 +97,8 @@
     for (guint i = 0; i < ids->len; i++)
         fixture_heartbeat(fixture, g_ptr_array_index(ids, i), "t16", 1);
     fixture_place_tasks(fixture, MACHINES_COUNT * TASKS_PER_MACHINE_COUNT, 2);
-    /* Some commits are refused: pages that have been split in memory only must still be written
-     * together afterwards. */
+    /* Some commits are refused. Pages that were split in memory for a refused commit must be
+     * written together by a later one. */
     for (guint round = 0; round < 60; round++) {
         commit_within_limits(fixture, round % 3 == 1);
         count_recorded_attempts(fixture, machines);
@@ -137,7 +137,7 @@
     }
     assert_int_equal(partition_attempt_count(fixture->partition),
                      MACHINES_COUNT * TASKS_PER_MACHINE_COUNT);
-    /* The page of the terminated machine is written under the revision that was loaded. */
+    /* The write of the terminated machine's page requires the revision that was loaded. */
     partition_record_machine_terminated(fixture->partition, g_ptr_array_index(ids, 0));
     assert_int_equal(commit_within_limits(fixture, false), 1);
     assert_int_equal(partition_attempt_count(fixture->partition),
@@ -145,9 +145,9 @@
     g_ptr_array_unref(ids);
 }
 
-/* The value of one key can't record all the small tasks that fit on a large machine. The machine
- * must then refuse more tasks, whose reservations would otherwise be kept forever, and accept tasks
- * again once others have ended. */
+/* A page has a size limit, so it cannot record all the small tasks that fit on a large machine. The
+ * machine must then refuse more tasks, because their starts would never be recorded and their
+ * reservations would be kept forever. It must accept tasks again once others have ended. */
 static void test_machine_with_a_full_page_refuses_tasks(void **state)
 {
     records_fixture_t *fixture = *state;
--- a/tests/io/test_message_samples.c
+++ b/tests/io/test_message_samples.c
@@ -1,5 +1,5 @@
-/* Tests that messages between controllers, as XDR and as values in the key-value store, and the
- * view are encoded to exactly the bytes of the files in tests/samples, and that these files are
+/* Tests that the view and the messages between controllers, as XDR and as values in the key-value
+ * store, are encoded to exactly the bytes of the files in tests/samples, and that these files are
  * decoded correctly. Both must hold because controllers of the old and the new version run side by
  * side during an update. */
 #include "io/codec/codec.h"
@@ -95,7 +95,7 @@
     peer_message_t message;
     GByteArray *frame = read_hex_sample(name);
     if (!peer_decode(frame->data, frame->len, &message))
-        fail_msg("sample %s can't be decoded", name);
+        fail_msg("sample %s cannot be decoded", name);
     g_byte_array_unref(frame);
     return message;
 }
@@ -281,8 +281,8 @@
     peer_message_clear(&message);
 }
 
-/* Returns a frame of pseudorandom bytes, which hardly compress, followed by a repetition of the
- * first ones. */
+/* Returns a frame of pseudorandom bytes, which compression hardly shortens, followed by a copy of
+ * the first of these bytes. */
 static GByteArray *relayed_frame(void)
 {
     GByteArray *frame = g_byte_array_new();
@@ -295,9 +295,9 @@
     return frame;
 }
 
-/* The sample has the bytes that zlib 1.2.13 produces. With a library that compresses differently
- * this test fails although nothing is wrong: every version can decompress what any other has
- * written. */
+/* The sample has the bytes that zlib 1.2.13 produces. With a version of zlib that compresses
+ * differently, this test fails although nothing is wrong, because every version can decompress what
+ * any other version has written. */
 static void test_relayed_message_encodes_to_its_sample(void **state)
 {
     (void)state;
--- a/tests/io/test_records.c
+++ b/tests/io/test_records.c
@@ -168,8 +168,8 @@
 
 /* A task is placed on a machine that is not in the cloud's list yet, the answer to the commit of
  * the machine's record is lost, and the leader fails. The next leader knows the machine and the
- * task from the record alone. It must contact the machine at once and keep the attempt until there
- * is proof that the task has ended. */
+ * task from the record alone. It must contact the machine at once and keep the attempt until the
+ * attempt is proven to be over. */
 static void test_start_on_a_new_machine_survives_leader_failure(void **state)
 {
     records_fixture_t *fixture = *state;
--- a/tests/io/test_relay.c
+++ b/tests/io/test_relay.c
@@ -91,8 +91,8 @@
     return item;
 }
 
-/* Returns the number of pages of 16 KiB of a message with the summaries of `machines` machines and
- * a batch of results. */
+/* Returns the number of pages, of up to 16 KiB each, of a message with the summaries of `machines`
+ * machines and a batch of results. */
 static guint pages_of_summaries(guint machines)
 {
     g_auto(peer_message_t) message = {0};
@@ -114,9 +114,9 @@
     return pages;
 }
 
-/* If a network partition leaves one surviving controller with a thousand machines on the other
- * side, its machine summaries and a batch of results must fit into one transaction of 64 KiB.
- * Otherwise nothing is placed on these machines. */
+/* A network partition can separate the leader from a thousand machines and the only controller that
+ * still runs on their side. That controller's machine summaries and a batch of results must fit
+ * into one transaction of 64 KiB. Otherwise nothing is placed on these machines. */
 static void test_summaries_of_a_thousand_machines_fit_into_a_transaction(void **state)
 {
     (void)state;
@@ -125,9 +125,9 @@
     assert_true(pages_of_summaries(70) <= pages);
 }
 
-/* The summaries of 70 machines and the results of a second exceed the size limit of a value.
- * Written as one page they would be refused, and a zone on the other side of a network partition
- * would get no work at all. */
+/* The summaries of 70 machines and the results of one second exceed the size limit of a value. If
+ * they were written as one page, the key-value store would refuse it, and a zone on the other side
+ * of a network partition would get no work at all. */
 static void test_long_message_is_split_into_pages(void **state)
 {
     fake_kv_store_t *store = *state;
--- a/tests/io/test_settings.c
+++ b/tests/io/test_settings.c
@@ -21,7 +21,7 @@
         0, NULL);
 }
 
-/* Writes the body to a temporary file and loads that. Consumes the reference to the body. */
+/* Writes the body to a temporary file and loads the settings from it. Consumes the body. */
 static settings_t *load_settings(json_t *body, GError **error)
 {
     char path[] = "/tmp/pepperpulley-test-XXXXXX";
@@ -77,7 +77,7 @@
     assert_refused("state", "txn_ops", json_null(), SETTINGS_ERROR_TYPE);
     assert_refused("state", "rps", json_real(1e300), SETTINGS_ERROR_RANGE);
     assert_refused("workers", "cancel_s", json_real(12),
-                   SETTINGS_ERROR_VALUE); /* lease_s is 10 s, so the margin of 3 s is not kept */
+                   SETTINGS_ERROR_VALUE); /* not more than 3 s above lease_s, which is 10 s */
     assert_refused("limits", "fd_limit", json_integer(20), SETTINGS_ERROR_RANGE);
     assert_refused("limits", "ram_mb", json_integer(-188), SETTINGS_ERROR_RANGE);
 }
@@ -97,12 +97,12 @@
     return limit;
 }
 
-/* With many sockets, such as 2,537, memory limits the number of connections. */
+/* The number of sockets limits the connections, unless the memory suffices for fewer of them. */
 static void test_connections_are_limited_by_sockets_and_memory(void **state)
 {
     (void)state;
-    /* fd_limit less CONNECTIONS_SPARE_COUNT and the connections of the 16 dispatchers to workers,
-     * which are 6 each with 600 sockets and 16 each with 2537 */
+    /* fd_limit less CONNECTIONS_SPARE_COUNT and the connections of the 16 dispatchers to workers.
+     * A dispatcher has 6 connections if there are 600 sockets, and 16 if there are 2537. */
     assert_int_equal(connections(600, 0), 404);
     assert_int_equal(connections(2537, 0), 2181);
     assert_int_equal(connections(2537, 188), 2181);
