--- a/src/controller/api/health.c
+++ b/src/controller/api/health.c
@@ -24,10 +24,10 @@
 reply_t api_ready(controller_t *controller)
 {
     pthread_mutex_lock(&controller->lock);
-    /* A controller that is isolated from the key-value store while its siblings are served is not
-     * ready, so that the load balancer sends users to the siblings. In an outage that affects all
-     * controllers, all of them stay ready, because the load balancer removes a controller for
-     * longer each time. */
+    /* A controller that gets no answers from the key-value store, while its siblings get some or
+     * may get some, is not ready, so that the load balancer sends users to the siblings. In an
+     * outage that affects all controllers, all of them stay ready, because the load balancer
+     * removes a controller for longer each time. */
     bool is_ready = controller->placement.machine_types->len > 0 && controller->jobs.is_synced &&
                     !is_isolated_locked(controller);
     pthread_mutex_unlock(&controller->lock);
--- a/src/controller/api/health.h
+++ b/src/controller/api/health.h
@@ -8,9 +8,9 @@
 #include "controller/controller_type.h"
 
 /** Returns true if requests that need the key-value store must be shed. That is so while this
- * controller is isolated from the key-value store and the other controllers are, or may be, served:
- * clients should retry there at once instead of waiting here for a call that fails. Called without
- * the lock. */
+ * controller gets no answers from the key-value store, while other controllers get some or may get
+ * some. Clients should then retry at another controller at once, instead of waiting here for a call
+ * that will fail. Called without the lock. */
 bool api_must_shed_load(controller_t *controller);
 
 /** Serves GET /ready, the load balancer's health check. Never waits for the key-value store. Called
--- a/src/controller/api/http_server.c
+++ b/src/controller/api/http_server.c
@@ -1,14 +1,14 @@
 /* Serves users and workers over HTTP.
  *
- * HTTP_THREADS_COUNT threads of the HTTP server handle all connections. They serve the requests
- * that need no other service themselves: workers' heartbeats, /ready and /metrics. Requests that
- * may have to wait for the key-value store go to the request pool, and their connections are
- * suspended until the reply is ready. A worker's heartbeat therefore never waits behind a user's
- * request, and the number of threads does not grow with the number of machines. A thread for each
- * connection is not used: with 600 machines, the accepting thread occasionally blocked forever,
+ * HTTP_THREADS_COUNT threads of the HTTP server handle all connections. Workers' heartbeats, /ready
+ * and /metrics need no other service and are served on these threads. Requests that may have to
+ * wait for the key-value store go to the request pool, and their connections are suspended until
+ * the reply is ready. A worker's heartbeat therefore never waits behind a user's request, and the
+ * number of threads does not grow with the number of machines. There is no thread for each
+ * connection, because with 600 machines the accepting thread then occasionally blocked forever,
  * waiting for a thread that had already ended.
  *
- * Users' requests are executed on the key-value store directly, subject to a rate limit. */
+ * The handlers of users' requests call the key-value store directly, within a rate limit. */
 #include "controller/api/http_server.h"
 
 #include <arpa/inet.h>
--- a/src/controller/api/job_state.h
+++ b/src/controller/api/job_state.h
@@ -33,8 +33,8 @@
 known_job_t api_get_known_job(controller_t *controller, const char *id);
 
 /** Records a job's terminal state for the other threads and, if the job was cancelled, for the
- * other controllers. Must be called before any reply contains that state. @p is_done: done, not
- * cancelled. Returns JOB_DONE or JOB_CANCELLED. */
+ * other controllers. Must be called before any reply contains that state. @p is_done: true if the
+ * job is done, false if it was cancelled. Returns JOB_DONE or JOB_CANCELLED. */
 job_state_t api_record_terminal_state(controller_t *controller, const char *id, bool is_done);
 
 /** Reads the job's state from the key-value store, on the request's connection to it. Records a
--- a/src/controller/api/jobs.c
+++ b/src/controller/api/jobs.c
@@ -14,7 +14,7 @@
 #include "io/log.h"
 #include "io/records.h"
 
-/* Whether the team's quota and the machine types permit a submission. */
+/* The result of checking a submission against the team's quota and the machine types. */
 typedef enum {
     SUBMISSION_ACCEPTABLE,
     SUBMISSION_UNDECIDED, /* the machine types are not known yet, so nothing can be decided */
@@ -112,7 +112,7 @@
     }
     job_state_t state = api_read_job_state(request, spec->id, true);
     if (state == JOB_NOT_FOUND)
-        return api_reply_retry_later(); /* the commit was not answered and has not taken effect so
+        return api_reply_retry_later(); /* the commit was not answered and has not been executed so
                                            far */
     return api_status_reply(request->controller, spec->id, state);
 }
@@ -183,8 +183,8 @@
     return reply;
 }
 
-static kv_result_t commit_abort(request_t *request, const char *id, uint64_t revision,
-                                uint32_t tasks)
+static kv_result_t commit_cancellation(request_t *request, const char *id, uint64_t revision,
+                                       uint32_t tasks)
 {
     kv_txn_t txn = records_build_cancellation(id, revision, tasks);
     rate_limiter_charge(&request->controller->api_write_limiter,
@@ -198,7 +198,8 @@
 typedef enum {
     CANCEL_COMMITTED,
     CANCEL_NOT_EXECUTED,
-    CANCEL_UNDECIDED /* not live, or the commit was not answered: the job's state must be read */
+    CANCEL_UNDECIDED /* the job is not live, or the commit was not answered; the job's state must be
+                        read */
 } cancel_result_t;
 
 static cancel_result_t cancel_if_live(request_t *request, const char *id)
@@ -210,7 +211,7 @@
     if (result != KV_OK)
         return CANCEL_NOT_EXECUTED;
     uint32_t tasks = codec_get_task_count(entry.value);
-    result = commit_abort(request, id, entry.revision, tasks);
+    result = commit_cancellation(request, id, entry.revision, tasks);
     api_entry_clear(&entry);
     switch (result) {
     case KV_OK:
@@ -227,7 +228,7 @@
     return CANCEL_NOT_EXECUTED;
 }
 
-static reply_t abort_job(request_t *request, const char *id)
+static reply_t cancel_job(request_t *request, const char *id)
 {
     controller_t *controller = request->controller;
     job_state_t state = JOB_UNKNOWN;
@@ -252,5 +253,5 @@
     reply_t reply;
     if (api_reply_without_lookup(request, id, &known, &reply))
         return reply;
-    return api_acquire_kv_client(request) ? abort_job(request, id) : api_reply_retry_later();
+    return api_acquire_kv_client(request) ? cancel_job(request, id) : api_reply_retry_later();
 }
--- a/src/controller/api/request.h
+++ b/src/controller/api/request.h
@@ -24,8 +24,8 @@
                                  NULL: none acquired yet. */
     msec_t wait_deadline; /**< Steady clock, ms: the request is refused if it has no thread or no
                              connection to the key-value store by then. */
-    msec_t deadline;      /**< Steady clock, ms: no call to the key-value store lasts longer or
-                             begins later. */
+    msec_t deadline;      /**< Steady clock, ms: no call to the key-value store begins or
+                             continues after this time. */
     char method[METHOD_BYTES];     /**< Copied when the request is queued. */
     char path[REQUEST_PATH_BYTES]; /**< Copied when the request is queued. */
     bool has_unsent_reply;         /**< A thread of the request pool has set the reply, and no
--- a/src/controller/api/status_batch.h
+++ b/src/controller/api/status_batch.h
@@ -15,8 +15,8 @@
 struct request;
 
 /** One batch. Owned jointly by its requests; the last one to leave frees it. Guarded by the
- * controller's lock, except that from the moment when it is closed until is_done is set its tables
- * belong to the thread that runs it. */
+ * controller's lock, with one exception: after the batch is closed and until is_done is set, only
+ * the thread that runs it uses its tables, without the lock. */
 typedef struct status_batch {
     GHashTable *unanswered; /**< Jobs without a result: id (char *, owned) -> revision of
                                jobs/`<id>` (pointer-sized). Jobs that remain when the batch is done
--- a/tests/controller/controller_fixture.c
+++ b/tests/controller/controller_fixture.c
@@ -144,7 +144,7 @@
     return http_call(fixture->client, method, url, body, REQUEST_TIMEOUT_MS, answer);
 }
 
-/* Sends the request, and again as long as the answer asks to retry later, as users do. */
+/* Sends the request, and repeats it as long as it is refused with status 429 or 503. */
 static int request_until_served(const fixture_t *fixture, guint controller, const char *method,
                                 const char *path, const json_t *body, json_t **answer)
 {
--- a/tests/controller/controller_fixture.h
+++ b/tests/controller/controller_fixture.h
@@ -38,8 +38,8 @@
 void fixture_run_tests(const char *name, const struct CMUnitTest *tests, size_t count)
     __attribute__((noreturn));
 
-/* Returns a controller without threads, for tests that pass the time themselves. count: the number
- * of controllers in its settings. */
+/* Returns a controller without threads. Tests call its functions directly, with times of their own
+ * choice. count: the number of controllers in its settings. */
 controller_t *fixture_new_idle_controller(const fixture_t *fixture, guint count);
 /* Starts count controllers. */
 void fixture_start_controllers(fixture_t *fixture, guint count);
@@ -51,8 +51,9 @@
 /* Sends a request to a controller. body, answer and the returned value are those of http_call(). */
 int fixture_request(const fixture_t *fixture, guint controller, const char *method,
                     const char *path, const json_t *body, json_t **answer);
-/* Sends a request, and again as long as the answer asks to retry later, as users do. Expects the
- * status and, unless job_state is NULL, that state of the job in the answer. Consumes the body. */
+/* Sends a request, and repeats it as long as it is refused with status 429 or 503, as users do.
+ * Expects the status and, unless job_state is NULL, that state of the job in the answer. Consumes
+ * the body. */
 void fixture_expect(const fixture_t *fixture, guint controller, const char *method,
                     const char *path, json_t *body, int status, const char *job_state);
 
@@ -64,7 +65,7 @@
 void fixture_cancel(const fixture_t *fixture, guint controller, const char *id,
                     const char *job_state);
 /* Expects both controllers to answer a status read and a repeated submission of the job with that
- * state, and a cancellation, too, unless the state is "queued". */
+ * state. Unless the state is "queued", also expects this of a cancellation. */
 void fixture_expect_state_everywhere(const fixture_t *fixture, const char *id,
                                      const char *job_state);
 /* Sends the worker's heartbeats until the job is done and the worker has no active attempts. */
--- a/tests/controller/test_controller_cancellation.c
+++ b/tests/controller/test_controller_cancellation.c
@@ -1,11 +1,12 @@
-/* Tests of cancellations: every answer "cancelled" is appended to the cancellation log for the
- * siblings, and the job's tasks are stopped wherever they run. */
+/* Tests of cancellations. If a controller answers a user that a job is cancelled, the job must be
+ * in the controller's cancellation log, from which the siblings learn of the cancellation, and the
+ * job's tasks must be stopped wherever they run. */
 #include "controller/jobs/job_directory.h"
 #include "controller_fixture.h"
 #include "io/clock.h"
 #include "io/records.h"
 
-/* Cancels the job as another controller does whose messages do not arrive at this one. */
+/* Cancels the job in the key-value store, like another controller whose messages are lost. */
 static void cancel_at_another_controller(const fixture_t *fixture, const char *id)
 {
     char key[URL_BYTES];
@@ -27,8 +28,9 @@
     return is_stopped;
 }
 
-/* Guards against answers "cancelled" of which the siblings never learn, because the cancellation
- * log has only the cancellations for which the controller's own commit was answered. */
+/* Guards against cancellations that a controller confirms to users, but of which its siblings never
+ * learn. This happens if only cancellations that the controller committed itself, and whose commit
+ * was answered, are appended to the cancellation log. */
 static void test_every_cancelled_answer_is_appended_to_the_cancellation_log(void **state)
 {
     const fixture_t *fixture = *state;
@@ -58,15 +60,16 @@
     assert_int_equal(fixture_cancellation_log_count(fixture, 0), 5);
 }
 
-/* Guards against tasks that continue to run if an outage begins with the commit of a cancellation,
- * so that no change of jobs/ arrives. The controller that confirmed the cancellation must stop the
- * tasks nevertheless, and a list of jobs read before the cancellation must not restore the job. */
+/* Guards against tasks that continue to run because an outage begins right after the commit of a
+ * cancellation, so that no change of jobs/ arrives. The controller that confirmed the cancellation
+ * must stop the tasks nevertheless, and a list of jobs read before the cancellation must not
+ * restore the job. */
 static void test_a_controller_stops_jobs_that_it_confirmed_as_cancelled(void **state)
 {
     const fixture_t *fixture = *state;
     fixture_submit(fixture, 0, "j-000001");
     fixture_submit(fixture, 0, "j-000002");
-    fake_kv_server_silence_watches(fixture->kv_server);
+    fake_kv_server_suppress_changes(fixture->kv_server);
     fixture_cancel(fixture, 0, "j-000001", "cancelled");
     assert_true(is_stopped(fixture, 0, "j-000001"));
     assert_false(is_stopped(fixture, 0, "j-000002"));
@@ -106,10 +109,10 @@
     }
 }
 
-/* Guards against tasks that continue to run on workers of a controller that the key-value store
- * refuses while a job is cancelled through its sibling. The refused controller must learn of the
- * cancellation from the sibling, and its answers to heartbeats, which renew the workers' leases,
- * must stop the job's tasks. */
+/* Guards against tasks that continue to run after their job is cancelled. The key-value store
+ * refuses the controller to which their worker sends its heartbeats, and the job is cancelled
+ * through the sibling. The refused controller must learn of the cancellation from the sibling, and
+ * its answers to heartbeats, which renew the worker's lease, must stop the job's tasks. */
 static void test_an_isolated_controller_stops_jobs_cancelled_at_its_sibling(void **state)
 {
     const fixture_t *fixture = *state;
@@ -172,8 +175,8 @@
 
 /* Guards against cancellations that are lost while a machine changes its owner. The leader excludes
  * the owner, so that the other controller becomes the owner. One job on the machine is cancelled
- * through the future owner before the change is complete, and another one through the former owner
- * after it. The tasks of both must stop, and none may be started again. */
+ * through the new owner before the change is complete, and another one through the former owner
+ * afterwards. The tasks of both must stop, and none may be started again. */
 static void test_a_cancellation_stops_tasks_while_their_machine_changes_owner(void **state)
 {
     const fixture_t *fixture = *state;
--- a/tests/controller/test_controller_job_state.c
+++ b/tests/controller/test_controller_job_state.c
@@ -1,10 +1,10 @@
-/* Tests that the state of a job in the answers never goes back to an earlier one, whichever
+/* Tests that users never get an older state of a job than they got before, whichever
  * controller answers and whatever it has in memory. */
 #include "controller/jobs/job_directory.h"
 #include "controller_fixture.h"
 
 /* Returns the transaction by which the leader records that the job is done. */
-static kv_txn_t end_txn(const char *id)
+static kv_txn_t job_done_txn(const char *id)
 {
     char key[URL_BYTES];
     kv_txn_t txn = kv_txn_new();
@@ -65,7 +65,7 @@
 {
     const fixture_t *fixture = *state;
     submit_and_wait_until_live_everywhere(fixture);
-    fake_kv_server_silence_watches(fixture->kv_server);
+    fake_kv_server_suppress_changes(fixture->kv_server);
     poller_t poller = {.fixture = fixture};
     assert_int_equal(pthread_create(&poller.thread, NULL, poll_status, &poller), 0);
     fixture_cancel(fixture, 0, "j-000001", "cancelled");
@@ -74,7 +74,7 @@
     fake_kv_server_lose_answer_for_key(fixture->kv_server, "ended/j-000002");
     fixture_cancel(fixture, 1, "j-000002", "cancelled");
     fixture_expect_state_everywhere(fixture, "j-000002", "cancelled");
-    fake_kv_server_apply(fixture->kv_server, end_txn("j-000003"));
+    fake_kv_server_apply(fixture->kv_server, job_done_txn("j-000003"));
     fixture_expect_state_everywhere(fixture, "j-000003", "done");
     fixture_submit(fixture, 0, "j-000004");
     fixture_expect_state_everywhere(fixture, "j-000004", "queued");
@@ -83,7 +83,7 @@
     fake_kv_server_lose_answer_for_key(fixture->kv_server, "jobs/j-000005");
     fixture_expect(fixture, 1, "POST", "/v2/runs", fixture_job("j-000005"), 200, "queued");
     fixture_expect_state_everywhere(fixture, "j-000005", "queued");
-    fake_kv_server_apply(fixture->kv_server, end_txn("j-000005"));
+    fake_kv_server_apply(fixture->kv_server, job_done_txn("j-000005"));
     fixture_expect_state_everywhere(fixture, "j-000005", "done");
     atomic_store(&poller.is_stopping, true);
     pthread_join(poller.thread, NULL);
@@ -100,14 +100,14 @@
 }
 
 /* Guards against wrong answers about jobs whose terminal state was evicted from the bounded caches.
- * It must be read from the key-value store again, and the answers must be the same as before. */
+ * The state must be read from the key-value store again, and the answers must not change. */
 static void test_job_states_evicted_from_memory_are_read_again(void **state)
 {
     const fixture_t *fixture = *state;
     fixture_submit(fixture, 0, "j-000001");
     fixture_submit(fixture, 0, "j-000002");
     fixture_cancel(fixture, 0, "j-000001", "cancelled");
-    fake_kv_server_apply(fixture->kv_server, end_txn("j-000002"));
+    fake_kv_server_apply(fixture->kv_server, job_done_txn("j-000002"));
     fixture_expect(fixture, 0, "GET", "/v2/runs/j-000002", NULL, 200, "done");
     controller_t *controller = fixture_lock(fixture, 0);
     record_more_jobs_than_cached(controller);
--- a/tests/controller/test_controller_load_shedding.c
+++ b/tests/controller/test_controller_load_shedding.c
@@ -1,5 +1,5 @@
-/* Tests of users' requests that cannot be served now. They are refused, with the time after which
- * to retry, instead of being left without an answer. */
+/* Tests of users' requests that cannot be served at the moment. They must be refused with a
+ * Retry-After header instead of being left without an answer. */
 #include <stdlib.h>
 
 #include "controller_fixture.h"
@@ -20,13 +20,13 @@
     const char *method;
     const char *path;
     const char *id; /* NULL: not a submission; "": a submission that lacks all fields but its id */
-    guint max_kv_requests; /* to the key-value store, while it does not answer or refuses */
+    guint max_kv_requests; /* most requests to the key-value store while it is unavailable */
 } user_requests[USER_REQUEST_KINDS] = {
     [STATUS_OF_LIVE_JOB] = {"GET", "/v2/runs/j-000001", NULL, 1},
     [STATUS_OF_UNKNOWN_JOB] = {"GET", "/v2/runs/j-000099", NULL, 1},
     [CANCELLATION] = {"POST", "/v2/runs/j-000001/abort", NULL, 1},
     [INCOMPLETE_SUBMISSION] = {"POST", "/v2/runs", "", 1},
-    /* the commit, and a read if the commit is not answered */
+    /* The commit, and a read if the commit is not answered. */
     [SUBMISSION] = {"POST", "/v2/runs", "j-000002", 2},
 };
 
@@ -45,25 +45,25 @@
     return answer;
 }
 
-static void expect_retry_later(user_answer_t answer, int status)
+static void expect_refused_for_now(user_answer_t answer, int status)
 {
     assert_int_equal(answer.status, status);
     assert_true(answer.retry_after_s > 0);
 }
 
-/* Expects every kind of request to be answered with a retry later, without more requests to the
- * key-value store than its max_kv_requests. */
-static void expect_all_to_retry_later(const fixture_t *fixture)
+/* Expects each kind of request to be refused with a Retry-After header, and to cause at most
+ * max_kv_requests requests to the key-value store. */
+static void expect_all_refused_for_now(const fixture_t *fixture)
 {
     for (guint kind = 0; kind < USER_REQUEST_KINDS; kind++) {
         guint before = fake_kv_server_user_requests(fixture->kv_server);
-        expect_retry_later(send_user_request(fixture, (user_request_kind_t)kind), 503);
+        expect_refused_for_now(send_user_request(fixture, (user_request_kind_t)kind), 503);
         assert_in_range(fake_kv_server_user_requests(fixture->kv_server) - before, 0,
                         user_requests[kind].max_kv_requests);
     }
 }
 
-/* A user with a thread. */
+/* A user who sends a request from a thread of its own. */
 typedef struct user {
     const fixture_t *fixture;
     user_answer_t answer;
@@ -78,8 +78,8 @@
 }
 
 /* Sends requests of more users at once than there are threads and connections to serve them, while
- * the key-value store does not answer. Expects every one to be answered with a retry later. */
-static void expect_concurrent_users_to_retry_later(const fixture_t *fixture)
+ * the key-value store does not answer. Expects each one to be refused with a Retry-After header. */
+static void expect_concurrent_users_refused_for_now(const fixture_t *fixture)
 {
     enum { USERS = REQUEST_WORKERS_COUNT + 20 };
     user_t users[USERS];
@@ -90,7 +90,7 @@
     }
     for (guint i = 0; i < USERS; i++) {
         pthread_join(users[i].thread, NULL);
-        expect_retry_later(users[i].answer, 503);
+        expect_refused_for_now(users[i].answer, 503);
     }
 }
 
@@ -104,24 +104,25 @@
     }
 }
 
-/* Guards against users that get no answer while the key-value store does not answer, or refuses.
- * Each request must be answered with a retry later. */
+/* Guards against users that get no answer while the key-value store does not answer or refuses
+ * requests. Each of their requests must be refused with a Retry-After header. */
 static void test_requests_get_retry_later_while_the_key_value_store_is_unavailable(void **state)
 {
     const fixture_t *fixture = *state;
     submit_live_job(fixture, "j-000001");
     fake_kv_server_stall_user_requests(fixture->kv_server, true);
-    expect_all_to_retry_later(fixture);
-    expect_concurrent_users_to_retry_later(fixture);
+    expect_all_refused_for_now(fixture);
+    expect_concurrent_users_refused_for_now(fixture);
     fake_kv_server_stall_user_requests(fixture->kv_server, false);
     fixture_expect(fixture, 0, "GET", "/v2/runs/j-000001", NULL, 200, "queued");
     fake_kv_server_refuse(fixture->kv_server, 0, true);
-    expect_all_to_retry_later(fixture);
+    expect_all_refused_for_now(fixture);
 }
 
 /* Guards against requests that wait because the controller has used up its share of the key-value
- * store's rate limits. They must be answered with a retry later, without a request to the key-value
- * store. Status reads of live jobs, which are batched, and cancellations are still served. */
+ * store's rate limits. They must be refused with a Retry-After header, without a request to the
+ * key-value store. Status reads of live jobs, which are batched, and cancellations are still
+ * served. */
 static void test_requests_above_the_rate_limit_get_retry_later(void **state)
 {
     enum { TOKENS_OVER_LIMIT = 1000000 };
@@ -134,7 +135,7 @@
     rate_limiter_charge(&controller->api_write_limiter, TOKENS_OVER_LIMIT, clock_steady());
     guint before = fake_kv_server_user_requests(fixture->kv_server);
     for (guint i = 0; i < G_N_ELEMENTS(limited); i++)
-        expect_retry_later(send_user_request(fixture, limited[i]), 429);
+        expect_refused_for_now(send_user_request(fixture, limited[i]), 429);
     assert_int_equal(fake_kv_server_user_requests(fixture->kv_server), before);
     fixture_expect(fixture, 0, "GET", "/v2/runs/j-000001", NULL, 200, "queued");
     fixture_cancel(fixture, 0, "j-000001", "cancelled");
--- a/tests/controller/test_controller_submissions.c
+++ b/tests/controller/test_controller_submissions.c
@@ -82,8 +82,8 @@
 }
 
 /* Guards against accepting a job that can never run or a submission that lacks a field, and against
- * refusing repeats. A repeat of an accepted submission and the cancellation of a job that is done
- * must be answered with the job's state. */
+ * refusing a repeated submission. A repeat of an accepted submission and the cancellation of a job
+ * that is done must be answered with the job's state. */
 static void test_impossible_jobs_are_refused_and_repeats_get_the_job_state(void **state)
 {
     fixture_t *fixture = *state;
@@ -108,8 +108,8 @@
     return user_request(fixture->ports[0], "POST", "/v2/runs", text->str, text->len).status;
 }
 
-/* Returns the text of a submission whose last field is that field with the raw text as its value
- * (transfer full). */
+/* Returns the text of a submission (transfer full). Its last field has the given name, and the raw
+ * text as its value. */
 static GString *submission_text_with(const char *id, const char *name, const GString *raw)
 {
     json_t *body = fixture_job(id);
@@ -125,7 +125,7 @@
     return submission;
 }
 
-/* Returns the left text count times, followed by the right text count times (transfer full). */
+/* Returns `left` repeated `count` times and then `right` repeated `count` times (transfer full). */
 static GString *repeat_text(const char *left, guint count, const char *right)
 {
     GString *text = g_string_new(NULL);
@@ -271,8 +271,8 @@
     fixture_wait_until_ready(fixture, 0);
 }
 
-/* Guards against a controller that fails on bodies that are not JSON objects, or are nested without
- * end, in submissions and in heartbeats. */
+/* Guards against a controller that fails on bodies that are not submissions, or that consist of
+ * opening brackets up to the size limit, in submissions and in heartbeats. */
 static void test_a_body_that_is_not_a_submission_is_refused(void **state)
 {
     const fixture_t *fixture = *state;
--- a/tests/controller/test_controller_timing.c
+++ b/tests/controller/test_controller_timing.c
@@ -1,4 +1,5 @@
-/* Tests of timing, on controllers without threads: the tests pass the time themselves. */
+/* Tests of timing. The controllers have no threads, and the tests call their functions directly,
+ * mostly with times of their own choice. */
 #include "controller/peer/peer_exchange.h"
 #include "controller/peer/peer_heartbeat.h"
 #include "controller/worker_lease.h"
@@ -8,7 +9,7 @@
 /* Guards against terminating machines that run tasks. A controller leads, is replaced, and leads
  * again minutes later. The instances that it requested in its first leadership have booted and run
  * tasks for other partitions, but their machine summaries have not arrived yet. If the controller
- * still has them as booting instances, it considers them stuck and terminates them with their
+ * still counted them as booting, it would consider them stuck and terminate them with their
  * tasks. */
 static void test_a_new_leadership_forgets_booting_instances_of_an_earlier_one(void **state)
 {
@@ -21,7 +22,7 @@
     autoscaler_add_booting(controller->autoscaler, "m-000001", "t16", "zone-a", true, 1000);
     own.number = 2;
     own.revision = 20;
-    membership_install_view(controller, &own); /* the same leadership: still booting */
+    membership_install_view(controller, &own); /* the same leadership, so still booting */
     assert_int_equal(autoscaler_booting_count(controller->autoscaler), 1);
     membership_install_view(controller, &other);
     own.number = 4;
@@ -34,8 +35,8 @@
     pthread_mutex_unlock(&controller->lock);
 }
 
-/* Returns a controller without siblings that owns one machine. Its jobs and records are loaded at
- * now. */
+/* Returns a controller without siblings that owns one machine, and whose jobs and records are
+ * complete as of `now`. */
 static controller_t *new_owner_of_one_machine(const fixture_t *fixture, fake_worker_t *worker,
                                               msec_t now)
 {
@@ -74,7 +75,7 @@
     partition_batch_free(batch);
 }
 
-/* Takes the next push as a dispatcher does at now, with its commands. */
+/* Takes the next push with its commands, as a dispatcher does at the time `now`. */
 static machine_t *take_push(controller_t *controller, GArray *commands, msec_t now)
 {
     g_array_set_size(commands, 0);
@@ -85,7 +86,7 @@
 
 /* Guards against starting tasks of a job that was cancelled during a stall of the process. A
  * dispatcher has taken start commands, the process stalls, and one of the jobs is cancelled through
- * another controller. After the stall these commands must not be pushed, but return to the
+ * another controller. After the stall these commands must not be pushed. They must return to the
  * partition, which decides again. No start may be pushed until the cancellations that were made
  * during the stall are known. */
 static void test_a_start_taken_before_a_stall_is_not_pushed_after_it(void **state)
@@ -149,10 +150,10 @@
     return answer;
 }
 
-/* Guards against answers to peer heartbeats that delay cancellations or contain a wrong delay.
- * Without new entries in the cancellation log, the answer is held back, and it names the delay,
- * from which the sibling computes the moment up to which it knows the cancellations. With a new
- * entry it is sent at once. */
+/* Guards against answers to peer heartbeats that delay cancellations or contain a wrong delay. As
+ * long as the cancellation log has no new entries, the answer is delayed. It contains the delay,
+ * from which the sibling computes the time up to which it knows all cancellations. If the log has a
+ * new entry, the answer is sent at once. */
 static void test_a_peer_heartbeat_is_answered_at_once_if_the_log_has_new_entries(void **state)
 {
     controller_t *controller = fixture_new_idle_controller(*state, 2);
--- a/tests/controller/test_controller_work.c
+++ b/tests/controller/test_controller_work.c
@@ -1,8 +1,8 @@
 /* Tests of jobs from their submission to their end, with all the controllers' threads. */
 #include "controller_fixture.h"
 
-/* Guards against faults in the whole path of a job: one job completes, and another one is cancelled
- * while it runs. */
+/* Guards against faults between the submission of a job and its end. One job completes, and another
+ * one is cancelled while it runs. */
 static void test_jobs_complete_and_are_cancelled(void **state)
 {
     const fixture_t *fixture = *state;
@@ -45,8 +45,8 @@
             controller_sleep(POLL_MS);
 }
 
-/* Guards against counts that only the leader reports: it counts the tasks, but every controller
- * must answer with the counts. */
+/* Guards against task counts that only the leader's answers contain. Only the leader counts the
+ * tasks, but the answers of every controller must contain the counts. */
 static void test_every_controller_reports_task_counts(void **state)
 {
     const fixture_t *fixture = *state;
@@ -82,9 +82,9 @@
 }
 
 /* Guards against faults after lost answers of the key-value store. Every third transaction is
- * executed without being answered, from the first view on: those for submissions, starts, ends,
- * cancellations, members and views. Both controllers must answer, each task must start once, and
- * the answered state of a job must remain. */
+ * executed but not answered, from the first view on. Transactions of all kinds are affected: for
+ * submissions, starts, ends, cancellations, members and views. Both controllers must answer, each
+ * task must start once, and no answer may contradict an earlier one about the job's state. */
 static void test_lost_transaction_answers_do_not_affect_jobs(void **state)
 {
     fixture_t *fixture = *state;
@@ -113,9 +113,9 @@
     assert_int_equal(fake_machine_started_count(worker.machine), 8);
 }
 
-/* Guards against a slow start-up: starting a thread takes some of the controller's small processor
- * share. The request workers and the dispatchers must not be started before the first request and
- * the first command. */
+/* Guards against a slow start of the controller, whose share of a processor is small. Starting a
+ * thread uses some of it, so the request workers and the dispatchers must not be started before the
+ * first request and the first command. */
 static void test_worker_and_dispatcher_threads_start_on_demand(void **state)
 {
     const fixture_t *fixture = *state;
--- a/tests/fakes/fake_kv_server.c
+++ b/tests/fakes/fake_kv_server.c
@@ -76,7 +76,7 @@
                                    uint64_t revision)
 {
     json_t *changes = json_array();
-    for (guint i = 0; i < server->changes->len && !server->is_watch_silent; i++) {
+    for (guint i = 0; i < server->changes->len && !server->are_changes_suppressed; i++) {
         const fake_kv_change_t *change = &g_array_index(server->changes, fake_kv_change_t, i);
         if (change->revision > revision && g_str_has_prefix(change->key, prefix))
             json_array_append_new(changes, build_change(change));
@@ -84,8 +84,8 @@
     return changes;
 }
 
-/* Returns the changes since the revision. Waits for one for up to block_ms, in whole seconds, if
- * there is none yet. Called with the lock held; releases it while waiting. */
+/* Returns the changes since the revision. If there is none yet, waits for one for up to block_ms,
+ * rounded down to whole seconds. Called with the lock held; releases it while waiting. */
 static fake_http_answer_t watch_changes(fake_kv_server_t *server, const char *prefix,
                                         uint64_t revision, guint block_ms)
 {
@@ -117,8 +117,8 @@
     return failed;
 }
 
-/* Returns whether the answer to this change of the key is to be lost. Clears unanswered_key in that
- * case, so that it applies once. */
+/* Returns whether the transaction that changes this key must get no answer. If so, clears
+ * unanswered_key, so that it applies only once. */
 static bool take_unanswered_key(fake_kv_server_t *server, const char *key)
 {
     if (g_strcmp0(server->unanswered_key, key) != 0)
@@ -127,8 +127,8 @@
     return true;
 }
 
-/* Counts an executed transaction. Returns whether it is the one of its period whose answer is to be
- * lost. */
+/* Counts an executed transaction. Returns whether it is the one of its period that must get no
+ * answer. */
 static bool count_for_unanswered_period(fake_kv_server_t *server)
 {
     if (server->unanswered_period == 0)
@@ -137,7 +137,7 @@
     return server->executed_count % server->unanswered_period == 0;
 }
 
-/* Records the changes of an executed transaction. Returns whether its answer is to be lost. */
+/* Records the changes of an executed transaction. Returns whether it must get no answer. */
 static bool record_changes(fake_kv_server_t *server, const json_t *changes)
 {
     bool is_unanswered = false;
@@ -172,8 +172,8 @@
                        json_pack("{s:I}", "Logline", current_revision(server)));
 }
 
-/* Returns whether the request was sent on behalf of users. Such a request is about one job or a few
- * jobs. A list of all jobs is not such a request, and neither are the leader's other requests. */
+/* Returns whether the request was sent on behalf of users. Such a request reads or changes the keys
+ * of one job or of a few jobs. Lists of all jobs and the leader's transactions do not count. */
 static bool is_for_users(const fake_http_request_t *request)
 {
     if (strcmp(request->path, "/txn") == 0) {
@@ -305,9 +305,9 @@
     return count;
 }
 
-void fake_kv_server_silence_watches(fake_kv_server_t *server)
+void fake_kv_server_suppress_changes(fake_kv_server_t *server)
 {
     pthread_mutex_lock(&server->lock);
-    server->is_watch_silent = true;
+    server->are_changes_suppressed = true;
     pthread_mutex_unlock(&server->lock);
 }
--- a/tests/fakes/fake_kv_server.h
+++ b/tests/fakes/fake_kv_server.h
@@ -19,13 +19,13 @@
     bool is_refused[FAKE_KV_SERVER_PORTS]; /* whether every request to the port gets 503 */
     char *unanswered_key;    /* the next transaction that changes this key is executed, but its
                                 connection is closed without an answer; owned, may be NULL */
-    guint unanswered_period; /* one in this many executed transactions gets no answer, because its
-                                connection is closed; 0 if all get one */
+    guint unanswered_period; /* of this many executed transactions, the connection of one is closed
+                                without an answer; 0 if all are answered */
     guint executed_count;    /* transactions executed while unanswered_period was set */
     bool is_stalled;         /* requests on behalf of users wait until this is false */
     guint user_requests;     /* number of requests on behalf of users so far */
-    bool is_watch_silent;    /* watches return no changes */
-    uint64_t lease_count;    /* leases granted so far */
+    bool are_changes_suppressed; /* watches return no changes */
+    uint64_t lease_count;        /* leases granted so far */
 } fake_kv_server_t;
 
 fake_kv_server_t *fake_kv_server_new(void);
@@ -44,6 +44,6 @@
 /* Returns the number of requests on behalf of users so far. */
 guint fake_kv_server_user_requests(fake_kv_server_t *server);
 /* Makes all watches return no changes from now on. */
-void fake_kv_server_silence_watches(fake_kv_server_t *server);
+void fake_kv_server_suppress_changes(fake_kv_server_t *server);
 
 #endif
--- a/tests/fakes/fake_machine.h
+++ b/tests/fakes/fake_machine.h
@@ -1,5 +1,5 @@
-/* A fake machine. Its worker receives pushed commands on a loopback port of its own. The
- * test sends its heartbeats and hands over the answers to them. Never freed, because its threads do
+/* A fake machine. Its worker receives pushed commands on a loopback port of its own. The test sends
+ * the worker's heartbeats and passes the answers to the worker. Never freed, because its threads do
  * not end. */
 #ifndef PEPPERPULLEY_FAKE_MACHINE_H
 #define PEPPERPULLEY_FAKE_MACHINE_H
--- a/tests/fakes/fake_worker.h
+++ b/tests/fakes/fake_worker.h
@@ -1,5 +1,5 @@
 /* A fake worker in memory, which executes commands and builds heartbeats according to the protocol.
- * It has no clock. Nothing happens to its attempts unless the test calls a function. */
+ * It has no clock, and its attempts change only when the test calls one of the functions below. */
 #ifndef PEPPERPULLEY_FAKE_WORKER_H
 #define PEPPERPULLEY_FAKE_WORKER_H
 
@@ -30,8 +30,7 @@
 void fake_worker_exit_attempts(fake_worker_t *worker, const char *job, uint32_t task,
                                cause_t cause);
 /* Simulates the expiry of the worker's lease: kills and forgets all attempts, and begins a new
- * epoch.
- */
+ * worker epoch. */
 void fake_worker_expire_lease(fake_worker_t *worker);
 /* Returns the number of attempts that have not exited. */
 guint fake_worker_active_count(const fake_worker_t *worker);
--- a/tests/fakes/free_port.c
+++ b/tests/fakes/free_port.c
@@ -33,9 +33,9 @@
     return fd >= 0;
 }
 
-/* Reserves a block of ports for this process and returns its first port. Test programs run at the
- * same time, so a process owns a block by binding its first port, which stays bound until the
- * process ends. */
+/* Reserves a block of ports for this process and returns its first port. Because test programs run
+ * at the same time, a process reserves a block by binding the block's first port, which stays bound
+ * until the process ends. */
 static uint16_t reserve_block(void)
 {
     uint32_t start = arc4random_uniform(BLOCK_COUNT);
--- a/tests/fakes/sample_files.h
+++ b/tests/fakes/sample_files.h
@@ -15,7 +15,7 @@
 enum { HEX_LINE_BYTES = 48 };
 
 /* Returns the sample without its final newline; the caller owns it. Prints the name of the sample,
- * so that it stands above the message of a failure. */
+ * so that the name precedes the message of a failed comparison in the output. */
 static inline char *read_sample(const char *name)
 {
     char *text = NULL;
