--- a/src/policy/ast.h
+++ b/src/policy/ast.h
@@ -45,24 +45,24 @@
 struct ast {
     ast_op_t op;        /**< Kind of the node. */
     policy_type_t type; /**< The type of its value; set by the checker. */
-    int line;           /**< Place in the file, from 1. */
-    int column;         /**< Place in the line, from 1. */
+    int line;           /**< Line in the file, from 1. */
+    int column;         /**< Column in the line, from 1. */
     double number;      /**< Value of a number or a named constant, in the base unit. */
     char *text;         /**< Content of a text, or a name; owned. */
     int attribute;      /**< policy_attr_t of a name, or AST_NO_ATTRIBUTE. */
     ast_t *operands[AST_OPERANDS_MAX]; /**< Owned; unused ones are NULL. */
 };
 
-/** The value and the place of a token, from the lexer. */
+/** The value and the position of a token, from the lexer. */
 typedef struct token {
     double number; /**< Value of a number. */
     char *text;    /**< Content of a text, or a name or a unit; the token's holder owns it. */
-    int line;      /**< Place in the file, from 1. */
-    int column;    /**< Place in the line, from 1. */
+    int line;      /**< Line in the file, from 1. */
+    int column;    /**< Column in the line, from 1. */
 } token_t;
 
-/** Returns a node for an operator (transfer full), with the place of its first operand. Takes the
- * operands (transfer full). @p second and @p third may be NULL. */
+/** Returns a node for an operator (transfer full), with the position of its first operand. Takes
+ * the operands (transfer full). @p second and @p third may be NULL. */
 ast_t *ast_new(ast_op_t op, ast_t *first, ast_t *second, ast_t *third);
 
 /** Returns a leaf (transfer full). Takes the token's text (transfer full). */
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -52,22 +52,24 @@
                                 that no worker heartbeat confirms. */
     TUNABLE_PLACEMENT_REQUESTS_PER_ROUND, /**< Most placement requests in a round of the leader. */
     TUNABLE_PREEMPTIONS_PER_ROUND, /**< Most placement requests of a round that may preempt. */
-    TUNABLE_SCALE_OUT_HEADROOM,    /**< Machines are added up to this capacity, as a factor of the
-                                      demand. */
-    TUNABLE_SCALE_IN_HEADROOM,     /**< Machines are kept for this capacity, as a factor of the
+    TUNABLE_SCALE_OUT_HEADROOM,    /**< Capacity up to which machines are added, as a factor of the
                                       demand. */
+    TUNABLE_SCALE_IN_HEADROOM,     /**< Capacity that is kept when machines are drained, as a factor
+                                      of the demand. */
     TUNABLE_SCALE_OUT_MAX_WAIT,    /**< Time within which pending tasks should start. Tasks that can
-                                      share a machine within it do not cause a scale-out. */
+                                      run one after another on the same resources within this time
+                                      count once in the demand. */
     TUNABLE_SCALE_IN_DELAY,        /**< How long a surplus must last before a machine is drained. */
     TUNABLE_USE_SPOT,              /**< Whether jobs that permit spot machines run on them. */
     TUNABLE_USE_ON_DEMAND,      /**< Whether on-demand machines are added for work beyond the teams'
                                    guarantees. */
-    TUNABLE_ON_DEMAND_MAX_WAIT, /**< Such machines are added if the pending work would take the
-                                   others longer than this. */
-    TUNABLE_ON_DEMAND_SHARE, /**< Such machines are added up to this share of the others' cpus, or
-                                of the cpus that the pending work needs if these are more. */
-    TUNABLE_PREEMPT,         /**< Whether tasks of lower priority may be preempted for a job. */
-    TUNABLE_COUNT            /**< Number of tunables. */
+    TUNABLE_ON_DEMAND_MAX_WAIT, /**< On-demand machines beyond the guarantees are added only if the
+                                   pending work would take the other machines longer than this. */
+    TUNABLE_ON_DEMAND_SHARE,    /**< Most cpus of on-demand machines beyond the guarantees, as a
+                                   fraction of the other machines' cpus or of the cpus that the
+                                   pending work needs, whichever are more. */
+    TUNABLE_PREEMPT,            /**< Whether tasks of lower priority may be preempted for a job. */
+    TUNABLE_COUNT               /**< Number of tunables. */
 } policy_tunable_t;
 
 /** The attributes of a job or a machine that an expression may use. */
--- a/src/policy/policy_check.c
+++ b/src/policy/policy_check.c
@@ -5,7 +5,7 @@
  * and in the evaluator. */
 enum { DEPTH_MAX = 64 };
 
-/* The types as error messages name them. */
+/* The names of the types in error messages. */
 static const char *const type_names[] = {
     [POLICY_BOOL] = "a boolean",  [POLICY_NUMBER] = "a number without a unit",
     [POLICY_SECONDS] = "seconds", [POLICY_CPUS] = "cpus",
--- a/tests/policy/test_policy.c
+++ b/tests/policy/test_policy.c
@@ -60,8 +60,9 @@
     policy_free(policy);
 }
 
-/* The value of an expression is known only when it is evaluated for a job, so the compiler cannot
- * refuse one that leaves the range. A division by 0 gives 0, which is below this range. */
+/* The value of an expression with attributes is known only when it is evaluated for a job, so the
+ * compiler cannot refuse a value that is out of range. A division by 0 gives 0, which is below the
+ * range of this setting. */
 static void test_value_is_clamped_to_the_range_of_the_setting(void **state)
 {
     GPtrArray *errors = *state;
--- a/tools/load.c
+++ b/tools/load.c
@@ -24,8 +24,8 @@
     CONTROLLERS_MAX = 3,  /* the fake key-value store has this many ports, one per controller */
     CHANGED_INTERVAL_MS = 500, /* least time between a worker's heartbeats after a change */
     USER_POLL_MS = 5000,       /* interval at which users request the status of their jobs */
-    HTTP_TIMEOUT_MS = 4000,    /* time-out of a request */
-    RANDOM_STEPS = 1000        /* resolution of a random decision */
+    HTTP_TIMEOUT_MS = 4000,    /* timeout of a request */
+    RANDOM_STEPS = 1000        /* number of steps into which a probability is divided */
 };
 
 typedef struct options {
@@ -137,12 +137,13 @@
         fake_machine_complete_attempts(machine);
 }
 
-/* Returns whether the worker has started attempts since it had started *runs, and updates *runs. */
-static bool has_changed(fake_machine_t *machine, guint *runs)
+/* Returns whether the number of attempts that the worker has started so far differs from *started,
+ * and sets *started to that number. */
+static bool has_changed(fake_machine_t *machine, guint *started)
 {
     pthread_mutex_lock(&machine->lock);
-    bool is_changed = machine->worker->runs != *runs;
-    *runs = machine->worker->runs;
+    bool is_changed = machine->worker->runs != *started;
+    *started = machine->worker->runs;
     pthread_mutex_unlock(&machine->lock);
     return is_changed;
 }
@@ -174,16 +175,16 @@
     http_client_t *client = http_client_new(2);
     const msec_t interval_ms = (msec_t)(load.options.heartbeat_interval_s * MS_PER_S);
     guint controller = random_controller();
-    guint runs = 0;
+    guint started = 0;
     msec_t sent_at = 0;
     while (!load.is_stopping) {
         sleep_ms(WORKER_TICK_MS);
         end_tasks(machine);
-        msec_t due_after_ms = has_changed(machine, &runs) ? CHANGED_INTERVAL_MS : interval_ms;
+        msec_t due_after_ms = has_changed(machine, &started) ? CHANGED_INTERVAL_MS : interval_ms;
         if (clock_steady() - sent_at < due_after_ms)
             continue;
         if (!send_heartbeat(machine, client, &controller, &sent_at))
-            sent_at -= interval_ms; /* makes the next one due at once */
+            sent_at -= interval_ms; /* makes the next heartbeat due at once */
     }
     return NULL;
 }
@@ -199,7 +200,7 @@
     send_request(client, random_controller(), "POST", "/v2/runs", body, NULL);
 }
 
-/* Requests the status of each job, and removes the ids of jobs that are done. */
+/* Requests the status of each job, and removes the ids of the jobs that are done. */
 static void poll_jobs(http_client_t *client, GPtrArray *ids)
 {
     for (guint i = ids->len; i-- > 0;) {
@@ -339,7 +340,8 @@
         load.peer_ports[i] = free_port();
     }
     http_client_t *client = http_client_new(2);
-    /* Each controller is ready before the next starts, so that the first one is the leader. */
+    /* Each controller is started only after the one before it is ready, so that the first one
+     * becomes the leader. */
     for (guint i = 0; i < controllers; i++) {
         start_controller(kv_server, cloud, i, folder);
         while (send_request(client, i, "GET", "/ready", NULL, NULL) != HTTP_OK)
@@ -353,7 +355,7 @@
     threads_start("users", run_users, NULL);
 }
 
-/* Each simulated worker uses several sockets. */
+/* Raises the limit on open files, because each simulated worker uses several sockets. */
 static void allow_many_sockets(void)
 {
     struct rlimit limit;
