--- a/src/io/codec/stored_values.c
+++ b/src/io/codec/stored_values.c
@@ -6,7 +6,8 @@
 
 /* The form of a page of machine records:
  * {"Jobs":[[id,team,image,cpus,gpus,memory,priority,save,checkpoint],...],
- * "Machines":[{"Id","Session","Address","Type","Zone","Spot","Tasks":[[job,task,attempt],...]},...]}
+ *  "Machines":[{"Id","Session","Address","Type","Zone","Spot",
+ *               "Tasks":[[job,task,attempt],...]},...]}
  * An item of Jobs is the header of a job. In an item of Tasks, job is an index into Jobs, which all
  * machines of the page share. */
 
