--- a/src/constants.h
+++ b/src/constants.h
@@ -325,7 +325,8 @@
     MACHINE_ERRORS_QUARANTINE_COUNT = 3,
     JOB_BACKOFF_MS = 5000,      /**< First backoff of a job; doubles with each further failure. */
     JOB_BACKOFF_MAX_MS = 60000, /**< Longest backoff of a job: one start per minute. */
-    TASK_BACKOFF_MS = 500, /**< Backoff after a start that was refused for lack of resources. */
+    JOB_REFUSED_BACKOFF_MS =
+        500, /**< Backoff after a start that was refused for lack of resources. */
     /** A job of this age that has finished no task has one task placed first (the starvation
      * minimum), because the largest job must start within four minutes. */
     STARVATION_AGE_MS = 120000,
--- a/src/core/leader/failure_records.c
+++ b/src/core/leader/failure_records.c
@@ -28,7 +28,7 @@
     switch (cause) {
     case CAUSE_FULL:
     case CAUSE_IN_USE:
-        back_off_until(job, now + TASK_BACKOFF_MS);
+        back_off_until(job, now + JOB_REFUSED_BACKOFF_MS);
         break;
     case CAUSE_ERROR:
     case CAUSE_NO_SUCH:
