--- a/tests/core/partition/test_partition_proofs.c
+++ b/tests/core/partition/test_partition_proofs.c
@@ -46,7 +46,7 @@
         partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, late_commands));
     partition_finish_push(fixture->partition, "m-000001", late_commands, 7, PUSH_UNANSWERED);
     exchange_heartbeat(fixture); /* the answer to this heartbeat starts the task */
-    assert_int_equal(fixture->worker->runs, 1);
+    assert_int_equal(fixture->worker->started_count, 1);
     fake_worker_exit_attempts(fixture->worker, "j-000001", 0, CAUSE_ERROR);
     exchange_heartbeat(fixture);
     commit_batch(fixture);
@@ -54,7 +54,7 @@
     assert_int_equal(count_commands(fixture, COMMAND_FORGET), 0);
     assert_true(partition_needs_new_fencing_token(fixture->partition));
     assert_true(fake_worker_handle_push(fixture->worker, 7, 1, late_commands));
-    assert_int_equal(fixture->worker->runs, 1);
+    assert_int_equal(fixture->worker->started_count, 1);
     /* Under a higher fencing token the worker refuses the late copy, so the attempt may be
      * forgotten. */
     partition_set_view(fixture->partition, 8);
@@ -62,7 +62,7 @@
     exchange_heartbeat(fixture);
     assert_int_equal(fixture->worker->attempts->len, 0);
     assert_false(fake_worker_handle_push(fixture->worker, 7, 1, late_commands));
-    assert_int_equal(fixture->worker->runs, 1);
+    assert_int_equal(fixture->worker->started_count, 1);
     g_array_unref(late_commands);
 }
 
@@ -123,7 +123,7 @@
     assert_int_equal(partition_results(fixture->partition)->len, 0);
     fake_worker_handle_answer(fixture->worker, 7, fixture->commands);
     exchange_heartbeat(fixture);
-    assert_int_equal(fixture->worker->runs, 0); /* the old attempt is not sent again */
+    assert_int_equal(fixture->worker->started_count, 0); /* the old attempt is not sent again */
     commit_batch(fixture);
     assert_true(has_result(fixture, 0, CAUSE_NONE));
 }
@@ -226,7 +226,7 @@
     exchange_heartbeat(fixture);
     assert_int_equal(fixture->worker->attempts->len, 0);
     assert_false(fake_worker_handle_push(fixture->worker, 7, 1, late_commands));
-    assert_int_equal(fixture->worker->runs, 1);
+    assert_int_equal(fixture->worker->started_count, 1);
     g_array_unref(late_commands);
 }
 
--- a/tests/core/partition/test_partition_records.c
+++ b/tests/core/partition/test_partition_records.c
@@ -9,10 +9,10 @@
     exchange_heartbeat(fixture);
     place_task(fixture, "j-000001", 0, 100);
     exchange_heartbeat(fixture);
-    assert_int_equal(fixture->worker->runs, 0); /* not recorded, so not sent */
+    assert_int_equal(fixture->worker->started_count, 0); /* not recorded, so not sent */
     commit_batch(fixture);
     exchange_heartbeat(fixture);
-    assert_int_equal(fixture->worker->runs, 1);
+    assert_int_equal(fixture->worker->started_count, 1);
     exchange_heartbeat(fixture);
     assert_int_equal(count_commands(fixture, COMMAND_RUN), 0); /* listed, so not sent again */
 }
@@ -27,7 +27,7 @@
     deliver_heartbeat(fixture, &heartbeat, false);
     assert_int_equal(count_commands(fixture, COMMAND_RUN), 1); /* this answer is lost */
     exchange_heartbeat(fixture);
-    assert_int_equal(fixture->worker->runs, 1);
+    assert_int_equal(fixture->worker->started_count, 1);
     assert_int_equal(partition_results(fixture->partition)->len, 0);
 }
 
@@ -79,7 +79,7 @@
     partition_end_job(fixture->partition, "j-000001");
     commit_batch(fixture);
     exchange_heartbeat(fixture);
-    assert_int_equal(fixture->worker->runs, 0);
+    assert_int_equal(fixture->worker->started_count, 0);
     assert_int_equal(partition_attempt_count(fixture->partition), 0);
 }
 
@@ -106,11 +106,11 @@
     exchange_heartbeat(fixture);
     assert_null(
         partition_take_push(fixture->partition, G_MAXUINT32, fixture->now, fixture->commands));
-    assert_int_equal(fixture->worker->runs, 0);
+    assert_int_equal(fixture->worker->started_count, 0);
     partition_end_job(fixture->partition, "j-000002"); /* the cancellation becomes known */
     partition_pause_starts(fixture->partition, false);
     exchange_heartbeat(fixture);
-    assert_int_equal(fixture->worker->runs, 1);
+    assert_int_equal(fixture->worker->started_count, 1);
     assert_string_equal(g_array_index(fixture->worker->attempts, reported_attempt_t, 0).job,
                         "j-000001");
 }
@@ -156,9 +156,9 @@
     partition_fixture_t *fixture = *state;
     load_page_record(fixture);
     exchange_heartbeat(fixture);
-    assert_int_equal(fixture->worker->runs, 1);
+    assert_int_equal(fixture->worker->started_count, 1);
     exchange_heartbeat(fixture);
-    assert_int_equal(fixture->worker->runs, 1);
+    assert_int_equal(fixture->worker->started_count, 1);
     assert_int_equal(partition_attempt_count(fixture->partition), 1);
 }
 
--- a/tests/fakes/fake_machine.c
+++ b/tests/fakes/fake_machine.c
@@ -119,7 +119,7 @@
 guint fake_machine_started_count(fake_machine_t *machine)
 {
     pthread_mutex_lock(&machine->lock);
-    guint runs = machine->worker->runs;
+    guint runs = machine->worker->started_count;
     pthread_mutex_unlock(&machine->lock);
     return runs;
 }
--- a/tests/fakes/fake_worker.c
+++ b/tests/fakes/fake_worker.c
@@ -51,7 +51,7 @@
         .task = command->task, .attempt = command->attempt, .state = TASK_RUNNING};
     g_strlcpy(attempt.job, command->job, sizeof attempt.job);
     g_array_append_val(worker->attempts, attempt);
-    worker->runs++;
+    worker->started_count++;
 }
 
 static void execute_command(fake_worker_t *worker, const worker_command_t *command)
--- a/tests/fakes/fake_worker.h
+++ b/tests/fakes/fake_worker.h
@@ -10,8 +10,8 @@
     uint64_t worker_epoch;
     uint64_t heartbeat_sequence;
     uint64_t fencing_token;
-    GArray *attempts; /* of reported_attempt_t, owned */
-    guint runs;       /* number of attempts started so far */
+    GArray *attempts;    /* of reported_attempt_t, owned */
+    guint started_count; /* number of attempts started so far */
 } fake_worker_t;
 
 fake_worker_t *fake_worker_new(const char *id);
--- a/tools/load.c
+++ b/tools/load.c
@@ -142,8 +142,8 @@
 static bool has_changed(fake_machine_t *machine, guint *started)
 {
     pthread_mutex_lock(&machine->lock);
-    bool is_changed = machine->worker->runs != *started;
-    *started = machine->worker->runs;
+    bool is_changed = machine->worker->started_count != *started;
+    *started = machine->worker->started_count;
     pthread_mutex_unlock(&machine->lock);
     return is_changed;
 }
