--- a/src/constants.h
+++ b/src/constants.h
@@ -2,8 +2,8 @@
  * The constants of the service, each with its unit and the reason for its value.
  *
  * A name ends in its unit: _MS (milliseconds), _S (seconds), _BYTES, _BITS, _COUNT, _FRACTION (of
- * the quantity that the comment names), _FACTOR (a multiplier) and _DIVISOR (one in so many). The
- * parameters that operators may change are in src/policy/policy.h instead.
+ * the quantity that the comment names), _FACTOR (a multiplier) and _DIVISOR (divides the quantity
+ * that the comment names). The parameters that operators may change are in src/policy/policy.h.
  */
 #ifndef PEPPERPULLEY_CONSTANTS_H
 #define PEPPERPULLEY_CONSTANTS_H
@@ -88,9 +88,9 @@
     RECORD_ATTEMPT_BYTES = 32,  /**< Upper bound of the size of an attempt in a record. */
     RECORD_MACHINE_BYTES = 110, /**< Size of a machine in a record, without names and attempts. */
     RECORD_JOB_BYTES = 100,     /**< Size of a job's header in a record, without names. */
-    PROGRESS_BYTES = 64, /**< Size of a record of a job's progress or end, without task bits. */
+    PROGRESS_BYTES = 64, /**< Record of a job's progress or terminal state, without task bits. */
     KV_TXN_VALUES_BYTES = 48 * 1024, /**< Size of all values; conditions take the rest of 64 KiB. */
-    /** Timeout of a call. Slow answers take some hundred ms; after the timeout the outcome counts
+    /** Timeout of a call. Slow answers take a few hundred ms; after the timeout the outcome counts
      * as indeterminate. */
     KV_TIMEOUT_MS = 2000,
     /** How long a watch request blocks if nothing changes, which makes half a request per second.
@@ -123,13 +123,14 @@
     MEMBERSHIP_BATCH_MS = 300, /**< Changes within this time are combined into one view. */
     /** A leader whose view is unconfirmed for longer than this sends no requests to the cloud. */
     VIEW_CONFIRMED_WITHIN_MS = 5000,
-    /** A new leader collects heartbeats for this long before it judges machines unresponsive or
-     * scales out. */
+    /** A new leader collects heartbeats for this long before it treats machines as unresponsive
+     * or scales out. */
     LEADER_GRACE_MS = 4000,
-    /** A new leader does not scale in before this time has passed. Capacity given up while the load
-     * is low after an outage would be missing in the next peak. */
+    /** A new leader does not scale in before this time has passed. Machines terminated while the
+     * load is low after an outage would be missing in the next peak. */
     NEW_LEADER_SCALE_IN_DELAY_MS = 40000,
-    /** Interval between fencing token increases that only serve to permit a forget command. */
+    /** Shortest interval between increases of the fencing token that only serve to forget attempts
+     * or to prove them to be over. */
     FENCING_TOKEN_GAP_MS = 15000,
     /** How long a member that its workers do not reach is excluded and owns no machines. */
     EXCLUSION_MS = 90000
@@ -155,7 +156,7 @@
     /** Ids of terminal jobs that are kept, so that an older list of jobs does not restore these
      * jobs. Lists are seconds old, and a hundred jobs may end in that time. */
     TERMINAL_JOBS_COUNT = 8192,
-    ISOLATED_AFTER_MS = 3000 /**< Without the key-value store for longer, /ready answers 503. */
+    ISOLATED_AFTER_MS = 3000 /**< /ready answers 503 after this time without the key-value store. */
 };
 
 /** Connections, threads and memory. */
@@ -174,8 +175,8 @@
     CONNECTIONS_SPARE_COUNT = 100,
     DISPATCHER_CONNECTIONS_MIN_COUNT = 2,  /**< Fewest connections of one dispatcher. */
     DISPATCHER_CONNECTIONS_MAX_COUNT = 16, /**< Most connections; 256 for all dispatchers. */
-    DISPATCHER_CONNECTIONS_DIVISOR = 96,   /**< One in so many of fd_limit, within these bounds. */
-    WORKER_CONNECTIONS_DIVISOR = 4, /**< One in so many connections is reserved for workers. */
+    DISPATCHER_CONNECTIONS_DIVISOR = 96,   /**< Divides fd_limit; the bounds above apply. */
+    WORKER_CONNECTIONS_DIVISOR = 4, /**< Divides the connections; the result is for workers only. */
     HEAP_TRIM_BYTES = 256 * 1024    /**< Free memory above this at the heap's end is released. */
 };
 
@@ -238,13 +239,13 @@
      * controllers that don't answer cost it 5 s each. */
     REDIRECT_PROBE_MS = 12000,
     RETAIN_MS = 20000, /**< Such a worker is retained for this long before the next redirect. */
-    /** The same if the owner refused it: a newly started controller is ready within 2 s. */
+    /** Replaces RETAIN_MS if the owner refused the worker. New controllers are ready within 2 s. */
     RETAIN_REFUSED_MS = 3000,
     /** An owner counts as reachable for workers if it received a worker's heartbeat within this
      * time. Less than the 5 s after which workers try another controller. */
     OWNER_REACHABLE_WITHIN_MS = 3000,
     RETAINED_WRITE_GAP_MS = 3000, /**< Interval between writes of the list of retained workers. */
-    /** The same if a worker was added, because the leader may soon terminate its machine. */
+    /** The interval after a worker is added, because the leader may soon terminate its machine. */
     RETAINED_GROWN_GAP_MS = 1000,
     RETAINED_FRESH_MS = 8000,      /**< A list of retained workers older than this is ignored. */
     REDIRECTION_FORGET_MS = 60000, /**< A worker not seen for longer is forgotten. */
@@ -274,7 +275,7 @@
     CANCELLATION_LOG_COUNT = 2048,
     CANCELLATION_UPDATE_COUNT = 256, /**< Entries per message, 6 KB; the next has the rest. */
     JOB_COUNTS_BATCH_COUNT = 256,    /**< Jobs with task counts in one heartbeat answer, 8 KB. */
-    /** Allowance for clock drift: monotonic clocks drift apart by up to 0.05% (protocol). */
+    /** Allowance for clock drift: steady clocks drift apart by up to 0.05% (protocol). */
     CLOCK_DRIFT_DIVISOR = 1000
 };
 
@@ -323,20 +324,19 @@
     /** Failures without a success in between after which a machine is quarantined, unless they
      * all concern one job that has finished no task. */
     MACHINE_ERRORS_QUARANTINE_COUNT = 3,
-    JOB_BACKOFF_MS = 5000,      /**< First backoff of a job; doubles with each further failure. */
-    JOB_BACKOFF_MAX_MS = 60000, /**< Longest backoff of a job: one start per minute. */
-    JOB_REFUSED_BACKOFF_MS =
-        500, /**< Backoff after a start that was refused for lack of resources. */
+    JOB_BACKOFF_MS = 5000,      /**< First back-off of a job; doubles with each further failure. */
+    JOB_BACKOFF_MAX_MS = 60000, /**< Longest back-off of a job: one start per minute. */
+    JOB_REFUSED_BACKOFF_MS = 500, /**< Back-off after a start refused for lack of resources. */
     /** A job of this age that has finished no task has one task placed first (the starvation
      * minimum), because the largest job must start within four minutes. */
     STARVATION_AGE_MS = 120000,
-    /** From this age on, some of the job's remaining tasks are placed first. */
+    /** From this age on, some of the job's remaining tasks at a time are placed first. */
     LONG_STARVATION_AGE_MS = 240000,
-    STARVING_TASKS_DIVISOR = 16, /**< One task in so many is placed first at a time. */
+    STARVING_TASKS_DIVISOR = 16, /**< Divides the job's tasks; the result plus 1 is placed first. */
     /** Longest claim of a machine for large work. Other work that fits it must not wait 90 s. */
     CLAIM_MAX_MS = 60000,
     CLAIM_COOLDOWN_MS = 10000,    /**< After a claim, a machine accepts all work for this long. */
-    CLAIMED_MACHINES_DIVISOR = 8, /**< At most one machine in so many is claimed. */
+    CLAIMED_MACHINES_DIVISOR = 8, /**< Divides the machines; the result limits the claims. */
     CLAIMED_MACHINES_PER_JOB_COUNT = 16, /**< Most machines claimed for one job. */
     TEAMS_MASK_BITS = 64,     /**< Teams that a placement request may preempt, one bit each. */
     PREEMPT_MIN_RUN_MS = 2000 /**< A task is not preempted within this time after its start. */
@@ -372,9 +372,9 @@
     UNREACHABLE_ZONE_MS = 60000,
     /** The machines of such a zone are not terminated for this long, three boot times. */
     UNREACHABLE_ZONE_WAIT_MS = 60000,
-    /** A booting instance is given up after this time plus three times its type's boot time. */
+    /** A booting instance is terminated after this time plus three times its type's boot time. */
     BOOT_TIMEOUT_MS = 30000,
-    DRAINS_PER_ROUND_COUNT = 8 /**< Drains hundreds of machines in seconds, not minutes. */
+    DRAINS_PER_ROUND_COUNT = 8 /**< Most drains per round. Hundreds take seconds, not minutes. */
 };
 
 /** TUNABLE_SCALE_OUT_MAX_WAIT is not shortened below this for work that is near its deadline. Only
--- a/src/controller/autoscaler/member_exclusion.c
+++ b/src/controller/autoscaler/member_exclusion.c
@@ -9,7 +9,7 @@
  * at most half of the partition's machines. Called with the lock held. */
 static GPtrArray *find_cut_off_machines(const controller_t *controller, guint partition)
 {
-    /* Of machine_summary_t; NULL if none were received yet. */
+    /* Array of machine_summary_t; NULL if none were received yet. */
     const GArray *summaries = g_ptr_array_index(controller->placement.leader->summaries, partition);
     GPtrArray *cut_off = g_ptr_array_new_with_free_func(g_free);
     for (guint i = 0; summaries && i < summaries->len; i++) {
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -41,7 +41,8 @@
 /** Frees the leader and everything that it owns. */
 void leader_free(leader_t *leader);
 
-/** Begins a view. Attempt numbers consist of the view number and a counter that starts anew. */
+/** Begins a view. Attempt numbers consist of the view number and a counter that restarts in each
+ * view. */
 void leader_set_view(leader_t *leader, uint64_t view);
 
 /** Adds a live job. @p spec is copied; @p revision is the revision of the key jobs/ID. Does nothing
--- a/src/core/leader/placement_requests.c
+++ b/src/core/leader/placement_requests.c
@@ -43,8 +43,8 @@
     request->preemptible_teams = preemptible_teams(leader, state);
     request->claims_guarantee = state->outstanding_cpus + job->spec.need.cpus <=
                                 state->team.guaranteed_cpus + RESOURCE_EPSILON;
-    /* The policy selects the jobs that may preempt. Measurements showed that preempting
-     * low-priority work for every task of normal priority loses more work than it gains. */
+    /* The policy selects the jobs that may preempt. Preempting low-priority work for every
+     * task of normal priority would lose more work than it gains. */
     bool is_preemption_enabled = tunable_for_job(leader->policy, TUNABLE_PREEMPT, &job->spec) != 0;
     request->may_preempt =
         is_preemption_enabled || (request->claims_guarantee && request->preemptible_teams);
--- a/src/core/membership/redirection.c
+++ b/src/core/membership/redirection.c
@@ -127,9 +127,8 @@
         return 0;
     if (now - owner->probed_at < REDIRECT_PROBE_MS && strcmp(owner->probe_machine, machine) != 0)
         return owner->probed_at + REDIRECT_PROBE_MS;
-    /* A probe that has not returned within REDIRECT_PROBE_MS has reached the owner, and the other
-     * workers may follow it. No new probe is chosen until REDIRECT_PROBE_MS has passed once more.
-     */
+    /* A probe that has not returned within REDIRECT_PROBE_MS has reached the owner. During the next
+     * REDIRECT_PROBE_MS, the other workers may follow it. After that, a new probe is chosen. */
     if (now - owner->probed_at >= 2 * (msec_t)REDIRECT_PROBE_MS) {
         owner->probed_at = now;
         g_strlcpy(owner->probe_machine, machine, sizeof owner->probe_machine);
--- a/src/core/partition/partition_heartbeats.h
+++ b/src/core/partition/partition_heartbeats.h
@@ -10,7 +10,7 @@
 #include "core/partition/partition_type.h"
 #include "core/types.h"
 
-/** The verdict on a heartbeat, which tells whether its content was applied. */
+/** The verdict on a heartbeat: whether its content was applied, and if not, why. */
 typedef enum heartbeat_verdict {
     HEARTBEAT_ACCEPTED,     /**< The heartbeat is the newest, and its content was applied. */
     HEARTBEAT_OUT_OF_ORDER, /**< The heartbeat is older than the newest state received in this
--- a/src/core/partition/placement.c
+++ b/src/core/partition/placement.c
@@ -54,11 +54,12 @@
     return compare_load(first, second);
 }
 
-/* Returns whether the newest of `equals` machines of equal rank replaces the one chosen before. */
+/* Returns whether the machine that was examined last, the `equals`-th of equal rank, replaces the
+ * one chosen before. */
 static bool wins_tie(partition_t *partition, guint equals)
 {
-    guint turn = partition->tie_counter++;
-    return turn % equals == 0;
+    guint tie_number = partition->tie_counter++;
+    return tie_number % equals == 0;
 }
 
 static machine_t *choose_free_machine(partition_t *partition, const placement_request_t *request,
--- a/src/core/replication/summary_update.h
+++ b/src/core/replication/summary_update.h
@@ -5,8 +5,7 @@
  * time. The partition therefore sends only the differences from the version that the leader has
  * acknowledged, and the leader advances the ages in all other summaries. If the leader does not
  * have that version, for whatever reason, the next update has all summaries. The caller holds the
- * controller's lock; no input or output. Times are of the steady clock of the controller that
- * calls, in ms.
+ * controller's lock; no input or output. Times are of the calling controller's steady clock, in ms.
  */
 #ifndef PEPPERPULLEY_SUMMARY_UPDATE_H
 #define PEPPERPULLEY_SUMMARY_UPDATE_H
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -20,7 +20,7 @@
 /** An amount of resources, such as the need of a task or the capacity of a machine. */
 typedef struct resources {
     double cpus;   /**< Processors; fractions are allowed. */
-    double gpus;   /**< Accelerators. */
+    double gpus;   /**< Number of gpus. */
     double memory; /**< GB. */
 } resources_t;
 
@@ -99,7 +99,7 @@
     char type[LABEL_BYTES];      /**< The machine type's name. */
     char zone[LABEL_BYTES];      /**< The machine's zone. */
     bool is_spot;                /**< Whether the machine is a spot machine. */
-    uint64_t worker_epoch;       /**< Increases each time the worker process restarts. */
+    uint64_t worker_epoch;       /**< Increases when the worker restarts or its lease expires. */
     uint64_t heartbeat_sequence; /**< Sequence number within the worker epoch. */
     uint64_t fencing_token;      /**< The highest view number that the worker has received. */
     double interruption_in_s;    /**< Seconds until the cloud reclaims the machine; negative: no
@@ -146,8 +146,8 @@
     double guaranteed_cpus; /**< Cpus that it gets before other teams exceed their guarantees; 0: no
                                guarantee. */
     double max_cpus;        /**< Most cpus that its tasks may use at a time; 0: no limit. */
-    double guaranteed_gpus; /**< Guaranteed accelerators; 0: no guarantee. */
-    double max_gpus;        /**< Most accelerators that its tasks may use; 0: no limit. */
+    double guaranteed_gpus; /**< Guaranteed gpus; 0: no guarantee. */
+    double max_gpus;        /**< Most gpus that its tasks may use; 0: no limit. */
 } team_t;
 
 /** Reference to one attempt at one task. A task has only one attempt at a time, so maps use the job
--- a/src/io/kv_store.c
+++ b/src/io/kv_store.c
@@ -52,7 +52,7 @@
     case HTTP_UNAVAILABLE:
         return KV_NOT_EXECUTED;
     case HTTP_NO_ANSWER:
-    default: /* a status outside the protocol does not tell whether the request was executed */
+    default: /* a status outside the protocol does not show whether the request was executed */
         return KV_INDETERMINATE;
     }
 }
--- a/tests/controller/test_controller_timing.c
+++ b/tests/controller/test_controller_timing.c
@@ -120,7 +120,7 @@
 
 /* Guards against a controller that reports its own start as an answer of the key-value store. If
  * such a controller starts during an outage, each of its siblings concludes that the key-value
- * store refuses only the sibling itself, and all of them turn their users away. */
+ * store refuses only the sibling itself, and all of them refuse their users' requests. */
 static void test_a_new_controller_reports_no_answer_of_the_key_value_store(void **state)
 {
     msec_t now = clock_steady();
