--- a/src/constants.h
+++ b/src/constants.h
@@ -333,7 +333,7 @@
     /** From this age on, some of the job's remaining tasks at a time are placed first. */
     LONG_STARVATION_AGE_MS = 240000,
     STARVING_TASKS_DIVISOR = 16, /**< Divides the job's tasks; the result plus 1 is placed first. */
-    /** Longest claim of a machine for large work. Other work that fits it must not wait 90 s. */
+    /** Longest claim of a machine for large work. Other work that fits on it must not wait 90 s. */
     CLAIM_MAX_MS = 60000,
     CLAIM_COOLDOWN_MS = 10000,    /**< After a claim, a machine accepts all work for this long. */
     CLAIMED_MACHINES_DIVISOR = 8, /**< Divides the machines; the result limits the claims. */
@@ -380,8 +380,8 @@
 /** TUNABLE_SCALE_OUT_MAX_WAIT is not shortened below this for work that is near its deadline. Only
  * tasks that can run one after the other within the maximum wait share a machine. */
 static const double SCALE_OUT_MAX_WAIT_MIN_S = 15.0;
-/** Fraction of the cpus of the total demand. A larger machine is added only if the missing
- * resources fill it. */
+/** Fraction of the cpus of the total demand. A machine with more cpus than this is added only if
+ * the missing resources fill it. */
 static const double SCALE_OUT_OVERSIZE_FRACTION = 0.6;
 /** Fraction of a machine. No further machine is added for a smaller remainder of the demand. */
 static const double SCALE_OUT_ROUNDING_FRACTION = 0.25;
