--- a/src/constants.h
+++ b/src/constants.h
@@ -391,7 +391,7 @@
 /** On-demand machines are drained if the pending work needs less time than
  * TUNABLE_ON_DEMAND_MAX_WAIT divided by this. That is less work than the amount at which scale-out
  * stops, so that machines are not added and removed repeatedly. */
-static const double ON_DEMAND_EASED_FACTOR = 2.0;
+static const double ON_DEMAND_SCALE_IN_DIVISOR = 2.0;
 /** Fraction of a draining machine's cpus: if at least this much is free, its work that can
  * checkpoint is moved to other machines. */
 static const double DRAIN_MIN_FREE_FRACTION = 0.5;
--- a/src/core/autoscaler/scale_in_choice.c
+++ b/src/core/autoscaler/scale_in_choice.c
@@ -23,7 +23,7 @@
     /* Hysteresis: on-demand machines are scaled in only if less work is pending than the amount at
      * which scale-out stops, so that machines are not added and removed repeatedly. */
     double max_wait_s =
-        tunable_value(leader->policy, TUNABLE_ON_DEMAND_MAX_WAIT) / ON_DEMAND_EASED_FACTOR;
+        tunable_value(leader->policy, TUNABLE_ON_DEMAND_MAX_WAIT) / ON_DEMAND_SCALE_IN_DIVISOR;
     choice.is_extra_unjustified =
         choice.extra_on_demand_cpus >
         autoscaler_justified_on_demand_cpus(leader, &choice.balance, max_wait_s);
