--- a/src/constants.h
+++ b/src/constants.h
@@ -258,8 +258,9 @@
 
 /** Connectivity, stalls and known cancellations. */
 enum {
-    /** After this time without a message from any sibling, the siblings count as unreachable. Peer
-     * heartbeats arrive every half second. */
+    /** After this time without a message from any sibling, the siblings count as unreachable. A
+     * reachable sibling answers a peer heartbeat within about PEER_HEARTBEAT_HOLD_MS, and the next
+     * one is sent PEER_HEARTBEAT_UPDATE_GAP_MS later at most. */
     SIBLING_TIMEOUT_MS = 5000,
     /** A controller that reaches neither the key-value store nor a sibling answers workers for this
      * long. It is replaced after 5 s, and its machines are not terminated for another 15 s. */
