--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -26,9 +26,9 @@
     g_autoptr(GError) error = NULL;
     const GOptionEntry entries[] = {
         {"config", 'c', 0, G_OPTION_ARG_FILENAME, &arguments->config,
-         "settings file of the platform (JSON)", "FILE"},
-        {"policy", 'p', 0, G_OPTION_ARG_FILENAME, &arguments->policy,
-         "policy file: the operators' settings", "FILE"},
+         "the platform's settings file (JSON)", "FILE"},
+        {"policy", 'p', 0, G_OPTION_ARG_FILENAME, &arguments->policy, "the operators' own settings",
+         "FILE"},
         {"version", 'V', 0, G_OPTION_ARG_NONE, &arguments->version, "print the version", NULL},
         {G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_FILENAME_ARRAY, &arguments->remaining, NULL,
          "[check FILE]"},
@@ -36,9 +36,9 @@
     g_autoptr(GOptionContext) context = g_option_context_new(NULL);
     g_option_context_add_main_entries(context, entries, NULL);
     g_option_context_set_summary(context,
-                                 "Schedules jobs on cloud machines, as one of several "
-                                 "controllers.\nWith `check FILE`: reports every error in a "
-                                 "policy file.");
+                                 "Places array tasks on rented machines, as one of several "
+                                 "controllers.\nWith `check FILE`: reports every fault of an "
+                                 "operators' settings file.");
     g_option_context_set_description(context,
                                      "Environment:\n  LOG_LEVEL  error, info (default) or debug\n");
     bool is_valid = g_option_context_parse(context, argc, argv, &error);
@@ -77,7 +77,7 @@
     if (!policy)
         return EXIT_ERROR;
     policy_free(policy);
-    printf("%s: no errors\n", remaining[1]);
+    printf("%s: no faults\n", remaining[1]);
     return EXIT_SUCCESS;
 }
 
